--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -6,68 +6,68 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// Effect is something that the runtime is to do.
+// Effect is an output of a Node that the runtime executes.
 type Effect interface{ isEffect() }
 
-// Send carries a message to another process. It may be lost.
+// Send sends a message to another process. It may be lost.
 type Send struct{ Envelope Envelope }
 
-// Persist appends to the log on disk and syncs it. Persisted answers it.
+// Persist appends to the log on disk and syncs it. Persisted acknowledges it.
 type Persist struct {
 	Sequence uint64
 	Hard     *HardState
-	// TruncateFrom, unless 0, drops the entries from there first.
+	// TruncateFrom, unless 0, first drops the entry at this index and all later ones.
 	TruncateFrom Index
 	Entries      []Entry
 }
 
-// SaveSnapshot replaces the snapshot and syncs it. Persisted answers it.
+// SaveSnapshot replaces the snapshot and syncs it. Persisted acknowledges it.
 type SaveSnapshot struct {
 	Sequence uint64
 	Snapshot Snapshot
-	// Hard and Tail are what follows the snapshot in the new log.
+	// Hard and Tail begin the new log after the snapshot.
 	Hard HardState
 	Tail []Entry
 }
 
-// Joined tells the runtime to keep the identity of the cluster that this VM
-// has learned.
+// Joined asks the runtime to store the identity of the cluster that this VM has
+// joined or formed.
 type Joined struct{ Cluster string }
 
-// Answer gives an operator its result.
+// Answer returns an operator's result.
 type Answer struct {
 	Conn   ConnID
 	Result Result
 }
 
-// Emit gives a caller tokens of its answer. From is the place of the first.
+// Emit sends a caller tokens of its answer. From is the position of the first.
 type Emit struct {
 	Conn   ConnID
 	ID     RequestID
 	From   int
 	Tokens []Token
-	// Finish is set on the last one: "stop" or "length".
+	// Finish is set with the last tokens: "stop" or "length".
 	Finish string
 }
 
-// Refuse gives a caller a final answer that is not the one it asked for.
+// Refuse ends a caller's request with a refusal.
 type Refuse struct {
 	Conn    ConnID
 	ID      RequestID
 	Refusal Refusal
 }
 
-// Finish gives a caller the answer of a plain service.
+// Finish returns the answer of a plain service to a caller.
 type Finish struct {
 	Conn   ConnID
 	ID     RequestID
 	Answer CallAnswer
-	// Recorded says that the call ran earlier and this is its kept answer.
+	// Recorded is set where the call ran earlier and this is its recorded answer.
 	Recorded bool
 }
 
 // Run orders the stages of a chain to run positions of a stream. The first
-// stage gets the order and hands its activations on to the next.
+// stage receives the order and forwards its activations to the next.
 type Run struct {
 	Stream   RequestID
 	Epoch    Epoch
@@ -80,37 +80,37 @@
 	Class  config.Class
 	// Deadline is when the caller no longer needs the answer.
 	Deadline time.Time
-	// Silence is when the chain is taken for broken.
+	// Silence is when the chain counts as failed unless it has answered.
 	Silence time.Time
-	// NotAfter is when the right to begin this run ends: a process that was
-	// stopped and goes on later must not begin it.
+	// NotAfter is when the permission to start this run expires: a process that
+	// was suspended and resumes later must not start it.
 	NotAfter time.Time
 }
 
-// ModelRef names what an engine must have loaded.
+// ModelRef identifies the model that an engine must have loaded.
 type ModelRef struct {
 	Model   string `json:"model" cbor:"model"`
 	Version string `json:"version" cbor:"version"`
 	Adapter string `json:"adapter,omitempty" cbor:"adapter,omitempty"`
 }
 
-// Rebuild orders an engine to make the KV cache of a range anew: from the
-// prompt and the tokens, or from what the engine before it has kept.
+// Rebuild orders an engine to recompute the KV cache of its layers: from the
+// prompt and the tokens, or from what the engine of the previous stage has kept.
 type Rebuild struct {
 	Stream   RequestID
 	Epoch    Epoch
 	Position int
 	Model    ModelRef
 	Stage    Stage
-	// Source is the stage before; nil when Stage holds the first layer.
+	// Source is the previous stage; nil when Stage holds the first layer.
 	Source *Stage
 	Prompt string
 	Tokens []Token
-	// Silence is when the engine is taken for dead.
+	// Silence is when the engine counts as lost unless it has answered.
 	Silence time.Time
 }
 
-// Release tells engines that a stream has ended or is given up.
+// Release informs engines that a stream has ended or was abandoned.
 type Release struct {
 	Stream RequestID
 	Epoch  Epoch
@@ -124,31 +124,31 @@
 	Target   string
 	Address  string
 	Deadline time.Time
-	// NotAfter is when the right to begin this call ends.
+	// NotAfter is when the permission to start this call expires.
 	NotAfter time.Time
 }
 
-// Watch looks at a target. Watched answers it.
+// Watch probes a target. Watched reports the result.
 type Watch struct {
 	Target  string
 	Address string
 }
 
-// Order tells an engine what to hold. OrderEnded answers it.
+// Order orders an engine to hold layers. OrderEnded reports the result.
 type Order struct {
 	Fence     Fence
 	Address   string
 	Placement config.Placement
 	Adapters  []string
-	// NotAfter is when the order is void: it is neither sent nor carried out
-	// later. It is what protects a target that checks no fence.
+	// NotAfter is when the order expires: it is neither sent nor executed later.
+	// This protects a target that checks no fence.
 	NotAfter time.Time
 }
 
-// ListPlatform asks the platform for its list. PlatformListed answers it.
+// ListPlatform queries the platform for its list. PlatformListed returns it.
 type ListPlatform struct{}
 
-// PeerFound tells the runtime where a VM's peers address is.
+// PeerFound gives the runtime the address at which a VM serves its peers.
 type PeerFound struct {
 	VM      VMName
 	Address string
@@ -158,17 +158,17 @@
 type Entries struct {
 	Conn      ConnID
 	Addresses []EntryAddress
-	// KeepUntil is when the caller has to ask again.
+	// KeepUntil is when the addresses expire at the caller.
 	KeepUntil time.Time
 }
 
-// Stopped says that a planned stop is complete.
+// Stopped signals that a planned stop is complete.
 type Stopped struct{}
 
-// Note is a decision worth a line in the log.
+// Note writes a decision to the log.
 type Note struct {
 	Text string
-	// Subject is what it is about: a VM, a target, a request.
+	// Subject is the VM, target or request that the decision is about.
 	Subject string
 }
 
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -8,31 +8,31 @@
 	"github.com/spoolbank/spoolbank/query"
 )
 
-// Event is anything that happens to a Node.
+// Event is an input of a Node.
 type Event interface{ isEvent() }
 
-// Tick says that time has passed. The runtime sends one every few hundredths
+// Tick signals the passage of time. The runtime sends one every few hundredths
 // of a second.
 type Tick struct{}
 
 // Received is a message from another process.
 type Received struct{ Envelope Envelope }
 
-// Persisted says that all records up to Sequence are synced.
+// Persisted signals that all records up to Sequence are synced.
 type Persisted struct{ Sequence uint64 }
 
-// Operated is an operator's statement that arrived at this VM.
+// Operated is a statement that an operator sent to this VM.
 type Operated struct {
 	Conn      ConnID
 	Statement query.Statement
 	Operator  string
 	Number    uint64
-	// Digest tells equal statements from different ones under one number.
+	// Digest distinguishes different statements under one number.
 	Digest string
-	// Expect is the revision that the operator has seen; 0 is any.
+	// Expect is the revision that the statement is based on; 0 accepts any.
 	Expect config.Revision
-	// WaitUntil asks for the answer only once the change is in force, or at
-	// that time at the latest. The zero value asks for no wait.
+	// WaitUntil delays the answer until the change is in force, or until this
+	// time at the latest. The zero value disables the wait.
 	WaitUntil time.Time
 }
 
@@ -43,16 +43,16 @@
 	// Key is the API key as the caller sent it.
 	Key     string
 	Request StreamRequest
-	// After is the number of tokens that the caller already has.
+	// After is the number of tokens that the caller has already received.
 	After int
 }
 
-// CallAsked is a request for a plain service. Its body stays in the runtime.
+// CallAsked is a request for a plain service. The runtime keeps its body.
 type CallAsked struct {
 	Conn ConnID
 	ID   RequestID
-	// Returnable says that the caller gave the identity itself, so that it may
-	// have sent it elsewhere before.
+	// Returnable is set where the caller chose the identity itself, and may have
+	// sent it to another VM before.
 	Returnable bool
 	Key        string
 	Service    string
@@ -62,43 +62,43 @@
 	Deadline   time.Time
 }
 
-// CallerGone says that a caller has closed its connection.
+// CallerGone signals that a caller has closed its connection.
 type CallerGone struct{ Conn ConnID }
 
-// RunResult is how a stage order ended.
+// RunResult is the outcome of an order to a stage or runner.
 type RunResult string
 
 // The results of a Run, a Rebuild or a Dispatch.
 const (
-	// ResultDone: it was run, and the answer is here.
+	// ResultDone means that it ran and the answer has arrived.
 	ResultDone RunResult = "done"
-	// ResultRefused: it was provably not run.
+	// ResultRefused means that it provably did not run.
 	ResultRefused RunResult = "refused"
-	// ResultBroken: the stage named by Target did not answer.
+	// ResultBroken means that the stage named by Target did not answer.
 	ResultBroken RunResult = "broken"
-	// ResultStale: the engine knows a later epoch.
+	// ResultStale means that the engine has seen a later epoch.
 	ResultStale RunResult = "stale"
-	// ResultGap: the stage named by Target lacks earlier positions.
+	// ResultGap means that the stage named by Target lacks earlier positions.
 	ResultGap RunResult = "gap"
 )
 
-// RunEnded answers a Run.
+// RunEnded reports the result of a Run.
 type RunEnded struct {
 	Stream   RequestID
 	Epoch    Epoch
 	Position int
 	Result   RunResult
-	// Target is the stage that the result speaks of, when it is not done.
+	// Target is the stage that caused a result other than ResultDone.
 	Target string
-	// Next is the position that follows; it is after the prompt at first.
+	// Next is the next position to run; after the first run, the one behind the prompt.
 	Next   int
 	Token  Token
 	Finish string
-	// Load is that of the fullest stage, in thousandths of its slots. It lags.
+	// Load is the load of the fullest stage, in thousandths of its slots. It lags.
 	Load int
 }
 
-// RebuildEnded answers a Rebuild.
+// RebuildEnded reports the result of a Rebuild.
 type RebuildEnded struct {
 	Stream RequestID
 	Epoch  Epoch
@@ -106,47 +106,47 @@
 	Result RunResult
 }
 
-// DispatchEnded answers a Dispatch.
+// DispatchEnded reports the result of a Dispatch.
 type DispatchEnded struct {
 	Conn   ConnID
 	ID     RequestID
 	Target string
 	Result RunResult
 	Answer CallAnswer
-	// BackoffUntil is until when the target wants no calls from this VM; zero where it asks for
-	// no backoff.
+	// BackoffUntil is the end of the backoff that the target requests of this VM; zero where
+	// it requests none.
 	BackoffUntil time.Time
-	// Limit is what it says of its limit; its HeardAt is zero where it says nothing.
+	// Limit is the rate limit that the target reports; its HeardAt is zero where it reports none.
 	Limit relay.LimitAnswer
 }
 
-// Watched is what a look at a target brought.
+// Watched reports the result of a Watch.
 type Watched struct {
 	Report TargetReport
-	// Busy is the number of streams or calls that the target says it serves;
-	// the report lags.
+	// Busy is the number of streams or calls that the target reports to serve.
+	// It lags.
 	Busy int
 }
 
-// PlatformListed is the platform's list of VMs that are about to go. The list
-// lags; a target on none of its lines is taken to live on.
+// PlatformListed is the platform's list of VMs that are about to be removed. The
+// list lags; a target that is not on it is assumed to stay.
 type PlatformListed struct{ Leaving []string }
 
-// OrderEnded answers an Order.
+// OrderEnded reports the result of an Order.
 type OrderEnded struct {
 	Target string
 	Fence  Fence
 	Done   bool
 }
 
-// EntriesAsked asks for the entry addresses that a caller should use.
+// EntriesAsked is a request for the entry addresses that a caller should use.
 type EntriesAsked struct {
 	Conn ConnID
-	// Hall is where the caller is, if it says so.
+	// Hall is the caller's data hall, empty where the caller does not name it.
 	Hall string
 }
 
-// Stopping asks for a planned stop of this process.
+// Stopping requests a planned stop of this process.
 type Stopping struct{}
 
 func (Tick) isEvent()           {}
--- a/internal/core/log.go
+++ b/internal/core/log.go
@@ -8,12 +8,12 @@
 )
 
 // Entry is one entry of the replicated log. At most one of its payloads is
-// set; an entry with none is what a new leader begins its term with.
+// set. A new leader begins its term with an entry that has none.
 type Entry struct {
 	Term  Term  `cbor:"term"`
 	Index Index `cbor:"index"`
-	// At is the leader's wall clock. It never runs back along the log, and it
-	// is the only time that the state machine knows.
+	// At is the leader's wall clock time. It never decreases along the log, and
+	// the state machine uses no other time.
 	At      time.Time       `cbor:"at"`
 	Command *Command        `cbor:"command,omitempty"`
 	Claim   *ClaimOp        `cbor:"claim,omitempty"`
@@ -22,7 +22,7 @@
 	Changes []config.Change `cbor:"changes,omitempty"`
 }
 
-// HardState is what a replica must not forget: its term and its vote in it.
+// HardState is the state that a replica must persist: its term and its vote in it.
 type HardState struct {
 	Term Term      `cbor:"term"`
 	Vote ReplicaID `cbor:"vote"`
@@ -37,7 +37,7 @@
 
 func (l *replicatedLog) last() Index { return l.base + Index(len(l.entries)) }
 
-// term returns the term of the entry at i, and whether the log still has it.
+// term returns the term of the entry at i, and whether the log has it.
 func (l *replicatedLog) term(i Index) (Term, bool) {
 	if i == l.base {
 		return l.baseTerm, true
@@ -55,7 +55,7 @@
 
 func (l *replicatedLog) at(i Index) Entry { return l.entries[i-l.base-1] }
 
-// after returns at most limit entries that follow i.
+// after returns at most limit entries after index i.
 func (l *replicatedLog) after(i Index, limit int) []Entry {
 	if i >= l.last() {
 		return nil
@@ -64,12 +64,12 @@
 	return slices.Clone(entries[:min(limit, len(entries))])
 }
 
-// truncate drops the entry at i and all that follow.
+// truncate drops the entry at i and all later ones.
 func (l *replicatedLog) truncate(i Index) { l.entries = l.entries[:i-l.base-1] }
 
 func (l *replicatedLog) append(entries ...Entry) { l.entries = append(l.entries, entries...) }
 
-// compact drops the entries up to and including i, which a snapshot covers.
+// compact drops the entries up to and including i, which must be covered by a snapshot.
 func (l *replicatedLog) compact(i Index) {
 	term, ok := l.term(i)
 	if !ok || i <= l.base {
@@ -80,7 +80,7 @@
 	l.baseTerm = term
 }
 
-// reset makes the log empty after a snapshot at i.
+// reset empties the log and bases it on a snapshot at i.
 func (l *replicatedLog) reset(i Index, term Term) {
 	*l = replicatedLog{base: i, baseTerm: term}
 }
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -10,43 +10,43 @@
 type Timing struct {
 	// Heartbeat is the interval between a leader's messages to its followers.
 	Heartbeat time.Duration
-	// ElectionMin and ElectionMax bound the silence after which a follower
-	// stands for election. A follower grants no vote within ElectionMin of
-	// having heard a leader, which is what a leader's lease rests on.
+	// ElectionMin and ElectionMax bound the randomized election timeout of a
+	// follower. A follower grants no vote within ElectionMin of the last message
+	// of a leader; the leader's lease depends on this.
 	ElectionMin time.Duration
 	ElectionMax time.Duration
-	// LeaseTerm is the life of the lease of an entry VM.
+	// LeaseTerm is the duration of an entry VM's lease.
 	LeaseTerm time.Duration
 	// RenewEvery is the interval between renewals of that lease.
 	RenewEvery time.Duration
-	// DriftPerMille bounds how far two clocks may drift apart, in thousandths.
+	// DriftPerMille bounds the relative drift of two clocks, in thousandths.
 	DriftPerMille int
-	// ReplaceAfter is the silence after which a voter is replaced by a spare.
+	// ReplaceAfter is the silence after which a spare replaces a voter.
 	ReplaceAfter time.Duration
-	// KeepEntries is how long callers may keep an answer of entry addresses.
+	// KeepEntries is how long callers may cache a list of entry addresses.
 	KeepEntries time.Duration
-	// KeepEntriesAfterLoss is that while entry VMs are lost: the answer names the others,
-	// and to ask for the next may meet a lost VM again.
+	// KeepEntriesAfterLoss replaces KeepEntries while entry VMs are lost: the list has only
+	// the others, and a request for the next list may reach a lost VM again.
 	KeepEntriesAfterLoss time.Duration
 	// KeepAnswer is how long a finished answer can be fetched again.
 	KeepAnswer time.Duration
 	// KeepClaim is how long a claim and its record are kept.
 	KeepClaim time.Duration
-	// Reattach is how long a stream runs on without its caller.
+	// Reattach is how long a stream keeps running without its caller.
 	Reattach time.Duration
-	// PeerReply is how long a reply of another entry VM is waited for.
+	// PeerReply is the timeout for a reply of another entry VM.
 	PeerReply time.Duration
 	// OrderLife is how long after its issue an order may still be delivered.
 	OrderLife time.Duration
-	// WatchEvery is the interval between two looks at a watched target.
+	// WatchEvery is the interval between two probes of a watched target.
 	WatchEvery time.Duration
-	// StageSilence is the wait for a stage before it is taken for dead.
+	// StageSilence is how long a stage may stay silent before it counts as lost.
 	StageSilence time.Duration
-	// TargetHeartbeat is the interval at which registered targets say that they live.
+	// TargetHeartbeat is the interval between heartbeats of a registered target.
 	TargetHeartbeat time.Duration
 }
 
-// DefaultTiming returns the intervals that the measurements in docs/ are for.
+// DefaultTiming returns the intervals that the measurements in docs/ were made with.
 func DefaultTiming() Timing {
 	return Timing{
 		Heartbeat:            100 * time.Millisecond,
@@ -69,26 +69,27 @@
 	}
 }
 
-// listedRenewals is the number of renewals that an entry VM may miss before
-// callers are no longer sent to it: one lost message costs one.
+// listedRenewals is the number of renewal intervals without a renewal after which
+// callers are no longer sent to an entry VM. Each lost message costs one interval.
 const listedRenewals = 3
 
-// listedFor is how long after its last renewal callers are sent to an entry VM.
+// listedFor returns how long after its last renewal callers are sent to an entry VM.
 func (t Timing) listedFor() time.Duration { return min(listedRenewals*t.RenewEvery, t.LeaseTerm) }
 
-// targetSilence is the silence after which a target counts as lost.
+// targetSilence returns the silence after which a target counts as lost.
 func (t Timing) targetSilence() time.Duration { return relay.SilentAfter(t.TargetHeartbeat) }
 
-// replacedSilence is that silence where another target has its address: half of it.
+// replacedSilence returns the same for a target whose address another one uses: half of it.
 func (t Timing) replacedSilence() time.Duration { return t.targetSilence() / 2 }
 
-// Shortened returns d less the bound on drift: what the holder of a lease may
-// count on.
+// Shortened returns d reduced by the drift bound: the duration that the holder of a
+// lease may rely on.
 func (t Timing) Shortened(d time.Duration) time.Duration {
 	return d - d*time.Duration(t.DriftPerMille)/1000
 }
 
-// Lengthened returns d and the bound on drift: what the giver of a lease waits.
+// Lengthened returns d extended by the drift bound: how long the grantor of a lease
+// waits for it to expire.
 func (t Timing) Lengthened(d time.Duration) time.Duration {
 	return d + d*time.Duration(t.DriftPerMille)/1000
 }
