--- a/internal/core/bed_test.go
+++ b/internal/core/bed_test.go
@@ -15,22 +15,22 @@
 	"github.com/spoolbank/spoolbank/internal/core/plan"
 )
 
-// bed runs entry Nodes against engines that take time, on a virtual clock. An
-// engine runs batch positions at a time, each in layers*batch/speed seconds, and
-// honours priorities, as the brief says that engines do. What is measured are counts and virtual times, so
+// testBed runs entry Nodes against simulated engines on a virtual clock. An engine runs
+// batch positions at a time, each in layers*batch/speed seconds, and honours priorities,
+// as the requirements state for engines. Measurements are counts and virtual times, so
 // that a figure is the same on every machine.
-type bed struct {
-	t       require.TestingT
-	now     time.Time
-	events  bedEvents
-	serial  int
-	rand    *rand.Rand
-	state   config.State
-	nodes   []*core.Node
-	names   map[core.VMName]int
-	engines map[string]*bedEngine
-	asks    map[core.ConnID]*bedAsk
-	// layersRun counts layers times positions, to hold against the bound.
+type testBed struct {
+	t        require.TestingT
+	now      time.Time
+	events   bedEvents
+	serial   int
+	rand     *rand.Rand
+	state    config.State
+	nodes    []*core.Node
+	names    map[core.VMName]int
+	engines  map[string]*bedEngine
+	requests map[core.ConnID]*bedRequest
+	// tokens counts the positions that were run, for comparison with the bound.
 	tokens int
 }
 
@@ -39,15 +39,15 @@
 	batch   int
 	slots   int
 	running int
-	// waiting holds work by class, first come first served inside each.
+	// waiting holds queued work by class, first in first out within each.
 	waiting [config.ClassCount][]func()
 	streams map[core.RequestID]bool
 	dead    bool
 	delay   time.Duration
 }
 
-// bedAsk is one request and what came of it.
-type bedAsk struct {
+// bedRequest is one request and its outcome.
+type bedRequest struct {
 	class        config.Class
 	organisation int
 	asked        time.Time
@@ -88,9 +88,10 @@
 	bedOrgs  = 10
 )
 
-// newBed makes so many entry Nodes before forty unequal engines in three halls.
-func newBed(t require.TestingT, entries int, seed uint64) *bed {
-	b := &bed{t: t, now: epochStart, rand: rand.New(rand.NewPCG(seed, 2)), engines: make(map[string]*bedEngine), names: make(map[core.VMName]int), asks: make(map[core.ConnID]*bedAsk)}
+// newTestBed returns a test bed of entry Nodes with forty engines of three kinds in three
+// data halls.
+func newTestBed(t require.TestingT, entries int, seed uint64) *testBed {
+	b := &testBed{t: t, now: epochStart, rand: rand.New(rand.NewPCG(seed, 2)), engines: make(map[string]*bedEngine), names: make(map[core.VMName]int), requests: make(map[core.ConnID]*bedRequest)}
 	changes := []config.Change{
 		{Model: &config.Model{Name: "m", Layers: benchLayers, Versions: []string{"v1"}}},
 		{Pipeline: &config.Pipeline{Name: "p0", Model: "m", Version: "v1", Class: 0, MaxTokens: 1000}},
@@ -124,8 +125,8 @@
 	return b
 }
 
-// planned applies what the planner wants, as if the engines loaded at once.
-func (b *bed) planned(s config.State) config.State {
+// planned applies the planner's changes, as if the engines loaded instantly.
+func (b *testBed) planned(s config.State) config.State {
 	changes := plan.Changes(s)
 	for i := range changes {
 		if changes[i].Place != nil {
@@ -138,8 +139,8 @@
 	return next
 }
 
-// bound is what no placement can exceed, in tokens a second.
-func (b *bed) bound() float64 {
+// bound returns the throughput that no placement can exceed, in tokens per second.
+func (b *testBed) bound() float64 {
 	var stages []plan.Stage
 	for name, e := range b.engines {
 		if !e.dead {
@@ -149,12 +150,12 @@
 	return plan.Bound(benchLayers, stages)
 }
 
-func (b *bed) at(delay time.Duration, run func()) {
+func (b *testBed) at(delay time.Duration, run func()) {
 	b.serial++
 	heap.Push(&b.events, bedEvent{at: b.now.Add(delay), serial: b.serial, run: run})
 }
 
-func (b *bed) advance(d time.Duration) {
+func (b *testBed) advance(d time.Duration) {
 	end := b.now.Add(d)
 	for len(b.events) > 0 && !b.events[0].at.After(end) {
 		e := heap.Pop(&b.events).(bedEvent)
@@ -164,20 +165,20 @@
 	b.now = end
 }
 
-func (b *bed) tick(i int) {
+func (b *testBed) tick(i int) {
 	b.at(tickEvery, func() {
 		b.step(i, core.Tick{})
 		b.tick(i)
 	})
 }
 
-func (b *bed) step(i int, event core.Event) {
+func (b *testBed) step(i int, event core.Event) {
 	for _, effect := range slices.Clone(b.nodes[i].Step(b.now, event)) {
-		b.carryOut(i, effect)
+		b.execute(i, effect)
 	}
 }
 
-func (b *bed) carryOut(i int, effect core.Effect) {
+func (b *testBed) execute(i int, effect core.Effect) {
 	switch e := effect.(type) {
 	case core.Send:
 		b.send(i, e.Envelope)
@@ -193,12 +194,12 @@
 		b.emit(e)
 	case core.Refuse:
 		refusal := e.Refusal
-		b.asks[e.Conn].refused = &refusal
-		b.asks[e.Conn].refusedAt = b.now
+		b.requests[e.Conn].refused = &refusal
+		b.requests[e.Conn].refusedAt = b.now
 	}
 }
 
-func (b *bed) send(i int, e core.Envelope) {
+func (b *testBed) send(i int, e core.Envelope) {
 	if r := e.Body.Renew; r != nil {
 		b.at(bedLink, func() { b.grant(i, r.Number) })
 		return
@@ -208,7 +209,7 @@
 	}
 }
 
-func (b *bed) grant(i int, number uint64) {
+func (b *testBed) grant(i int, number uint64) {
 	state := b.state
 	b.step(i, core.Received{Envelope: core.Envelope{From: core.ReplicaID{VM: "c1"}, Body: core.Message{Grant: &core.Grant{
 		To:   1,
@@ -216,13 +217,13 @@
 	}}}})
 }
 
-// run passes a position through the stages of a chain.
-func (b *bed) run(r core.Run, done func(core.RunEnded)) {
+// run runs a position through the stages of a chain.
+func (b *testBed) run(r core.Run, done func(core.RunEnded)) {
 	ended := core.RunEnded{Stream: r.Stream, Epoch: r.Epoch, Position: r.Position, Result: core.ResultDone, Next: r.Position + 1, Token: core.Token{Text: "x"}}
 	b.at(bedLink, func() { b.stage(r, 0, ended, done) })
 }
 
-func (b *bed) stage(r core.Run, k int, ended core.RunEnded, done func(core.RunEnded)) {
+func (b *testBed) stage(r core.Run, k int, ended core.RunEnded, done func(core.RunEnded)) {
 	if k == len(r.Chain) {
 		b.tokens++
 		b.at(time.Duration(k)*bedLink, func() { done(ended) })
@@ -250,8 +251,8 @@
 	b.serve(e, r.Class, s.Layers.Len(), func() { b.at(bedLink+e.delay, func() { b.stage(r, k+1, ended, done) }) })
 }
 
-// serve runs work in the engine's batch when it has room.
-func (b *bed) serve(e *bedEngine, class config.Class, layers int, done func()) {
+// serve runs work in the engine's batch once there is room.
+func (b *testBed) serve(e *bedEngine, class config.Class, layers int, done func()) {
 	work := func() {
 		e.running++
 		b.at(time.Duration(float64(layers)*float64(e.batch)/e.speed*float64(time.Second)), func() {
@@ -267,7 +268,7 @@
 	e.waiting[class] = append(e.waiting[class], work)
 }
 
-// next begins the work that has waited longest in the first class that has any.
+// next starts the oldest queued work of the first class that has any.
 func (e *bedEngine) next() {
 	for class, waiting := range e.waiting {
 		if len(waiting) > 0 {
@@ -278,8 +279,8 @@
 	}
 }
 
-// rebuild takes a twentieth of the time that the positions took at first.
-func (b *bed) rebuild(i int, r core.Rebuild) {
+// rebuild takes a twentieth of the time that the positions took originally.
+func (b *testBed) rebuild(i int, r core.Rebuild) {
 	e := b.engines[r.Stage.Target]
 	ended := core.RebuildEnded{Stream: r.Stream, Epoch: r.Epoch, Target: r.Stage.Target, Result: core.ResultDone}
 	if e.dead {
@@ -291,8 +292,8 @@
 	b.serve(e, config.ClassNormal, max(r.Stage.Layers.Len()*r.Position/20, 1), func() { b.step(i, ended) })
 }
 
-func (b *bed) emit(e core.Emit) {
-	a := b.asks[e.Conn]
+func (b *testBed) emit(e core.Emit) {
+	a := b.requests[e.Conn]
 	if len(e.Tokens) > 0 {
 		if a.tokens == 0 {
 			a.first = b.now
@@ -307,11 +308,11 @@
 	}
 }
 
-// ask sends a request to a Node.
-func (b *bed) ask(node, organisation int, class config.Class, tokens int, patience time.Duration) *bedAsk {
-	a := &bedAsk{class: class, organisation: organisation, asked: b.now}
-	conn := core.ConnID(len(b.asks) + 1)
-	b.asks[conn] = a
+// submit sends a request to a Node.
+func (b *testBed) submit(node, organisation int, class config.Class, tokens int, patience time.Duration) *bedRequest {
+	a := &bedRequest{class: class, organisation: organisation, asked: b.now}
+	conn := core.ConnID(len(b.requests) + 1)
+	b.requests[conn] = a
 	b.step(node, core.StreamAsked{Conn: conn, ID: core.RequestID(fmt.Sprint(conn)), Key: fmt.Sprintf("key%d", organisation), Request: core.StreamRequest{
 		Pipeline: fmt.Sprintf("p%d", class), Prompt: "prompt", MaxTokens: tokens, Deadline: b.now.Add(patience),
 	}})
--- a/internal/core/burst_test.go
+++ b/internal/core/burst_test.go
@@ -13,28 +13,28 @@
 	"github.com/spoolbank/spoolbank/internal/core/plan"
 )
 
-// baseline is a router without any of the core: it sends each request at once
-// to the chain that choose names, and each position after the one before.
+// baseline is a router that does not use the core: it immediately sends each request
+// to the chain that choose returns, and each position once the previous one is done.
 type baseline struct {
 	name   string
-	choose func(b *bed, chains []plan.Chain, open []int) int
+	choose func(b *testBed, chains []plan.Chain, open []int) int
 }
 
 var baselines = []baseline{
-	{"random", func(b *bed, chains []plan.Chain, _ []int) int { return b.rand.IntN(len(chains)) }},
-	{"round robin", func(b *bed, chains []plan.Chain, _ []int) int { return len(b.asks) % len(chains) }},
-	{"least outstanding", func(_ *bed, _ []plan.Chain, open []int) int { return slices.Index(open, slices.Min(open)) }},
+	{"random", func(b *testBed, chains []plan.Chain, _ []int) int { return b.rand.IntN(len(chains)) }},
+	{"round robin", func(b *testBed, chains []plan.Chain, _ []int) int { return len(b.requests) % len(chains) }},
+	{"least outstanding", func(_ *testBed, _ []plan.Chain, open []int) int { return slices.Index(open, slices.Min(open)) }},
 }
 
-func (b *bed) askBaseline(l baseline, chains []plan.Chain, open []int, tokens int) {
+func (b *testBed) submitToBaseline(l baseline, chains []plan.Chain, open []int, tokens int) {
 	i := l.choose(b, chains, open)
-	b.asks[core.ConnID(len(b.asks)+1)] = &bedAsk{asked: b.now}
+	b.requests[core.ConnID(len(b.requests)+1)] = &bedRequest{asked: b.now}
 	var stages []core.Stage
 	for _, p := range chains[i].Stages {
 		stages = append(stages, core.Stage{Target: p.Target, Layers: p.Layers})
 	}
 	open[i]++
-	run := core.Run{Stream: core.RequestID(fmt.Sprint(len(b.asks))), Chain: stages}
+	run := core.Run{Stream: core.RequestID(fmt.Sprint(len(b.requests))), Chain: stages}
 	var next func(core.RunEnded)
 	next = func(e core.RunEnded) {
 		run.Position++
@@ -52,10 +52,10 @@
 	burstSeconds = 60
 )
 
-// throughput measures the share of the bound over the last forty seconds of
-// a minute in which callers ask for load times the bound.
+// throughput measures the throughput as a share of the bound, over the last forty
+// seconds of a minute in which callers request load times the bound.
 func throughput(t require.TestingT, load float64, l *baseline) float64 {
-	b := newBed(t, 4, 7)
+	b := newTestBed(t, 4, 7)
 	if l != nil {
 		for _, e := range b.engines {
 			e.slots = 1 << 20
@@ -67,10 +67,10 @@
 	for i := range requests {
 		b.at(time.Duration(i)*burstSeconds*time.Second/time.Duration(requests), func() {
 			if l != nil {
-				b.askBaseline(*l, chains, open, burstTokens)
+				b.submitToBaseline(*l, chains, open, burstTokens)
 				return
 			}
-			b.ask(i%len(b.nodes), i%bedOrgs, 2, burstTokens, 30*time.Second)
+			b.submit(i%len(b.nodes), i%bedOrgs, 2, burstTokens, 30*time.Second)
 		})
 	}
 	b.advance(20 * time.Second)
@@ -79,7 +79,8 @@
 	return float64(b.tokens-before) / 40 / b.bound()
 }
 
-// BenchmarkOpenBurst is the throughput at an open, as a share of the bound.
+// BenchmarkOpenBurst measures the throughput at the open of an event, as a share of
+// the bound.
 func BenchmarkOpenBurst(b *testing.B) {
 	for _, load := range []float64{1, 2} {
 		b.Run(fmt.Sprintf("load=%v/core", load), func(b *testing.B) {
@@ -97,18 +98,17 @@
 	}
 }
 
-// overloadResult is what a threefold overload does to classes and shares.
+// overloadResult is the effect of a threefold overload on classes and shares.
 type overloadResult struct {
-	// firstRatio is the critical class's time to the whole answer at p95, over
-	// that without load.
+	// firstRatio is the critical class's p95 time to the complete answer, relative
+	// to that without load.
 	firstRatio float64
 	served     float64
-	// shareError is over the whole time, laterError without the five seconds
-	// in which the engines fill with whoever comes.
+	// shareError covers the whole run, laterError excludes the first five seconds,
+	// in which the engines fill in order of arrival.
 	shareError float64
 	laterError float64
-	// slowestRefusal is the longest wait for a refusal that came at arrival or
-	// at its deadline, beyond that deadline.
+	// slowestRefusal is the longest delay of a refusal beyond the request's deadline.
 	slowestRefusal time.Duration
 }
 
@@ -117,18 +117,18 @@
 	return times[len(times)*95/100]
 }
 
-// critical asks for the critical class once every tenth of a second.
-func (b *bed) critical(seconds int) []*bedAsk {
-	var asks []*bedAsk
+// critical sends a request of the critical class every tenth of a second.
+func (b *testBed) critical(seconds int) []*bedRequest {
+	var asks []*bedRequest
 	for i := range seconds * 10 {
-		b.at(time.Duration(i)*100*time.Millisecond, func() { asks = append(asks, b.ask(i%len(b.nodes), 0, 0, 16, 30*time.Second)) })
+		b.at(time.Duration(i)*100*time.Millisecond, func() { asks = append(asks, b.submit(i%len(b.nodes), 0, 0, 16, 30*time.Second)) })
 	}
 	b.advance(time.Duration(seconds) * time.Second)
 	b.advance(30 * time.Second)
 	return asks
 }
 
-func times(asks []*bedAsk) (whole []time.Duration) {
+func times(asks []*bedRequest) (whole []time.Duration) {
 	for _, a := range asks {
 		if !a.done.IsZero() {
 			whole = append(whole, a.done.Sub(a.asked))
@@ -137,29 +137,29 @@
 	return whole
 }
 
-// overload has organisation 9 ask for ten times what each other one does, all
-// together three times the bound, in the normal class.
+// overload has organisation 9 request ten times as much as each other one, in the
+// normal class. All requests together are three times the bound.
 func overload(t require.TestingT) overloadResult {
-	quiet := p95(times(newBed(t, 4, 7).critical(30)))
-	b := newBed(t, 4, 7)
+	unloaded := p95(times(newTestBed(t, 4, 7).critical(30)))
+	b := newTestBed(t, 4, 7)
 	requests := int(3 * b.bound() * 30 / burstTokens)
-	var normal []*bedAsk
+	var normal []*bedRequest
 	for i := range requests {
 		organisation := i % 19
 		if organisation > 9 {
 			organisation = 9
 		}
 		b.at(time.Duration(i)*30*time.Second/time.Duration(requests), func() {
-			normal = append(normal, b.ask(i/19%len(b.nodes), organisation, 2, burstTokens, 10*time.Second))
+			normal = append(normal, b.submit(i/19%len(b.nodes), organisation, 2, burstTokens, 10*time.Second))
 		})
 	}
 	critical := b.critical(30)
 	whole := times(critical)
 	var r overloadResult
 	r.served = float64(len(whole)) / float64(len(critical))
-	r.firstRatio = float64(p95(whole)) / float64(quiet)
+	r.firstRatio = float64(p95(whole)) / float64(unloaded)
 	r.shareError = shareError(normal)
-	r.laterError = shareError(slices.DeleteFunc(slices.Clone(normal), func(a *bedAsk) bool {
+	r.laterError = shareError(slices.DeleteFunc(slices.Clone(normal), func(a *bedRequest) bool {
 		return a.asked.Before(b.now.Add(-55 * time.Second))
 	}))
 	for _, a := range normal {
@@ -171,9 +171,9 @@
 	return r
 }
 
-// shareError is how far the least served organisation is below an even share
-// of what was served to those that ask for more than that.
-func shareError(asks []*bedAsk) float64 {
+// shareError returns how far the least served organisation is below an even share of
+// what was served, for organisations that request more than that share.
+func shareError(asks []*bedRequest) float64 {
 	served := make([]float64, bedOrgs)
 	total := 0.0
 	for _, a := range asks {
@@ -185,7 +185,7 @@
 	return max(0, 1-slices.Min(served)*bedOrgs/total)
 }
 
-// BenchmarkOverload is a threefold overload.
+// BenchmarkOverload measures a threefold overload.
 func BenchmarkOverload(b *testing.B) {
 	for b.Loop() {
 		r := overload(b)
@@ -197,7 +197,7 @@
 	}
 }
 
-// lossResult is what the loss of a stage does.
+// lossResult is the effect of the loss of a stage.
 type lossResult struct {
 	hit      int
 	worstGap time.Duration
@@ -206,23 +206,23 @@
 	lost     int
 }
 
-// fault is what happens to the engines in the middle of a burst.
+// fault is a fault of engines in the middle of a burst.
 type fault struct {
 	name string
-	// strike does it, and returns the engines that the leader marks as down a
-	// second later.
-	strike func(b *bed) []string
+	// inject injects the fault, and returns the engines that the leader marks as down
+	// a second later.
+	inject func(b *testBed) []string
 }
 
 var faults = []fault{
-	{"engine killed", func(b *bed) []string {
+	{"engine killed", func(b *testBed) []string {
 		return b.kill(plan.Chains(b.state, "m", "v1")[1].Stages[1].Target)
 	}},
-	{"link 100 times slower", func(b *bed) []string {
+	{"link 100 times slower", func(b *testBed) []string {
 		b.engines[plan.Chains(b.state, "m", "v1")[1].Stages[1].Target].delay = 100 * bedLink
 		return nil
 	}},
-	{"hall lost", func(b *bed) []string {
+	{"hall lost", func(b *testBed) []string {
 		var lost []string
 		for _, t := range b.state.Targets.Sorted() {
 			if t.Hall == "hall1" {
@@ -233,14 +233,13 @@
 	}},
 }
 
-func (b *bed) kill(name string) []string {
+func (b *testBed) kill(name string) []string {
 	b.engines[name].dead = true
 	return []string{name}
 }
 
-// mark tells the Nodes which engines are down, and what the planner makes of
-// that.
-func (b *bed) mark(down []string) {
+// mark gives the Nodes the engines that are down and the resulting plan.
+func (b *testBed) mark(down []string) {
 	var changes []config.Change
 	for _, name := range down {
 		changes = append(changes, config.Change{Condition: &config.Condition{Target: name, Down: true}})
@@ -250,22 +249,22 @@
 	b.state = b.planned(next)
 }
 
-// stageLoss strikes while streams of 64 tokens run at 0.8 of the bound that is
-// left afterwards.
+// stageLoss injects a fault while streams of 64 tokens run at 0.8 of the bound that
+// remains afterwards.
 func stageLoss(t require.TestingT, f fault) lossResult {
-	left := newBed(t, 4, 7)
-	f.strike(left)
-	offered := 0.8 * left.bound()
-	b := newBed(t, 4, 7)
+	remaining := newTestBed(t, 4, 7)
+	f.inject(remaining)
+	offered := 0.8 * remaining.bound()
+	b := newTestBed(t, 4, 7)
 	requests := int(offered * 40 / burstTokens)
-	var asks []*bedAsk
+	var asks []*bedRequest
 	for i := range requests {
 		b.at(time.Duration(i)*40*time.Second/time.Duration(requests), func() {
-			asks = append(asks, b.ask(i%len(b.nodes), i%bedOrgs, 2, burstTokens, 60*time.Second))
+			asks = append(asks, b.submit(i%len(b.nodes), i%bedOrgs, 2, burstTokens, 60*time.Second))
 		})
 	}
 	b.advance(15 * time.Second)
-	down := f.strike(b)
+	down := f.inject(b)
 	killed := b.now
 	b.at(time.Second, func() { b.mark(down) })
 	b.advance(5 * time.Second)
@@ -287,8 +286,8 @@
 	return r
 }
 
-// BenchmarkLoss is a loss under load. The baseline is a restart from the
-// beginning: the longest-running stream's time so far.
+// BenchmarkLoss measures a loss under load. The baseline is a restart from the
+// beginning: the elapsed time of the longest-running stream.
 func BenchmarkLoss(b *testing.B) {
 	for _, f := range faults {
 		b.Run(f.name, func(b *testing.B) {
--- a/internal/core/change_log_test.go
+++ b/internal/core/change_log_test.go
@@ -9,9 +9,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// A third of the engines of a fleet dies with its hall. Each lease named all of them anew:
-// 5 KB three times a second for each VM, for as long as they were gone.
-func TestMarksAreToldOnce(t *testing.T) {
+// When a third of the engines of a fleet was lost with its data hall, each grant listed all
+// of them again: 5 KB three times a second for each VM, for as long as they were lost.
+func TestMarksAreSentOnce(t *testing.T) {
 	f := newEngineFleet(t, smallFleet, 900)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
 	f.run(4 * time.Second)
@@ -44,9 +44,9 @@
 	}
 }
 
-// An engine that holds nothing loses nothing by an order: it is marked as moving only when
-// it gives up layers.
-func TestOnlyEnginesThatGiveUpLayersAreMoving(t *testing.T) {
+// An engine that holds no layers can serve no less during an order: it must be marked as
+// moving only when it releases layers.
+func TestOnlyEnginesThatReleaseLayersAreMarkedMoving(t *testing.T) {
 	f := newEngineFleet(t, smallFleet, 90)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
 	f.run(4 * time.Second)
@@ -61,9 +61,9 @@
 	})
 }
 
-// Eleven engines turned twelve times slower. Each of 78 VMs found out by itself, with
-// answers of its own: 300 first events were late.
-func TestAnEngineThatOneVMFindsSlowIsNamedToAll(t *testing.T) {
+// Eleven engines became twelve times slower. Each of 78 VMs detected this by itself, from
+// its own answers, and 300 first events were late.
+func TestSlowEngineFoundByOneVMIsMarkedOnAllVMs(t *testing.T) {
 	f := started(t, grownFleet)
 	slow := relay.TargetID("i-1").Key()
 	f.found["e0-3"] = relay.Findings{Slow: []relay.TargetKey{slow}}
@@ -78,14 +78,15 @@
 	}
 }
 
-// An engine that had loaded and said so was marked as moving until its order was next looked
-// at: VMs sent it nothing for up to half a second, and a fleet of one engine refused callers.
-func TestAnEngineThatHoldsWhatItWasOrderedIsNotMoving(t *testing.T) {
+// An engine that had loaded its layers and reported this stayed marked as moving until its
+// order was next checked: VMs sent it nothing for up to half a second, and a fleet of one
+// engine refused callers.
+func TestEngineWithOrderedLayersIsNotMarkedMoving(t *testing.T) {
 	f := newEngineFleet(t, smallFleet, 30)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
 	f.run(4 * time.Second)
 	f.put(1)
-	noneMoves := func() {
+	requireNoneMoving := func() {
 		for _, vm := range f.entries() {
 			for _, m := range f.marks[vm] {
 				require.False(t, m.Has(relay.MarkMoving), vm)
@@ -95,14 +96,14 @@
 	f.until("all engines hold layers", 20*time.Second, func() bool {
 		for _, e := range f.engines {
 			if e.left > 0 {
-				e.left, e.beatAt = 1, f.now // it loads at once, and says so at once
+				e.left, e.beatAt = 1, f.now // loads immediately and reports it immediately
 			}
 		}
-		noneMoves()
+		requireNoneMoving()
 		return f.loaded()
 	})
 	for range 100 {
 		f.run(tickEvery)
-		noneMoves()
+		requireNoneMoving()
 	}
 }
--- a/internal/core/common_start_test.go
+++ b/internal/core/common_start_test.go
@@ -9,9 +9,9 @@
 	"github.com/spoolbank/spoolbank/internal/core"
 )
 
-// lossOfAll ends all processes of a fleet of the users' grown size, each of which is back
-// within 0.3 s, and returns the time from the last start until all entry VMs have a lease.
-func lossOfAll(t *testing.T, f *hallFleet) time.Duration {
+// restartAll kills all processes of a fleet of the users' grown size and starts them again,
+// each within 0.3 s, and returns the time from the last start until all entry VMs have a lease.
+func restartAll(t *testing.T, f *hallFleet) time.Duration {
 	f.put(5)
 	f.run(time.Second)
 	f.killAll()
@@ -22,17 +22,17 @@
 
 var grownFleet = fleetSize{halls: 3, controls: 2, disks: 2, entries: 24}
 
-// All processes of a day ended at once and were back within 0.6 s. Their leader was elected
-// 0.53 s after the last of them had started, and callers were turned away until then.
-func TestALeaderIsElectedAtOnceWhereAllVotersHaveStarted(t *testing.T) {
+// All processes were killed at once and restarted within 0.6 s. The leader was elected 0.53 s
+// after the last start, and callers were refused until then.
+func TestLeaderElectedWithoutTimeoutAfterCommonStart(t *testing.T) {
 	f := started(t, grownFleet)
-	took := lossOfAll(t, f)
+	took := restartAll(t, f)
 	t.Logf("all leases %s after the last start", took)
 	require.Less(t, took, 350*time.Millisecond)
 }
 
-// A voter that stays away may lead: nobody votes early then.
-func TestALeaderThatStaysAwayIsWaitedFor(t *testing.T) {
+// An unreachable voter may be the leader, so no early election may take place.
+func TestNoEarlyElectionWhileVoterIsUnreachable(t *testing.T) {
 	f := started(t, grownFleet)
 	leader := f.leader()
 	for _, vm := range f.names {
@@ -40,7 +40,7 @@
 			f.restart(vm)
 		}
 	}
-	f.apart = cutOff(f, leader)
+	f.apart = linksOf(f, leader)
 	began := f.now
 	f.until("another leads", 10*time.Second, func() bool {
 		next := f.leaderBut(leader)
@@ -49,8 +49,8 @@
 	require.GreaterOrEqual(t, f.now.Sub(began), core.DefaultTiming().ElectionMin)
 }
 
-// cutOff returns the pairs of a VM with all others, both ways.
-func cutOff(f *hallFleet, vm core.VMName) map[[2]core.VMName]bool {
+// linksOf returns the links between a VM and all others, in both directions.
+func linksOf(f *hallFleet, vm core.VMName) map[[2]core.VMName]bool {
 	apart := make(map[[2]core.VMName]bool)
 	for _, other := range f.names {
 		if other != vm {
--- a/internal/core/control_test.go
+++ b/internal/core/control_test.go
@@ -15,7 +15,7 @@
 // leader returns the VM that holds the leader's lease, or the empty name.
 func (w *world) leader() core.VMName {
 	for _, name := range w.names {
-		if v := w.vms[name]; v.node != nil && !v.frozen && w.holdsLease(v) {
+		if v := w.vms[name]; v.node != nil && !v.suspended && w.holdsLease(v) {
 			return name
 		}
 	}
@@ -36,7 +36,7 @@
 	return count
 }
 
-// settled waits for three voters under one leader.
+// settled waits for a leader with three committed voters.
 func (w *world) settled() core.VMName {
 	w.until("three voters", 60*time.Second, func() bool {
 		l := w.leader()
@@ -45,7 +45,7 @@
 	return w.leader()
 }
 
-func TestLeaderKilledAnotherAcceptsCommands(t *testing.T) {
+func TestCommandsAcceptedAfterLeaderCrash(t *testing.T) {
 	w := newWorld(t, 1, 3, 1)
 	w.setUp()
 	old := w.settled()
@@ -55,25 +55,25 @@
 	t.Logf("leader killed to next leader: %v of virtual time", took)
 }
 
-func TestFrozenLeaderServesNothingWhenItWakes(t *testing.T) {
+func TestSuspendedLeaderServesNothingAfterResume(t *testing.T) {
 	w := newWorld(t, 2, 3, 1)
 	w.setUp()
 	old := w.settled()
-	w.freeze(old)
-	// It is the first thing that the leader finds when it wakes, before any
-	// message of its successor.
+	w.suspend(old)
+	// This is the first event that the leader processes after it resumes, before
+	// any message of its successor.
 	conn := w.command(old, "show config", "", 0, 0)
 	w.until("another leader", 10*time.Second, func() bool { return w.leader() != "" })
 	r := w.must("set organisation o weight=2", 100)
 	require.Equal(t, core.ResultAccepted, r.Kind)
-	w.thaw(old)
+	w.resume(old)
 	require.Equal(t, core.ResultNotLeader, w.results[conn].Kind)
 	conn = w.command(old, "set organisation o weight=3", "other", 1, 0)
 	w.advance(5 * time.Second)
 	require.NotEqual(t, core.ResultAccepted, w.results[conn].Kind)
 }
 
-func TestLostDiskHasNoVoteAndASecondLossIsSurvived(t *testing.T) {
+func TestVoterWithLostDiskRejoinsAndSecondLossIsTolerated(t *testing.T) {
 	w := newWorld(t, 3, 3, 1)
 	w.setUp()
 	leader := w.settled()
@@ -85,7 +85,7 @@
 	w.loseDisk(lost)
 	w.start(lost)
 	before := w.vms[lost].disk.incarnation
-	w.until("the new identity votes", 30*time.Second, func() bool {
+	w.until("the new identity is a voter", 30*time.Second, func() bool {
 		l := w.leader()
 		if l == "" {
 			return false
@@ -101,7 +101,7 @@
 	require.Equal(t, core.ResultAccepted, w.must("set organisation o weight=2", 100).Kind)
 }
 
-func TestSpareReplacesALostVoter(t *testing.T) {
+func TestSpareReplacesLostVoter(t *testing.T) {
 	w := newWorld(t, 4, 4, 0)
 	w.setUp()
 	leader := w.settled()
@@ -112,7 +112,7 @@
 		}
 	}
 	w.crash(lost)
-	w.until("the spare votes", 60*time.Second, func() bool {
+	w.until("the spare is a voter", 60*time.Second, func() bool {
 		l := w.leader()
 		if l == "" || w.voters(l) != 3 {
 			return false
@@ -128,7 +128,7 @@
 	require.Equal(t, core.ResultAccepted, w.must("set organisation o weight=2", 100).Kind, "a second loss after the repair")
 }
 
-func TestRacingOperatorsUnderOneNumber(t *testing.T) {
+func TestConcurrentCommandsUnderOneNumber(t *testing.T) {
 	w := newWorld(t, 5, 3, 1)
 	w.setUp()
 	leader := w.settled()
@@ -138,19 +138,19 @@
 	w.advance(time.Second)
 	require.Equal(t, core.ResultAccepted, w.results[a].Kind)
 	require.Equal(t, core.ResultConflict, w.results[b].Kind)
-	require.Equal(t, w.results[a].Revision, w.results[again].Revision, "a resend gets the first result")
+	require.Equal(t, w.results[a].Revision, w.results[again].Revision, "a resend returns the first result")
 	w.crash(leader)
 	w.until("another leader", 10*time.Second, func() bool { return w.leader() != "" })
 	w.advance(time.Second)
 	later := w.command(w.leader(), "set organisation o weight=2", "op", 7, 0)
 	w.advance(time.Second)
-	require.Equal(t, w.results[a].Revision, w.results[later].Revision, "also after a change of leader")
+	require.Equal(t, w.results[a].Revision, w.results[later].Revision, "the first result survives a change of leader")
 	stale := w.command(w.leader(), "set organisation o weight=9", "op", 8, w.results[a].Revision-1)
 	w.advance(time.Second)
 	require.Equal(t, core.ResultConflict, w.results[stale].Kind)
 }
 
-func TestAllRestartAfterHundredsOfChanges(t *testing.T) {
+func TestRestartOfAllVMsAfterHundredsOfChanges(t *testing.T) {
 	w := newWorld(t, 6, 3, 1)
 	w.setUp()
 	w.settled()
@@ -168,7 +168,7 @@
 	for _, name := range w.names {
 		w.start(name)
 	}
-	w.until("all entry VMs back at the revision", 20*time.Second, func() bool {
+	w.until("all entry VMs have a lease at the revision", 20*time.Second, func() bool {
 		for _, v := range w.vms {
 			if s := v.node.Status(); !s.HasLease || s.EntryRevision < want {
 				return false
@@ -178,49 +178,49 @@
 	})
 }
 
-func TestPlannedStopHandsOverAndEnds(t *testing.T) {
+func TestPlannedStopTransfersLeadershipAndCompletes(t *testing.T) {
 	w := newWorld(t, 7, 3, 1)
 	w.setUp()
 	old := w.settled()
-	asks := []*ask{w.stream(old, "a", "one two three", 0), w.stream(old, "b", "four", 0)}
+	requests := []*ask{w.stream(old, "a", "one two three", 0), w.stream(old, "b", "four", 0)}
 	w.step(old, core.Stopping{})
 	took := w.until("another leader", 5*time.Second, func() bool { l := w.leader(); return l != "" && l != old })
-	require.Less(t, took, testTiming().ElectionMin, "a hand-over needs no election timeout")
-	w.until("the answers are whole", 5*time.Second, func() bool { return asks[0].finished && asks[1].finished })
+	require.Less(t, took, testTiming().ElectionMin, "a leadership transfer needs no election timeout")
+	w.until("the answers are complete", 5*time.Second, func() bool { return requests[0].finished && requests[1].finished })
 	for name := range w.engines {
 		w.dead[name] = true
 	}
 	running := w.stream(old, "c", "asked by one who kept the address", 0)
 	w.advance(10 * time.Second)
-	require.False(t, w.vms[old].stopped, "a request is in progress")
+	require.False(t, w.vms[old].stopped, "a request is in flight")
 	require.False(t, running.ended(), "%v", running.refusal)
 	for name := range w.engines {
 		w.restartEngine(name)
 	}
-	w.until("what was in progress is whole", 30*time.Second, func() bool { return running.finished })
+	w.until("the request in flight is complete", 30*time.Second, func() bool { return running.finished })
 	w.until("the process has ended", 20*time.Second, func() bool { return w.vms[old].stopped })
 }
 
-// A follower that does not hear the leader can't take its place while another
-// one does.
-func TestLeaderHeardByAQuorumStays(t *testing.T) {
+// A follower that is cut off from the leader must not replace it while the leader
+// still reaches a quorum.
+func TestLeaderWithQuorumKeepsLeadership(t *testing.T) {
 	w := newWorld(t, 16, 3, 0)
 	w.setUp()
 	leader := w.settled()
-	deaf := core.VMName("vm1")
-	if leader == deaf {
-		deaf = "vm2"
+	follower := core.VMName("vm1")
+	if leader == follower {
+		follower = "vm2"
 	}
-	w.cut[[2]core.VMName{leader, deaf}] = true
-	w.cut[[2]core.VMName{deaf, leader}] = true
+	w.cut[[2]core.VMName{leader, follower}] = true
+	w.cut[[2]core.VMName{follower, leader}] = true
 	term := w.vms[leader].node.Status().Term
 	w.advance(10 * time.Second)
 	require.Equal(t, leader, w.leader())
 	require.Equal(t, term, w.vms[leader].node.Status().Term)
 }
 
-// A late grant, whole or by changes, takes nothing back.
-func TestLateGrantRevertsNothing(t *testing.T) {
+// A delayed grant with an older configuration must not revert a newer one.
+func TestDelayedGrantDoesNotRevertConfiguration(t *testing.T) {
 	r := newEntryRig(t, 8, 2, 1)
 	before := r.node.Status().EntryRevision
 	r.step(core.Received{Envelope: core.Envelope{From: core.ReplicaID{VM: "c1"}, To: "vm000", Body: core.Message{Grant: &core.Grant{
@@ -232,14 +232,14 @@
 	require.NotEmpty(t, r.begin(1).Chain)
 }
 
-// Answers that are doubled, late, of an old epoch or of another stream change
-// nothing.
-func TestOnlyTheAwaitedAnswerCounts(t *testing.T) {
+// Run results that are duplicated or delayed, or that belong to another epoch,
+// position or stream, must be ignored.
+func TestUnexpectedRunResultsAreIgnored(t *testing.T) {
 	r := newEntryRig(t, 8, 3, 1)
 	first, other := r.begin(10), r.begin(10)
 	second := r.answer(first, "")[0]
 	require.Equal(t, 1, r.shown)
-	require.Empty(t, r.answer(first, ""), "doubled")
+	require.Empty(t, r.answer(first, ""), "duplicate")
 	stale := second
 	stale.Epoch.Attempt += 3
 	require.Empty(t, r.answer(stale, ""), "of another epoch")
@@ -255,7 +255,7 @@
 	require.Equal(t, 3, r.shown)
 }
 
-func TestPartedEntryRefusesAndOthersServe(t *testing.T) {
+func TestIsolatedEntryVMRefusesWhileOthersServe(t *testing.T) {
 	w := newWorld(t, 8, 3, 1)
 	w.setUp()
 	w.settled()
@@ -269,9 +269,9 @@
 	require.Equal(t, core.ResultAccepted, w.must("set organisation o weight=2", 100).Kind)
 }
 
-// A late reply to an earlier batch must not count for a later one, and a
-// stream must have a keeper also when every other VM has been slow.
-func TestSlowKeepersStillKeep(t *testing.T) {
+// A delayed reply to an earlier batch must not count for a later one, and a stream
+// must have a keeper even when all other VMs are slow.
+func TestStreamHasKeeperWhenPeersAreSlow(t *testing.T) {
 	w := newWorld(t, 9, 3, 1)
 	w.setUp()
 	w.settled()
@@ -281,11 +281,11 @@
 	}
 	w.advance(1500 * time.Millisecond)
 	shown := a.count
-	require.Zero(t, shown, "tokens were shown that no keeper has")
+	require.Zero(t, shown, "tokens were sent that no keeper has")
 	for _, other := range w.names[:3] {
 		w.cut[[2]core.VMName{"vm4", other}] = false
 	}
-	w.until("some token is shown", 10*time.Second, func() bool { return a.count > 0 })
+	w.until("a token is sent", 10*time.Second, func() bool { return a.count > 0 })
 	shown = a.count
 	w.crash("vm4")
 	rest := w.stream("vm1", "slow", "a prompt", shown)
@@ -295,9 +295,9 @@
 	require.Equal(t, want, a.text.String()+rest.text.String())
 }
 
-// A stream that began when its entry VM knew no other one gets a keeper as
-// soon as it does.
-func TestStreamGetsAKeeperLater(t *testing.T) {
+// A stream that started while its entry VM knew no other entry VM must get a keeper
+// as soon as one is known.
+func TestStreamGetsKeeperOncePeerIsKnown(t *testing.T) {
 	r := newEntryRig(t, 8, 1, 1)
 	run := r.begin(10)
 	run = r.answer(run, "")[0]
@@ -307,13 +307,13 @@
 		To:   1,
 		Term: 1, Number: r.asked, Revision: 2, ViewVersion: 2, View: view,
 	}}}})
-	require.Equal(t, 1, r.kept, "the whole stream goes to the VM that is now known")
+	require.Equal(t, 1, r.kept, "the whole stream is sent to the VM that is now known")
 	r.answer(run, "")
 	require.Equal(t, 2, r.kept)
 }
 
-// A keeper is in another hall than the owner, so that the loss of a hall takes
-// only one of the two copies.
+// A keeper must be in another data hall than the owner, so that the loss of a hall
+// affects only one of the two copies.
 func TestKeeperIsInAnotherHall(t *testing.T) {
 	r := newEntryRig(t, 8, 14, 1)
 	for range 50 {
@@ -329,30 +329,29 @@
 	}
 }
 
-// A late message on an earlier attempt does not give back the claim of a later
-// one, under which the call may be running.
-func TestLateRecordLeavesALaterAttempt(t *testing.T) {
+// A delayed record of an earlier attempt must not release the claim of a later one,
+// under which the call may be running.
+func TestDelayedRecordKeepsClaimOfLaterAttempt(t *testing.T) {
 	r, renewals := newLeaderRig(t, 8, 2)
 	one, two := renewals[0].From, renewals[1].From
-	say := func(from core.ReplicaID, body core.Message) {
+	send := func(from core.ReplicaID, body core.Message) {
 		r.lead(core.Received{Envelope: core.Envelope{Cluster: "c", From: from, To: "c1", Body: body}})
 	}
 	claim := func(from core.ReplicaID, attempt uint64) core.ClaimOutcome {
-		say(from, core.Message{Claim: &core.ClaimRequest{ID: "x", Attempt: attempt, Digest: "d"}})
+		send(from, core.Message{Claim: &core.ClaimRequest{ID: "x", Attempt: attempt, Digest: "d"}})
 		return r.claim
 	}
 	require.Equal(t, core.ClaimGranted, claim(one, 1))
 	require.Equal(t, core.ClaimGranted, claim(one, 2), "the holder's next attempt")
-	say(one, core.Message{Record: &core.RecordRequest{ID: "x", Attempt: 1, Ran: core.RanNo}})
+	send(one, core.Message{Record: &core.RecordRequest{ID: "x", Attempt: 1, Ran: core.RanNo}})
 	require.Equal(t, core.ClaimBusy, claim(two, 1))
-	say(one, core.Message{Record: &core.RecordRequest{ID: "x", Attempt: 2, Ran: core.RanNo}})
-	require.Equal(t, core.ClaimGranted, claim(two, 2), "given back by the attempt that held it")
+	send(one, core.Message{Record: &core.RecordRequest{ID: "x", Attempt: 2, Ran: core.RanNo}})
+	require.Equal(t, core.ClaimGranted, claim(two, 2), "released by the attempt that held it")
 }
 
-// A voter that was replaced while it was away comes back with its disk. It
-// still thinks that it has a vote; it must learn that it has not, and be there
-// as a spare.
-func TestReplacedVoterComesBackAsASpare(t *testing.T) {
+// A voter that was replaced while it was isolated returns with its disk and still
+// believes to have a vote. It must learn that it has none and rejoin as a learner.
+func TestReplacedVoterReturnsAsSpare(t *testing.T) {
 	w := newWorld(t, 17, 4, 0)
 	w.setUp()
 	leader := w.settled()
@@ -377,15 +376,16 @@
 			return false
 		}
 	}
-	w.until("the spare has the vote", 60*time.Second, func() bool { return w.voters(leader) == 3 && !isMember(true)() })
+	w.until("the spare is a voter", 60*time.Second, func() bool { return w.voters(leader) == 3 && !isMember(true)() })
 	w.isolate(lost, false)
 	w.until("it is a learner", 30*time.Second, isMember(false))
 	w.crash(w.leader())
-	w.until("it has a vote again", 60*time.Second, isMember(true))
+	w.until("it is a voter again", 60*time.Second, isMember(true))
 }
 
-// A request that is refused by its organisation's limit frees no place under it.
-func TestRefusalFreesNoPlaceUnderTheLimit(t *testing.T) {
+// A request that is refused by its organisation's limit must not release a slot of that
+// limit.
+func TestRefusalReleasesNoSlotOfOrganisationLimit(t *testing.T) {
 	w := newWorld(t, 18, 3, 1)
 	w.setUp()
 	w.settled()
--- a/internal/core/examples_test.go
+++ b/internal/core/examples_test.go
@@ -13,8 +13,8 @@
 	"github.com/spoolbank/spoolbank/query"
 )
 
-// The declarations of both example deployments are accepted, and the planner
-// makes chains of them that come near the bound.
+// The declarations of both example deployments must be accepted, and the planner must
+// form chains from them that reach 0.8 of the bound.
 func TestExampleDeclarations(t *testing.T) {
 	tests := []struct{ file, model string }{
 		{"../../examples/suva/declare.txt", "scribe"},
@@ -34,8 +34,8 @@
 				r.lead(core.Operated{Conn: core.ConnID(i + 1), Statement: statement, Operator: "op", Number: uint64(i + 1), Digest: line})
 				require.Equal(t, core.ResultAccepted, r.result.Kind, "%s: %s", line, r.result.Message)
 			}
-			state := readied(t, r.node.Dump().Config)
-			require.Equal(t, 43, state.Targets.Len()-1, "forty engines and three runners, beside the rig's own")
+			state := withReadyPlacements(t, r.node.Dump().Config)
+			require.Equal(t, 43, state.Targets.Len()-1, "forty engines and three runners, in addition to the rig's own")
 			var rate float64
 			for _, c := range plan.Chains(state, test.model, "v1") {
 				rate += c.Rate
@@ -45,8 +45,8 @@
 	}
 }
 
-// readied places what the planner wants, as if the engines had loaded it.
-func readied(t *testing.T, s config.State) config.State {
+// withReadyPlacements applies the planner's placements, as if the engines had loaded them.
+func withReadyPlacements(t *testing.T, s config.State) config.State {
 	changes := plan.Changes(s)
 	for _, p := range s.Placements.Sorted() {
 		ready := p.WithReady()
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -14,19 +14,19 @@
 	"github.com/spoolbank/spoolbank/internal/fake"
 )
 
-// client is a caller that comes back to another entry VM when it is cut off,
-// and gives up only on a final answer.
+// client is a caller that retries at another entry VM when it is disconnected,
+// until it has a final answer.
 type client struct {
 	id, prompt string
 	call       bool
-	asks       []*ask
-	// taken counts the asks whose outcome has been looked at.
-	taken   int
-	turn    int
-	text    string
-	count   int
-	outcome string
-	// nextAt is when it asks again.
+	requests   []*ask
+	// processed counts the requests whose outcome has been processed.
+	processed int
+	nextVM    int
+	text      string
+	count     int
+	outcome   string
+	// nextAt is when it may send the next request.
 	nextAt time.Time
 }
 
@@ -34,37 +34,37 @@
 	outcomeWhole   = "whole"
 	outcomeNotRun  = "not run"
 	outcomeUnknown = "unknown"
-	// outcomeMoved: another connection of the same caller gets the answer.
+	// outcomeMoved means that another connection of the same caller gets the answer.
 	outcomeMoved = "moved"
 )
 
-// follow looks at the client's newest ask, and asks again where that helps.
-func (w *world) follow(c *client) {
+// poll processes the client's newest request, and sends another one if needed.
+func (w *world) poll(c *client) {
 	if c.outcome != "" {
 		return
 	}
-	if len(c.asks) > 0 && !c.asks[len(c.asks)-1].ended() {
+	if len(c.requests) > 0 && !c.requests[len(c.requests)-1].ended() {
 		return
 	}
-	if len(c.asks) > 0 && c.taken < len(c.asks) {
-		c.taken = len(c.asks)
-		w.take(c, c.asks[len(c.asks)-1])
+	if len(c.requests) > 0 && c.processed < len(c.requests) {
+		c.processed = len(c.requests)
+		w.collect(c, c.requests[len(c.requests)-1])
 	}
 	if c.outcome != "" || w.now.Before(c.nextAt) {
 		return
 	}
 	c.nextAt = w.now.Add(200 * time.Millisecond)
-	name := w.names[c.turn%len(w.names)]
-	c.turn++
+	name := w.names[c.nextVM%len(w.names)]
+	c.nextVM++
 	if c.call {
-		c.asks = append(c.asks, w.call(name, c.id))
+		c.requests = append(c.requests, w.call(name, c.id))
 		return
 	}
-	c.asks = append(c.asks, w.stream(name, c.id, c.prompt, c.count))
+	c.requests = append(c.requests, w.stream(name, c.id, c.prompt, c.count))
 }
 
-// take adds what an ask brought to what its client has.
-func (w *world) take(c *client, a *ask) {
+// collect adds the results of a request to those of its client.
+func (w *world) collect(c *client, a *ask) {
 	c.text += a.text.String()
 	c.count = max(c.count, a.count)
 	switch {
@@ -75,13 +75,13 @@
 		c.outcome = outcomeMoved
 	case a.refusal.Ran == core.RanUnknown:
 		c.outcome = outcomeUnknown
-	case a.refusal.Ran == core.RanNo && len(c.asks) > 20:
+	case a.refusal.Ran == core.RanNo && len(c.requests) > 20:
 		c.outcome = outcomeNotRun
 	}
 }
 
-// judge checks what a client has in the end against what was run.
-func (w *world) judge(t require.TestingT, c *client) {
+// checkOutcome compares the final outcome of a client with the work that was run.
+func (w *world) checkOutcome(t require.TestingT, c *client) {
 	if c.call {
 		runs := 0
 		for _, r := range w.runners {
@@ -93,7 +93,7 @@
 			require.Equal(t, 1, runs, "call %s has an answer", c.id)
 		case outcomeNotRun:
 			if w.onlyNotRun(c) {
-				require.Zero(t, runs, "call %s was told that it was not run", c.id)
+				require.Zero(t, runs, "call %s was reported as not run", c.id)
 			}
 		}
 		return
@@ -103,16 +103,16 @@
 		require.Equal(t, want, c.text, "stream %s", c.id)
 		return
 	}
-	require.Equal(t, want[:min(len(c.text), len(want))], c.text, "stream %s is a beginning of its answer", c.id)
+	require.Equal(t, want[:min(len(c.text), len(want))], c.text, "stream %s is a prefix of its answer", c.id)
 }
 
-// onlyNotRun reports whether every attempt was told that it was not run.
+// onlyNotRun reports whether every attempt was reported as not run.
 func (w *world) onlyNotRun(c *client) bool {
-	return !slices.ContainsFunc(c.asks, func(a *ask) bool { return a.refusal == nil || a.refusal.Ran != core.RanNo })
+	return !slices.ContainsFunc(c.requests, func(a *ask) bool { return a.refusal == nil || a.refusal.Ran != core.RanNo })
 }
 
-// faults are the things that go wrong, each undone by the next mend.
-func (w *world) fault(t *rapid.T) {
+// injectFault injects or undoes a random fault.
+func (w *world) injectFault(t *rapid.T) {
 	name := w.names[rapid.IntRange(0, len(w.names)-1).Draw(t, "vm")]
 	v := w.vms[name]
 	switch rapid.IntRange(0, 8).Draw(t, "fault") {
@@ -130,11 +130,11 @@
 		w.isolate(name, false)
 	case 4:
 		if v.node != nil {
-			w.freeze(name)
+			w.suspend(name)
 		}
 	case 5:
-		if v.node != nil && v.frozen {
-			w.thaw(name)
+		if v.node != nil && v.suspended {
+			w.resume(name)
 		}
 	case 6:
 		w.dead[fmt.Sprintf("e%d", rapid.IntRange(1, 5).Draw(t, "engine"))] = true
@@ -146,16 +146,16 @@
 	}
 }
 
-// mend undoes all faults.
-func (w *world) mend() {
+// clearFaults undoes all faults.
+func (w *world) clearFaults() {
 	w.loss = 0
 	for _, name := range w.names {
 		w.isolate(name, false)
 		switch v := w.vms[name]; {
 		case v.node == nil:
 			w.start(name)
-		case v.frozen:
-			w.thaw(name)
+		case v.suspended:
+			w.resume(name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(w.engines)) {
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestFaultsBreakNoPromise(t *testing.T) {
+func TestGuaranteesHoldUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, rapid.Uint64().Draw(t, "seed"), 3, 2)
 		w.setUp()
@@ -175,14 +175,14 @@
 		for range rapid.IntRange(5, 25).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				w.fault(t)
+				w.injectFault(t)
 			case 1:
 				id := fmt.Sprintf("id%d", len(clients))
-				clients = append(clients, &client{id: id, prompt: "prompt of " + id, turn: rapid.IntRange(0, 4).Draw(t, "turn")})
+				clients = append(clients, &client{id: id, prompt: "prompt of " + id, nextVM: rapid.IntRange(0, 4).Draw(t, "turn")})
 			case 2:
 				id := fmt.Sprintf("call%d", len(clients))
 				turn := rapid.IntRange(0, 4).Draw(t, "turn")
-				clients = append(clients, &client{id: id, call: true, turn: turn}, &client{id: id, call: true, turn: turn + 1})
+				clients = append(clients, &client{id: id, call: true, nextVM: turn}, &client{id: id, call: true, nextVM: turn + 1})
 			case 3:
 				number++
 				name := w.names[rapid.IntRange(0, 2).Draw(t, "operator's VM")]
@@ -193,23 +193,23 @@
 			for range rapid.IntRange(1, 60).Draw(t, "ticks") {
 				w.advance(tickEvery)
 				for _, c := range clients {
-					w.follow(c)
+					w.poll(c)
 				}
 			}
 		}
-		w.mend()
+		w.clearFaults()
 		w.until("all clients have a final answer", 200*time.Second, func() bool {
 			done := true
 			for _, c := range clients {
-				w.follow(c)
+				w.poll(c)
 				done = done && c.outcome != ""
 			}
 			return done
 		})
 		for _, c := range clients {
-			w.judge(t, c)
+			w.checkOutcome(t, c)
 		}
-		w.until("the accepted revision is everywhere", 30*time.Second, func() bool {
+		w.until("all entry VMs have the accepted revision", 30*time.Second, func() bool {
 			for _, v := range w.vms {
 				if s := v.node.Status(); s.EntryRevision < w.accepted || !s.HasLease {
 					return false
--- a/internal/core/forming_test.go
+++ b/internal/core/forming_test.go
@@ -15,8 +15,8 @@
 	}}
 }
 
-// asked returns the VMs that a Node had begin the cluster.
-func asked(effects []core.Effect) []core.VMName {
+// bootstrapDelegates returns the VMs that a Node asked to bootstrap the cluster.
+func bootstrapDelegates(effects []core.Effect) []core.VMName {
 	var vms []core.VMName
 	for _, effect := range effects {
 		if send, ok := effect.(core.Send); ok && send.Envelope.Body.Begin != nil {
@@ -26,21 +26,21 @@
 	return vms
 }
 
-// On a deployment whose first seed had no disk, no cluster ever formed.
-func TestASeedWithoutADiskHasOneOtherBegin(t *testing.T) {
+// Guards against a deployment whose first seed has no disk never forming a cluster.
+func TestSeedWithoutDiskDelegatesBootstrapToOneVM(t *testing.T) {
 	now := time.Unix(100, 0)
 	settings := core.Settings{
 		Self: core.ReplicaID{VM: "c1", Incarnation: 1}, Control: true, Volatile: true, Delegates: true,
 		ControlVMs: []core.VMName{"c1"}, Voters: 3, SnapshotEvery: 100, Timing: core.DefaultTiming(), Seed: 3,
 	}
 	n := core.New(settings, core.Recovered{}, now)
-	require.Empty(t, asked(n.Step(now, joinOf("c2", true))))
-	require.Equal(t, []core.VMName{"c3"}, asked(n.Step(now, joinOf("c3", false))))
-	require.Empty(t, asked(n.Step(now, joinOf("c4", false))))
-	require.Equal(t, []core.VMName{"c3"}, asked(n.Step(now, joinOf("c3", false))))
+	require.Empty(t, bootstrapDelegates(n.Step(now, joinOf("c2", true))))
+	require.Equal(t, []core.VMName{"c3"}, bootstrapDelegates(n.Step(now, joinOf("c3", false))))
+	require.Empty(t, bootstrapDelegates(n.Step(now, joinOf("c4", false))))
+	require.Equal(t, []core.VMName{"c3"}, bootstrapDelegates(n.Step(now, joinOf("c3", false))))
 }
 
-func TestTheAskedOneBeginsOnce(t *testing.T) {
+func TestDelegateBootstrapsOnce(t *testing.T) {
 	now := time.Unix(100, 0)
 	settings := core.Settings{
 		Self: core.ReplicaID{VM: "c3", Incarnation: 7}, Control: true,
@@ -62,9 +62,9 @@
 	require.Equal(t, "leader", n.Status().Role)
 }
 
-// followed steps a leader for a while, beginning with an event, and answers what it
-// appends at c9.
-func followed(n *core.Node, now time.Time, first core.Event) {
+// runWithFollower steps a leader 4000 times, starting with the event first, and acknowledges
+// the entries that it sends to c9.
+func runWithFollower(n *core.Node, now time.Time, first core.Event) {
 	queue := []core.Event{first}
 	for step := 0; step < 4000; step++ {
 		if len(queue) == 0 {
@@ -90,8 +90,8 @@
 	}
 }
 
-// A member without a disk follows the log and never gets a vote; one with a disk does.
-func TestMembersWithoutADiskGetNoVote(t *testing.T) {
+// A member without a disk must follow the log and never get a vote; one with a disk gets one.
+func TestMembersWithoutDiskGetNoVote(t *testing.T) {
 	for _, volatile := range []bool{true, false} {
 		now := time.Unix(100, 0)
 		self := core.ReplicaID{VM: "c1", Incarnation: 1}
@@ -100,7 +100,7 @@
 			Timing: core.DefaultTiming(), Seed: 3,
 		}, core.Recovered{Snapshot: core.Snapshot{Index: 1, Term: 1, Members: core.NewMembership(self)}}, now)
 		now = lead(n, now)
-		followed(n, now, joinOf("c9", volatile))
+		runWithFollower(n, now, joinOf("c9", volatile))
 		require.Len(t, n.Status().Members, 2)
 		for _, m := range n.Status().Members {
 			require.Equal(t, m.ID.VM == "c1" || !volatile, m.Voter, "volatile %v", volatile)
--- a/internal/core/lease_incarnation_test.go
+++ b/internal/core/lease_incarnation_test.go
@@ -9,11 +9,11 @@
 	"github.com/spoolbank/spoolbank/internal/core"
 )
 
-// A grant that was on its way to an entry VM while that started again is of the incarnation before:
-// its number, which counts from 1 again, says nothing of when the new one has asked. Taken, it
-// would be a lease that runs for longer than the leader knows. It was found by reading, beside permits,
-// which must not be taken either.
-func TestALeaseOfTheIncarnationBeforeIsNotTaken(t *testing.T) {
+// A grant that is in flight to an entry VM while that restarts is for its previous incarnation.
+// Numbers count from 1 again, so the grant's number does not show when the new incarnation sent
+// its request. Accepting the grant would give a lease that lasts longer than the leader assumes.
+// The same holds for permits.
+func TestGrantForPreviousIncarnationIsIgnored(t *testing.T) {
 	f := newHallFleet(t, smallFleet)
 	const vm = core.VMName("e0-0")
 	var kept *core.Envelope
@@ -26,13 +26,13 @@
 		}
 		return false
 	}
-	f.until("a grant is on its way", 10*time.Second, func() bool { return kept != nil })
+	f.until("a grant is in flight", 10*time.Second, func() bool { return kept != nil })
 	f.restart(vm)
-	f.until("the new incarnation has asked as often", 10*time.Second, func() bool {
+	f.until("the new incarnation has sent as many renewals", 10*time.Second, func() bool {
 		f.step(vm, core.Received{Envelope: *kept})
 		return f.nodes[vm].Status().HasLease || f.now.Sub(time.Unix(100, 0)) > 8*time.Second
 	})
 	require.False(t, f.nodes[vm].Status().HasLease)
 	f.loses = nil
-	f.until("it has its own", 5*time.Second, func() bool { return f.nodes[vm].Status().HasLease })
+	f.until("the new incarnation has a lease of its own", 5*time.Second, func() bool { return f.nodes[vm].Status().HasLease })
 }
--- a/internal/core/leaving_test.go
+++ b/internal/core/leaving_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolbank/spoolbank/internal/fake"
 )
 
-// leavingWithin is how soon after any sign a target gets no new work.
+// leavingWithin is how soon after any sign of its leaving a target must get no new work.
 const leavingWithin = 3 * time.Second
 
 func TestLeavingTargetGetsNoNewWork(t *testing.T) {
@@ -32,7 +32,7 @@
 			w.settled()
 			running := w.stream("vm4", "before", "a prompt before the sign", 0)
 			sign.give(w)
-			w.until("the stream that ran there is whole", 10*time.Second, func() bool { return running.finished })
+			w.until("the stream in flight is complete", 10*time.Second, func() bool { return running.finished })
 			w.advance(leavingWithin)
 			before := w.engines["e1"].Audit().Runs
 			for i := range 30 {
@@ -40,14 +40,14 @@
 				w.advance(50 * time.Millisecond)
 			}
 			require.Equal(t, before, w.engines["e1"].Audit().Runs, "new work after the sign")
-			for _, a := range w.asks {
+			for _, a := range w.requests {
 				require.True(t, a.finished, "%v", a.refusal)
 			}
 		})
 	}
 }
 
-func TestRepeatableCallGoesToAnotherRunner(t *testing.T) {
+func TestRepeatableCallIsRetriedOnAnotherRunner(t *testing.T) {
 	w := newWorld(t, 12, 3, 1)
 	w.setUp()
 	w.settled()
@@ -59,9 +59,9 @@
 	}
 }
 
-// A refusal under an identity that the caller gave says ran: no only when no
+// A refusal of a request whose identity the caller chose must state "ran: no" only when no
 // other VM has dispatched it.
-func TestRefusalLooksAtTheClaimFirst(t *testing.T) {
+func TestRefusalChecksClaimFirst(t *testing.T) {
 	w := newWorld(t, 13, 3, 1)
 	w.setUp()
 	w.settled()
@@ -83,9 +83,9 @@
 	require.NotNil(t, fresh.refusal)
 	require.Equal(t, core.RanNo, fresh.refusal.Ran)
 	require.Equal(t, core.RefusedLimit, fresh.refusal.Kind)
-	parted := w.call("vm2", "unseen")
+	elsewhere := w.call("vm2", "unseen")
 	w.advance(time.Second)
-	require.NotNil(t, parted.answer)
+	require.NotNil(t, elsewhere.answer)
 	w.isolate("vm4", true)
 	w.advance(5 * time.Second)
 	refused := w.call("vm4", "unseen")
@@ -94,8 +94,8 @@
 	require.Equal(t, core.RanUnknown, refused.refusal.Ran)
 }
 
-// Lookups are served at once while submissions fill the service and wait.
-func TestLookupsPassSubmissions(t *testing.T) {
+// Lookups must be served immediately while submissions fill the service and its queue.
+func TestLookupsAreNotDelayedBySubmissions(t *testing.T) {
 	w := newWorld(t, 14, 3, 1)
 	w.setUp()
 	w.settled()
@@ -111,17 +111,17 @@
 	}
 }
 
-// A change of version rolls over the chains while streams go on: each keeps to
-// the version that it began with, and none is refused or cut.
-func TestVersionChangeRolls(t *testing.T) {
+// A version change is rolled out chain by chain while streams are in flight: each stream
+// must keep the version that it started with, and none may be refused or cut.
+func TestVersionChangeIsRolledOut(t *testing.T) {
 	w := newWorld(t, 15, 3, 1)
 	w.setUp()
 	w.settled()
 	require.Equal(t, core.ResultAccepted, w.must("set model m versions=[v1, v2]", 500).Kind)
 	require.Equal(t, core.ResultAccepted, w.must("set pipeline p version=v2", 501).Kind)
-	var asks []*ask
+	var requests []*ask
 	w.until("all chains hold the new version", 60*time.Second, func() bool {
-		asks = append(asks, w.stream(w.names[len(asks)%4], fmt.Sprintf("roll%d", len(asks)), "a prompt", 0))
+		requests = append(requests, w.stream(w.names[len(requests)%4], fmt.Sprintf("roll%d", len(requests)), "a prompt", 0))
 		w.advance(20 * time.Millisecond)
 		placements := w.vms[w.leader()].node.Dump().Config.Placements
 		for _, p := range placements.Items {
@@ -133,7 +133,7 @@
 	})
 	w.advance(5 * time.Second)
 	want, _ := fake.Expected("a prompt", worldLayers, worldTokens)
-	for _, a := range asks {
+	for _, a := range requests {
 		require.True(t, a.finished, "%v", a.refusal)
 		require.Equal(t, want, a.text.String())
 	}
--- a/internal/core/seed_test.go
+++ b/internal/core/seed_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the random histories, so that a run gives the same
-// verdict each time. Give -rapid.seed for others.
+// TestMain fixes the seed of the property tests, so that their result is reproducible.
+// Set -rapid.seed for other histories.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/internal/core/world_callers_test.go
+++ b/internal/core/world_callers_test.go
@@ -14,9 +14,9 @@
 	"github.com/spoolbank/spoolbank/query"
 )
 
-// This file is what callers and operators do in a world, and what they are given.
+// This file simulates callers and operators, and checks the answers that they receive.
 
-// ask is what one caller has asked and got.
+// ask is one caller's request and the answer to it.
 type ask struct {
 	vm       core.VMName
 	call     bool
@@ -32,8 +32,8 @@
 }
 
 func (w *world) conn() core.ConnID {
-	w.lastCon++
-	return w.lastCon
+	w.lastConn++
+	return w.lastConn
 }
 
 // command sends an operator's statement to a VM.
@@ -43,7 +43,7 @@
 	conn := w.conn()
 	if key := fmt.Sprintf("%s/%d", operator, number); !w.sent[key] || !statement.IsCommand() {
 		w.sent[key] = true
-		w.floors[conn] = w.accepted
+		w.minRevisions[conn] = w.accepted
 	}
 	if v := w.vms[name]; v.node != nil {
 		w.step(name, core.Operated{Conn: conn, Statement: statement, Operator: operator, Number: number, Digest: text, Expect: expect})
@@ -51,17 +51,17 @@
 	return conn
 }
 
-// answered takes an operator's result. Statements are linearizable: revisions
-// order the accepted commands, a command that was sent after another was
-// accepted comes after it, and a query sees all that was accepted before it.
+// answered records and checks an operator's result. Statements are linearizable:
+// revisions order the accepted commands, a command that was sent after another one
+// was accepted has a higher revision, and a query sees all commands accepted before it.
 func (w *world) answered(a core.Answer) {
 	w.results[a.Conn] = a.Result
-	if floor, ok := w.floors[a.Conn]; ok {
+	if minRevision, ok := w.minRevisions[a.Conn]; ok {
 		switch a.Result.Kind {
 		case core.ResultAccepted:
-			require.Greater(w.t, a.Result.Revision, floor, "a command before one that was accepted when it was sent")
+			require.Greater(w.t, a.Result.Revision, minRevision, "a command is ordered before one that was accepted when it was sent")
 		case core.ResultTable:
-			require.GreaterOrEqual(w.t, a.Result.Revision, floor, "a stale answer")
+			require.GreaterOrEqual(w.t, a.Result.Revision, minRevision, "a stale answer")
 		}
 	}
 	if a.Result.Kind == core.ResultAccepted && a.Result.Revision > w.accepted {
@@ -70,12 +70,12 @@
 	}
 }
 
-// must runs a command at the leader, whoever that is, until it is decided.
+// must sends a command to the current leader, and retries until it is decided.
 func (w *world) must(text string, number uint64) core.Result {
 	var result core.Result
 	w.until("command "+text, 30*time.Second, func() bool {
 		for _, name := range w.names {
-			if v := w.vms[name]; v.node == nil || v.frozen || !w.holdsLease(v) {
+			if v := w.vms[name]; v.node == nil || v.suspended || !w.holdsLease(v) {
 				continue
 			}
 			conn := w.command(name, text, "setup", number, 0)
@@ -90,7 +90,7 @@
 	return result
 }
 
-// setUp declares what the tests use, and waits until chains are ready.
+// setUp declares the objects that the tests use, and waits until chains are ready.
 func (w *world) setUp() {
 	statements := []string{
 		"declare service sign class=0 repeatable=[\"GET /\"]",
@@ -117,11 +117,11 @@
 	})
 }
 
-// stream asks for an answer, or for the rest of it.
+// stream requests an answer, or the rest of it after the given number of tokens.
 func (w *world) stream(name core.VMName, id, prompt string, after int) *ask {
 	a := &ask{vm: name, id: core.RequestID(id), prompt: prompt, after: after, count: after}
 	conn := w.conn()
-	w.asks[conn] = a
+	w.requests[conn] = a
 	v := w.vms[name]
 	if v.node == nil {
 		a.cut = true
@@ -133,11 +133,11 @@
 	return a
 }
 
-// call asks for a call that may not be repeated.
+// call requests a call that may not be repeated.
 func (w *world) call(name core.VMName, id string) *ask {
 	a := &ask{vm: name, call: true, id: core.RequestID(id)}
 	conn := w.conn()
-	w.asks[conn] = a
+	w.requests[conn] = a
 	v := w.vms[name]
 	if v.node == nil {
 		a.cut = true
@@ -147,19 +147,19 @@
 	return a
 }
 
-// lookUp asks for a call that may be repeated.
+// lookUp requests a call that may be repeated.
 func (w *world) lookUp(name core.VMName, id string) *ask {
 	a := &ask{vm: name, call: true, id: core.RequestID(id)}
 	conn := w.conn()
-	w.asks[conn] = a
+	w.requests[conn] = a
 	w.step(name, core.CallAsked{Conn: conn, ID: a.id, Key: worldKey, Service: "sign", Method: "GET", Path: "/status", Deadline: w.clock(w.vms[name]).Add(8 * time.Second)})
 	return a
 }
 
-func (w *world) give(effect core.Effect) {
+func (w *world) deliver(effect core.Effect) {
 	switch e := effect.(type) {
 	case core.Emit:
-		a := w.asks[e.Conn]
+		a := w.requests[e.Conn]
 		require.LessOrEqual(w.t, e.From, a.count, "a gap in the answer")
 		for i, token := range e.Tokens {
 			if e.From+i < a.count {
@@ -171,10 +171,10 @@
 		a.finished = e.Finish != ""
 	case core.Refuse:
 		refusal := e.Refusal
-		w.asks[e.Conn].refusal = &refusal
+		w.requests[e.Conn].refusal = &refusal
 	case core.Finish:
 		answer := e.Answer
-		w.asks[e.Conn].answer = &answer
+		w.requests[e.Conn].answer = &answer
 	}
 }
 
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -18,9 +18,9 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// world drives several Nodes with a virtual clock, a lossy network, disks that
-// forget what was not synced, and fake engines and runners in process. It is
-// deterministic: all chance comes from one seed.
+// world simulates several Nodes with a virtual clock, a lossy network, disks that
+// lose unsynced records, and in-process fake engines and runners. It is
+// deterministic: all randomness comes from one seed.
 type world struct {
 	t       require.TestingT
 	rand    *rand.Rand
@@ -32,33 +32,34 @@
 	engines map[string]*engine
 	runners map[string]*runner
 	cut     map[[2]core.VMName]bool
-	// loss is the chance in a thousand that a message is lost, doubled or late.
-	loss    int
-	lastCon core.ConnID
-	asks    map[core.ConnID]*ask
-	results map[core.ConnID]core.Result
-	// prints holds the state at each applied index, which is one for all.
-	prints map[core.Index]string
-	// accepted is the newest revision that an operator was told of, and when.
+	// loss is the probability, in thousandths, that a message is lost, duplicated or delayed.
+	loss     int
+	lastConn core.ConnID
+	requests map[core.ConnID]*ask
+	results  map[core.ConnID]core.Result
+	// stateByIndex holds the state at each applied index, which is the same on all replicas.
+	stateByIndex map[core.Index]string
+	// accepted is the newest revision that was acknowledged to an operator, at acceptedAt.
 	accepted   config.Revision
 	acceptedAt time.Time
-	// floors holds, for each statement, the newest revision that any operator
-	// had been told of when it was sent: what the answer may not fall behind.
-	floors map[core.ConnID]config.Revision
+	// minRevisions holds, for each statement, the newest revision that had been
+	// acknowledged when it was sent. The answer may not be older.
+	minRevisions map[core.ConnID]config.Revision
 	// sent holds the commands that have been sent before.
 	sent map[string]bool
 	dead map[string]bool
-	// slow is how much longer a submission takes at its runner.
+	// slow is the additional time that a submission takes at its runner.
 	slow time.Duration
-	// platform is the platform's list of what is leaving; leaves holds the
-	// targets that say so themselves.
+	// platform is the platform's list of leaving VMs and targets; leaves holds the
+	// targets that report it themselves.
 	platform []string
 	leaves   map[string]bool
-	// backoffs is until when a runner turns calls away and asks to back off; reached counts the calls
-	// that come to each, by the VM that they come from.
+	// backoffs is the time until which a runner refuses calls and requests a backoff; reached
+	// counts the calls that arrive at each runner, by the VM that sent them.
 	backoffs map[string]time.Time
 	reached  map[string]map[core.VMName]int
-	// limits are the calls a second that runners name, and arrivals when calls reached each.
+	// limits are the rate limits that runners report, in calls per second, and arrivals the
+	// times at which calls reached each.
 	limits   map[string]float64
 	arrivals map[string][]time.Time
 }
@@ -69,35 +70,35 @@
 	node    *core.Node
 	control bool
 	entry   bool
-	// rate is the speed of its clock in thousandths of true time.
-	rate   int
-	began  time.Time
-	disk   disk
-	frozen bool
-	held   []core.Event
-	// stopped says that a planned stop is complete.
+	// rate is the speed of its clock, in thousandths of the simulated time.
+	rate      int
+	began     time.Time
+	disk      disk
+	suspended bool
+	pending   []core.Event
+	// stopped is set when a planned stop is complete.
 	stopped bool
-	// life counts restarts, so that old deliveries are dropped.
-	life     int
+	// starts counts starts and crashes, so that deliveries to an earlier process are dropped.
+	starts   int
 	revision config.Revision
-	// printed is the applied index that was compared last.
-	printed core.Index
-	cluster string
-	notes   []string
+	// checkedIndex is the applied index at which the state was last compared.
+	checkedIndex core.Index
+	cluster      string
+	notes        []string
 }
 
-// disk is what a control VM has synced.
+// disk holds what a control VM has synced.
 type disk struct {
 	incarnation core.Incarnation
 	recovered   core.Recovered
 }
 
-// delivery is an event at a time.
+// delivery is an event or a function scheduled for a time.
 type delivery struct {
 	at     time.Time
 	serial int
 	to     core.VMName
-	life   int
+	starts int
 	event  core.Event
 	run    func()
 }
@@ -117,14 +118,14 @@
 	worldKey    = "key"
 )
 
-// newWorld makes three control and entry VMs, entry VMs beside them, engines
-// for two chains and a spare, and two runners.
+// newWorld returns a world of VMs that all serve callers, the first ones of which
+// are also control VMs, with engines for two chains, a spare engine and two runners.
 func newWorld(t require.TestingT, seed uint64, controls, entries int) *world {
 	w := &world{
 		t: t, rand: rand.New(rand.NewPCG(seed, 1)), now: epochStart,
 		vms: make(map[core.VMName]*vm), engines: make(map[string]*engine), limits: make(map[string]float64), arrivals: make(map[string][]time.Time), backoffs: make(map[string]time.Time), reached: make(map[string]map[core.VMName]int), runners: make(map[string]*runner),
-		cut: make(map[[2]core.VMName]bool), asks: make(map[core.ConnID]*ask), results: make(map[core.ConnID]core.Result),
-		prints: make(map[core.Index]string), floors: make(map[core.ConnID]config.Revision), sent: make(map[string]bool),
+		cut: make(map[[2]core.VMName]bool), requests: make(map[core.ConnID]*ask), results: make(map[core.ConnID]core.Result),
+		stateByIndex: make(map[core.Index]string), minRevisions: make(map[core.ConnID]config.Revision), sent: make(map[string]bool),
 		dead: make(map[string]bool), leaves: make(map[string]bool),
 	}
 	for i := range controls + entries {
@@ -160,11 +161,11 @@
 	return t
 }
 
-// start begins a process on a VM's disk.
+// start starts a process on a VM's disk.
 func (w *world) start(name core.VMName) {
 	v := w.vms[name]
-	v.life++
-	v.frozen, v.held = false, nil
+	v.starts++
+	v.suspended, v.pending = false, nil
 	v.began = w.now
 	v.revision = 0
 	self := core.ReplicaID{VM: name, Incarnation: w.incarnation()}
@@ -182,7 +183,7 @@
 	w.tick(name)
 }
 
-// copyRecovered stands for reading the disk: nothing is shared with a Node.
+// copyRecovered simulates reading the disk: the copy shares no entries with a Node.
 func copyRecovered(r core.Recovered) core.Recovered {
 	r.Entries = slices.Clone(r.Entries)
 	return r
@@ -213,22 +214,22 @@
 }
 
 func (w *world) after(delay time.Duration, to core.VMName, event core.Event) {
-	w.push(delivery{at: w.now.Add(delay), to: to, life: w.vms[to].life, event: event})
+	w.push(delivery{at: w.now.Add(delay), to: to, starts: w.vms[to].starts, event: event})
 }
 
 const tickEvery = 20 * time.Millisecond
 
 func (w *world) tick(name core.VMName) {
-	life := w.vms[name].life
+	life := w.vms[name].starts
 	w.push(delivery{at: w.now.Add(tickEvery), run: func() {
-		if v := w.vms[name]; v.life == life && v.node != nil {
+		if v := w.vms[name]; v.starts == life && v.node != nil {
 			w.step(name, core.Tick{})
 			w.tick(name)
 		}
 	}})
 }
 
-// advance runs the world for d.
+// advance runs the simulation for d.
 func (w *world) advance(d time.Duration) {
 	end := w.now.Add(d)
 	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
@@ -239,14 +240,14 @@
 			next.run()
 			continue
 		}
-		if v := w.vms[next.to]; v.life == next.life && v.node != nil {
+		if v := w.vms[next.to]; v.starts == next.starts && v.node != nil {
 			w.step(next.to, next.event)
 		}
 	}
 	w.now = end
 }
 
-// until runs the world until done holds, and fails after limit.
+// until runs the simulation until done returns true, and fails after limit.
 func (w *world) until(what string, limit time.Duration, done func() bool) time.Duration {
 	began := w.now
 	for !done() {
@@ -267,8 +268,8 @@
 			continue
 		}
 		s := v.node.Status()
-		fmt.Fprintf(&b, "%s: frozen %v %s term %d commit %d/%d synced %d members %v lease %v entry lease %v rev %d/%d streams %d calls %d queued %d\n  %s\n",
-			name, v.frozen, s.Role, s.Term, s.Applied, s.Commit, s.Synced, s.Members, s.HoldsLease, s.HasLease, s.Revision, s.EntryRevision, s.Streams, s.Calls, s.Queued,
+		fmt.Fprintf(&b, "%s: suspended %v %s term %d commit %d/%d synced %d members %v lease %v entry lease %v rev %d/%d streams %d calls %d queued %d\n  %s\n",
+			name, v.suspended, s.Role, s.Term, s.Applied, s.Commit, s.Synced, s.Members, s.HoldsLease, s.HasLease, s.Revision, s.EntryRevision, s.Streams, s.Calls, s.Queued,
 			strings.Join(v.notes[max(0, len(v.notes)-6):], "; "))
 	}
 	return b.String()
@@ -276,19 +277,19 @@
 
 func (w *world) step(name core.VMName, event core.Event) {
 	v := w.vms[name]
-	if v.frozen {
+	if v.suspended {
 		if _, tick := event.(core.Tick); !tick {
-			v.held = append(v.held, event)
+			v.pending = append(v.pending, event)
 		}
 		return
 	}
 	for _, effect := range slices.Clone(v.node.Step(w.clock(v), event)) {
-		w.carryOut(v, effect)
+		w.execute(v, effect)
 	}
 	w.check(v)
 }
 
-// check looks at what must hold after every step of any Node.
+// check verifies the invariants after a step of a Node.
 func (w *world) check(v *vm) {
 	require.Empty(w.t, v.node.Check(), "invariants of %s", v.name)
 	s := v.node.Status()
@@ -296,7 +297,7 @@
 	v.revision = s.EntryRevision
 	leaders := 0
 	for _, other := range w.vms {
-		if other.node != nil && !other.frozen && w.holdsLease(other) {
+		if other.node != nil && !other.suspended && w.holdsLease(other) {
 			leaders++
 		}
 	}
@@ -305,10 +306,10 @@
 	}
 	late := w.now.Sub(w.acceptedAt) > 4*time.Second
 	if late && s.HasLease && w.clock(v).Before(s.EntryLease) {
-		require.GreaterOrEqual(w.t, s.EntryRevision, w.accepted, "%s takes work at an old revision", v.name)
+		require.GreaterOrEqual(w.t, s.EntryRevision, w.accepted, "%s accepts work at an old revision", v.name)
 	}
 	if v.control {
-		w.checkPrint(v, s)
+		w.checkReplicatedState(v, s)
 	}
 }
 
@@ -317,27 +318,28 @@
 	return s.Role == "leader" && w.clock(v).Before(s.LeaseUntil)
 }
 
-// checkPrint compares the replicated state at the same index on all replicas.
-func (w *world) checkPrint(v *vm, s core.Status) {
-	if v.printed == s.Applied {
+// checkReplicatedState compares the replicated state of v with that of other replicas
+// at the same index.
+func (w *world) checkReplicatedState(v *vm, s core.Status) {
+	if v.checkedIndex == s.Applied {
 		return
 	}
-	v.printed = s.Applied
+	v.checkedIndex = s.Applied
 	d := v.node.Dump()
 	text, err := json.Marshal(struct {
 		C config.State
 		M map[string]core.Claim
 	}{d.Config, d.Claims})
 	require.NoError(w.t, err)
-	known, ok := w.prints[s.Applied]
+	known, ok := w.stateByIndex[s.Applied]
 	if !ok {
-		w.prints[s.Applied] = string(text)
+		w.stateByIndex[s.Applied] = string(text)
 		return
 	}
 	require.Equal(w.t, known, string(text), "replicas differ at index %d", s.Applied)
 }
 
-func (w *world) carryOut(v *vm, effect core.Effect) {
+func (w *world) execute(v *vm, effect core.Effect) {
 	switch e := effect.(type) {
 	case core.Send:
 		w.send(v, e.Envelope)
@@ -349,7 +351,7 @@
 		})
 	case core.Stopped:
 		v.stopped = true
-		for _, a := range w.asks {
+		for _, a := range w.requests {
 			require.True(w.t, a.vm != v.name || a.ended(), "%s stopped while it served %s", v.name, a.id)
 		}
 	case core.Joined:
@@ -357,7 +359,7 @@
 	case core.Answer:
 		w.answered(e)
 	case core.Emit, core.Refuse, core.Finish:
-		w.give(effect)
+		w.deliver(effect)
 	case core.Run:
 		w.run(v, e)
 	case core.Rebuild:
@@ -396,17 +398,17 @@
 	if w.chance() {
 		delay += time.Duration(w.rand.IntN(2000)) * time.Millisecond
 	}
-	w.push(delivery{at: w.now.Add(delay), to: e.To, life: to.life, event: core.Received{Envelope: e}})
+	w.push(delivery{at: w.now.Add(delay), to: e.To, starts: to.starts, event: core.Received{Envelope: e}})
 	if w.chance() {
-		w.push(delivery{at: w.now.Add(2 * delay), to: e.To, life: to.life, event: core.Received{Envelope: e}})
+		w.push(delivery{at: w.now.Add(2 * delay), to: e.To, starts: to.starts, event: core.Received{Envelope: e}})
 	}
 }
 
-// persist syncs after a while; a crash before that loses the record.
+// persist syncs a record after 2ms; a crash before that loses it.
 func (w *world) persist(v *vm, sequence uint64, write func(*disk)) {
-	life := v.life
+	life := v.starts
 	w.push(delivery{at: w.now.Add(2 * time.Millisecond), run: func() {
-		if v.life == life && v.node != nil {
+		if v.starts == life && v.node != nil {
 			write(&v.disk)
 			w.step(v.name, core.Persisted{Sequence: sequence})
 		}
@@ -428,37 +430,37 @@
 	}
 }
 
-// crash ends a process; its disk keeps what was synced.
+// crash kills a process; its disk keeps the synced records.
 func (w *world) crash(name core.VMName) {
 	v := w.vms[name]
 	v.node = nil
-	v.life++
-	for conn, a := range w.asks {
+	v.starts++
+	for conn, a := range w.requests {
 		if a.vm == name && !a.finished && a.refusal == nil && a.answer == nil {
-			w.asks[conn].cut = true
+			w.requests[conn].cut = true
 		}
 	}
 }
 
-// loseDisk makes a crashed VM's folder empty.
+// loseDisk clears the data folder of a crashed VM.
 func (w *world) loseDisk(name core.VMName) {
 	w.vms[name].disk = disk{}
 	w.vms[name].cluster = ""
 }
 
-func (w *world) freeze(name core.VMName) { w.vms[name].frozen = true }
+func (w *world) suspend(name core.VMName) { w.vms[name].suspended = true }
 
-// thaw lets a stopped process go on with all that came meanwhile.
-func (w *world) thaw(name core.VMName) {
+// resume resumes a suspended process, which receives all events that arrived meanwhile.
+func (w *world) resume(name core.VMName) {
 	v := w.vms[name]
-	held := v.held
-	v.frozen, v.held = false, nil
-	for _, event := range held {
+	pending := v.pending
+	v.suspended, v.pending = false, nil
+	for _, event := range pending {
 		w.step(name, event)
 	}
 }
 
-// isolate cuts a VM off from all others, or mends its links.
+// isolate cuts the links between a VM and all others, or restores them.
 func (w *world) isolate(name core.VMName, cut bool) {
 	for _, other := range w.names {
 		w.cut[[2]core.VMName{name, other}] = cut
