--- a/internal/core/burst_test.go
+++ b/internal/core/burst_test.go
@@ -119,17 +119,17 @@
 
 // critical sends a request of the critical class every tenth of a second.
 func (b *testBed) critical(seconds int) []*bedRequest {
-	var asks []*bedRequest
+	var requests []*bedRequest
 	for i := range seconds * 10 {
-		b.at(time.Duration(i)*100*time.Millisecond, func() { asks = append(asks, b.submit(i%len(b.nodes), 0, 0, 16, 30*time.Second)) })
+		b.at(time.Duration(i)*100*time.Millisecond, func() { requests = append(requests, b.submit(i%len(b.nodes), 0, 0, 16, 30*time.Second)) })
 	}
 	b.advance(time.Duration(seconds) * time.Second)
 	b.advance(30 * time.Second)
-	return asks
+	return requests
 }
 
-func times(asks []*bedRequest) (whole []time.Duration) {
-	for _, a := range asks {
+func times(requests []*bedRequest) (whole []time.Duration) {
+	for _, a := range requests {
 		if !a.done.IsZero() {
 			whole = append(whole, a.done.Sub(a.asked))
 		}
@@ -173,10 +173,10 @@
 
 // shareError returns how far the least served organisation is below an even share of
 // what was served, for organisations that request more than that share.
-func shareError(asks []*bedRequest) float64 {
+func shareError(requests []*bedRequest) float64 {
 	served := make([]float64, bedOrgs)
 	total := 0.0
-	for _, a := range asks {
+	for _, a := range requests {
 		if !a.done.IsZero() {
 			served[a.organisation]++
 			total++
@@ -257,10 +257,10 @@
 	offered := 0.8 * remaining.bound()
 	b := newTestBed(t, 4, 7)
 	requests := int(offered * 40 / burstTokens)
-	var asks []*bedRequest
+	var submitted []*bedRequest
 	for i := range requests {
 		b.at(time.Duration(i)*40*time.Second/time.Duration(requests), func() {
-			asks = append(asks, b.submit(i%len(b.nodes), i%bedOrgs, 2, burstTokens, 60*time.Second))
+			submitted = append(submitted, b.submit(i%len(b.nodes), i%bedOrgs, 2, burstTokens, 60*time.Second))
 		})
 	}
 	b.advance(15 * time.Second)
@@ -273,7 +273,7 @@
 	share := float64(b.tokens-before) / 20 / offered
 	b.advance(60 * time.Second)
 	r := lossResult{share: share}
-	for _, a := range asks {
+	for _, a := range submitted {
 		switch {
 		case a.done.IsZero():
 			r.lost++
--- a/internal/core/common_start.go
+++ b/internal/core/common_start.go
@@ -12,11 +12,11 @@
 // Algorithm: a replica that has had no leader in its incarnation asks all voters whether the
 // same holds for them. Each reply names the incarnation of its sender. Wait until every
 // voter, not only a quorum, has replied, and has replied again in the same incarnation to a
-// request sent after the last of these replies. Then all voters were in incarnations without
-// a leader at one moment, and as a leader is a voter, none led. The voter with the newest
-// log, and among equals the first by name, then becomes a candidate. A voter that is still in
-// the incarnation that the candidate names, and still has had no leader, does not deny its
-// vote. Any other voter does.
+// request sent after the last of these replies. Then there was a moment at which no voter had
+// had a leader in its incarnation. A leader is a voter, so none led at that moment. The voter
+// with the newest log, and among equals the first by name, becomes a candidate. A voter that
+// is still in the incarnation that the candidate names, and still has had no leader, does not
+// deny its vote. Any other voter does.
 //
 // Invariants: no lease is in force at the moment between the two replies. A replica that
 // obtains one later has contacted a quorum, and at least one voter of it is asked for an
@@ -30,8 +30,8 @@
 //
 // Limits: where a voter is absent or has lost its disk, the regular timeouts apply.
 
-// commonStartEvery is the interval between requests to the other voters: 6 control VMs
-// exchange about 60 small messages in each interval, until one leads.
+// commonStartEvery is the interval between requests to the other voters: about 6 control VMs
+// exchange 60 small messages in each interval, until one leads.
 const commonStartEvery = 50 * time.Millisecond
 
 // commonStart is the state of the check whether all voters have just started.
--- a/internal/core/control_test.go
+++ b/internal/core/control_test.go
@@ -349,8 +349,8 @@
 	require.Equal(t, core.ClaimGranted, claim(two, 2), "released by the attempt that held it")
 }
 
-// A voter that was replaced while it was isolated returns with its disk and still
-// believes to have a vote. It must learn that it has none and rejoin as a learner.
+// A voter that was replaced while it was isolated returns with its disk, by which it
+// is still a voter. It must learn that it is not and rejoin as a learner.
 func TestReplacedVoterReturnsAsSpare(t *testing.T) {
 	w := newWorld(t, 17, 4, 0)
 	w.setUp()
--- a/internal/core/document.go
+++ b/internal/core/document.go
@@ -60,16 +60,16 @@
 		n.leading.documents.waiting = append(n.leading.documents.waiting, p)
 		return
 	}
-	held := n.machine.Config
-	if p.Document.Version <= held.Document.Version {
-		n.emit(Answer{Conn: p.Conn, Result: Result{Kind: ResultAccepted, Revision: held.Revision}})
+	current := n.machine.Config
+	if p.Document.Version <= current.Document.Version {
+		n.emit(Answer{Conn: p.Conn, Result: Result{Kind: ResultAccepted, Revision: current.Revision}})
 		return
 	}
 	// With a sole voter and a fast disk the entry may be applied before propose
 	// returns, so the document is recorded as in flight first.
 	n.leading.documents.inFlight = n.replica.log.last() + 1
 	n.leading.operators[n.leading.documents.inFlight] = &waiter{conn: p.Conn}
-	n.propose(Entry{Changes: []config.Change{held.Document.Change(p.Document)}})
+	n.propose(Entry{Changes: []config.Change{current.Document.Change(p.Document)}})
 }
 
 // documentApplied continues with the next queued document.
@@ -138,11 +138,11 @@
 
 // documentTaken gives the runtime a new document that arrived with a lease.
 func (n *Node) documentTaken() {
-	held := n.entry.config.Document
-	if held.Version == 0 || held.Version == n.entry.decoded.version {
+	newest := n.entry.config.Document
+	if newest.Version == 0 || newest.Version == n.entry.decoded.version {
 		return
 	}
-	if document := n.entry.decoded.read(n, held); document != nil {
+	if document := n.entry.decoded.read(n, newest); document != nil {
 		n.emit(DocumentInForce{Revision: n.entry.config.Revision, Document: document})
 	}
 }
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -157,9 +157,9 @@
 	}
 }
 
-// tickJoin asks to join the cluster while no leader contacts this replica. Even a
-// replica that believes to have a vote asks: it may have been replaced while it was
-// away, and then no leader contacts it. A leader ignores requests of its members.
+// tickJoin asks to join the cluster while no leader contacts this replica. A replica
+// that is a voter by its own log asks as well: it may have been replaced while it was
+// away, and then no leader contacts it. A leader ignores such requests of its members.
 func (n *Node) tickJoin() {
 	r := &n.replica
 	inContact := n.now.Before(r.heardAt.Add(n.settings.Timing.ElectionMax))
@@ -382,8 +382,8 @@
 	}
 	slices.Sort(rounds)
 	slices.Reverse(rounds)
-	answered := rounds[r.members.Quorum()-1]
-	sent, ok := r.roundSent[answered]
+	acknowledged := rounds[r.members.Quorum()-1]
+	sent, ok := r.roundSent[acknowledged]
 	if !ok {
 		return
 	}
@@ -392,7 +392,7 @@
 		r.leaseUntil = until
 	}
 	for round := range r.roundSent {
-		if round < answered {
+		if round < acknowledged {
 			delete(r.roundSent, round)
 		}
 	}
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -31,9 +31,9 @@
 }
 
 const (
-	outcomeWhole   = "whole"
-	outcomeNotRun  = "not run"
-	outcomeUnknown = "unknown"
+	outcomeComplete = "whole"
+	outcomeNotRun   = "not run"
+	outcomeUnknown  = "unknown"
 	// outcomeMoved means that another connection of the same caller gets the answer.
 	outcomeMoved = "moved"
 )
@@ -69,7 +69,7 @@
 	c.count = max(c.count, a.count)
 	switch {
 	case a.finished || a.answer != nil:
-		c.outcome = outcomeWhole
+		c.outcome = outcomeComplete
 	case a.refusal == nil:
 	case a.refusal.Kind == core.RefusedMoved && c.call:
 		c.outcome = outcomeMoved
@@ -89,7 +89,7 @@
 		}
 		require.LessOrEqual(t, runs, 1, "call %s ran %d times", c.id, runs)
 		switch c.outcome {
-		case outcomeWhole:
+		case outcomeComplete:
 			require.Equal(t, 1, runs, "call %s has an answer", c.id)
 		case outcomeNotRun:
 			if w.onlyNotRun(c) {
@@ -99,7 +99,7 @@
 		return
 	}
 	want, _ := fake.Expected(c.prompt, worldLayers, worldTokens)
-	if c.outcome == outcomeWhole {
+	if c.outcome == outcomeComplete {
 		require.Equal(t, want, c.text, "stream %s", c.id)
 		return
 	}
--- a/internal/core/grants.go
+++ b/internal/core/grants.go
@@ -129,13 +129,13 @@
 		n.deliver(from.VM, Message{Redirect: &Redirect{Leader: n.leaderHint()}})
 		return
 	}
-	present, ok := n.machine.Claims[c.ID]
+	existing, ok := n.machine.Claims[c.ID]
 	if c.Peek && !ok {
 		n.replyClaim(from, c, ClaimNone)
 		return
 	}
-	if ok && !(present.Holder == from && c.Attempt > present.Attempt && !present.Ended && !c.Peek) {
-		n.replyClaim(from, c, n.claimOutcome(present, from, c.Digest))
+	if ok && !(existing.Holder == from && c.Attempt > existing.Attempt && !existing.Ended && !c.Peek) {
+		n.replyClaim(from, c, n.claimOutcome(existing, from, c.Digest))
 		return
 	}
 	op := ClaimOp{ID: c.ID, Holder: from, Attempt: c.Attempt, Digest: c.Digest, DropAt: wall(n.now.Add(n.settings.Timing.KeepClaim))}
--- a/internal/core/identity.go
+++ b/internal/core/identity.go
@@ -8,7 +8,7 @@
 // VMName is the name of a VM, unique in a deployment.
 type VMName string
 
-// Incarnation distinguishes successive incarnations of a VM. A control VM stores
+// Incarnation distinguishes successive identities of a VM. A control VM stores
 // its incarnation with its log, so that one that lost its disk returns under a new
 // one and cannot vote under the old. An entry VM draws a new one at each start.
 type Incarnation uint64
--- a/internal/core/lease_incarnation_test.go
+++ b/internal/core/lease_incarnation_test.go
@@ -16,20 +16,20 @@
 func TestGrantForPreviousIncarnationIsIgnored(t *testing.T) {
 	f := newHallFleet(t, smallFleet)
 	const vm = core.VMName("e0-0")
-	var kept *core.Envelope
+	var delayed *core.Envelope
 	f.loses = func(e core.Envelope) bool {
 		if e.To == vm && e.Body.Grant != nil {
-			if kept == nil {
-				kept = &e
+			if delayed == nil {
+				delayed = &e
 			}
 			return true
 		}
 		return false
 	}
-	f.until("a grant is in flight", 10*time.Second, func() bool { return kept != nil })
+	f.until("a grant is in flight", 10*time.Second, func() bool { return delayed != nil })
 	f.restart(vm)
 	f.until("the new incarnation has sent as many renewals", 10*time.Second, func() bool {
-		f.step(vm, core.Received{Envelope: *kept})
+		f.step(vm, core.Received{Envelope: *delayed})
 		return f.nodes[vm].Status().HasLease || f.now.Sub(time.Unix(100, 0)) > 8*time.Second
 	})
 	require.False(t, f.nodes[vm].Status().HasLease)
--- a/internal/core/world_targets_test.go
+++ b/internal/core/world_targets_test.go
@@ -39,7 +39,7 @@
 }
 
 func (w *world) run(v *vm, r core.Run) {
-	life := v.starts
+	starts := v.starts
 	w.push(delivery{at: w.now.Add(w.latency()), run: func() {
 		order := target.RunOrder{Stream: r.Stream, Epoch: r.Epoch, Position: r.Position, Model: r.Model, Prompt: r.Prompt, Chain: r.Chain, SilenceMillis: 1000}
 		if r.Position > 0 {
@@ -49,7 +49,7 @@
 		if err != nil {
 			reply = target.RunReply{Result: core.ResultBroken, Target: r.Chain[0].Target}
 		}
-		w.push(delivery{at: w.now.Add(w.latency()), to: v.name, starts: life, event: core.RunEnded{
+		w.push(delivery{at: w.now.Add(w.latency()), to: v.name, starts: starts, event: core.RunEnded{
 			Stream: r.Stream, Epoch: r.Epoch, Position: r.Position, Result: reply.Result, Target: reply.Target,
 			Next: reply.Next, Token: reply.Token, Finish: reply.Finish, Load: reply.Load,
 		}})
@@ -57,7 +57,7 @@
 }
 
 func (w *world) rebuild(v *vm, r core.Rebuild) {
-	life := v.starts
+	starts := v.starts
 	w.push(delivery{at: w.now.Add(w.latency()), run: func() {
 		reply := target.RebuildReply{Result: core.ResultBroken, Target: r.Stage.Target}
 		if w.reachable(r.Stage.Target) {
@@ -65,12 +65,12 @@
 				Stream: r.Stream, Epoch: r.Epoch, Position: r.Position, Model: r.Model, Stage: r.Stage, Source: r.Source, Prompt: r.Prompt, Tokens: r.Tokens,
 			})
 		}
-		w.push(delivery{at: w.now.Add(w.latency()), to: v.name, starts: life, event: core.RebuildEnded{Stream: r.Stream, Epoch: r.Epoch, Target: reply.Target, Result: reply.Result}})
+		w.push(delivery{at: w.now.Add(w.latency()), to: v.name, starts: starts, event: core.RebuildEnded{Stream: r.Stream, Epoch: r.Epoch, Target: reply.Target, Result: reply.Result}})
 	}})
 }
 
 func (w *world) dispatch(v *vm, d core.Dispatch) {
-	life := v.starts
+	starts := v.starts
 	w.push(delivery{at: w.now.Add(w.latency()), run: func() {
 		ended := core.DispatchEnded{Conn: d.Conn, ID: d.ID, Target: d.Target, Result: core.ResultRefused}
 		r := w.runners[d.Target]
@@ -79,7 +79,7 @@
 		sent := w.clock(v)
 		if until := w.backoffs[d.Target]; w.now.Before(until) {
 			ended.BackoffUntil = w.clock(v).Add(until.Sub(w.now))
-			w.push(delivery{at: w.now.Add(w.latency()), to: v.name, starts: life, event: ended})
+			w.push(delivery{at: w.now.Add(w.latency()), to: v.name, starts: starts, event: ended})
 			return
 		}
 		if w.reachable(d.Target) && w.clock(v).Before(d.NotAfter) {
@@ -97,7 +97,7 @@
 		if limit := w.limits[d.Target]; ended.Result == core.ResultDone {
 			ended.Limit = relay.LimitAnswer{Limited: limit > 0, PerSecond: limit, SentAt: sent, HeardAt: sent.Add(took)}
 		}
-		w.push(delivery{at: w.now.Add(took), to: v.name, starts: life, event: ended})
+		w.push(delivery{at: w.now.Add(took), to: v.name, starts: starts, event: ended})
 	}})
 }
 
@@ -111,7 +111,7 @@
 }
 
 func (w *world) order(v *vm, o core.Order) {
-	life := v.starts
+	starts := v.starts
 	w.push(delivery{at: w.now.Add(w.latency()), run: func() {
 		ended := core.OrderEnded{Target: o.Placement.Target, Fence: o.Fence}
 		if w.reachable(o.Placement.Target) && w.clock(v).Before(o.NotAfter) {
@@ -120,7 +120,7 @@
 			})
 			ended.Done = reply.Result == target.OrderDone
 		}
-		w.push(delivery{at: w.now.Add(w.latency()), to: v.name, starts: life, event: ended})
+		w.push(delivery{at: w.now.Add(w.latency()), to: v.name, starts: starts, event: ended})
 	}})
 }
 
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -220,9 +220,9 @@
 const tickEvery = 20 * time.Millisecond
 
 func (w *world) tick(name core.VMName) {
-	life := w.vms[name].starts
+	starts := w.vms[name].starts
 	w.push(delivery{at: w.now.Add(tickEvery), run: func() {
-		if v := w.vms[name]; v.starts == life && v.node != nil {
+		if v := w.vms[name]; v.starts == starts && v.node != nil {
 			w.step(name, core.Tick{})
 			w.tick(name)
 		}
@@ -406,9 +406,9 @@
 
 // persist syncs a record after 2ms; a crash before that loses it.
 func (w *world) persist(v *vm, sequence uint64, write func(*disk)) {
-	life := v.starts
+	starts := v.starts
 	w.push(delivery{at: w.now.Add(2 * time.Millisecond), run: func() {
-		if v.starts == life && v.node != nil {
+		if v.starts == starts && v.node != nil {
 			write(&v.disk)
 			w.step(v.name, core.Persisted{Sequence: sequence})
 		}
