--- a/internal/core/grants.go
+++ b/internal/core/grants.go
@@ -22,7 +22,7 @@
 // shortened by the drift bound, and the leader counts it from the sending of the
 // grant, lengthened by the drift bound; a grant never carries an uncommitted revision.
 
-// renewLease records a renewal of an entry VM that was forwarded by the control VM via.
+// renewLease records a renewal of an entry VM that arrived through the control VM via.
 func (n *Node) renewLease(via VMName, r Renewal) {
 	l, ok := n.leading.leases[r.From.VM]
 	if !ok || l.holder != r.From {
