--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -10,17 +10,17 @@
 
 // Envelope is a message between two processes of one deployment.
 type Envelope struct {
-	// The fields are sent without their names: these values are sent most.
+	// Fields are encoded without their names, since envelopes are the most frequent values.
 	_ struct{} `cbor:",toarray"`
-	// Cluster is the identity that bootstrap drew. It is empty until a VM has
-	// learned it; a message of another cluster is dropped.
+	// Cluster is the identity generated at bootstrap. It is empty until the VM has
+	// received it. Messages of another cluster are dropped.
 	Cluster string    `cbor:"cluster"`
 	From    ReplicaID `cbor:"from"`
 	To      VMName    `cbor:"to"`
 	Body    Message   `cbor:"body"`
 }
 
-// Message is the union of all messages: exactly one field is set, beside Receipt.
+// Message is the union of all messages. Exactly one field is set, apart from Receipt.
 type Message struct {
 	Vote        *Vote          `cbor:"vote,omitempty"`
 	VoteReply   *VoteReply     `cbor:"vote_reply,omitempty"`
@@ -47,23 +47,23 @@
 	Follow      *Follow        `cbor:"follow,omitempty"`
 	TargetNews  *TargetNews    `cbor:"target_news,omitempty"`
 	Begin       *Begin         `cbor:"begin,omitempty"`
-	// Receipt is the runtime's own and may stand beside another field, or alone.
+	// Receipt belongs to the runtime. It may be set alone or together with another field.
 	Receipt *Receipt `cbor:"rc,omitempty"`
 }
 
-// Receipt is what the runtimes of two VMs say to each other of the link that a message goes
-// over. The Node neither sets nor reads it.
+// Receipt acknowledges messages between the runtimes of two VMs. The Node neither sets nor
+// reads it.
 type Receipt struct {
 	_ struct{} `cbor:",toarray"`
-	// Number is that of this message among all that its sender has sent to this VM.
+	// Number is the sequence number of this message from its sender to this VM.
 	Number uint64 `cbor:"number"`
-	// Seen is the highest number that the sender has had from this VM.
+	// Seen is the highest number that the sender has received from this VM.
 	Seen uint64 `cbor:"seen"`
-	// Ask has the receiver answer at once, on the same connection.
+	// Ask requests an immediate reply on the same connection.
 	Ask bool `cbor:"ask"`
 }
 
-// Kind names the one field that is set, for logs and metrics.
+// Kind returns the name of the field that is set, for logs and metrics.
 func (m Message) Kind() string {
 	v := reflect.ValueOf(m)
 	for i := range v.NumField() {
@@ -74,26 +74,28 @@
 	return "none"
 }
 
-// Vote asks for a vote, or, with Pre, whether one would be given.
+// Vote requests a vote. With Pre it only asks whether the vote would be granted.
 type Vote struct {
 	Term      Term  `cbor:"term"`
 	Pre       bool  `cbor:"pre"`
 	Transfer  bool  `cbor:"transfer"`
 	LastIndex Index `cbor:"last_index"`
 	LastTerm  Term  `cbor:"last_term"`
-	// StartedIn is the life of the voter in which it has said, as all others have, that it
-	// has heard no leader; 0 where that is not so. See common_start.go.
+	// StartedIn is the incarnation in which the receiving voter replied, as all others did,
+	// that it has received nothing from a leader. It is 0 otherwise. See common_start.go.
 	StartedIn uint64 `cbor:"started_in,omitempty"`
 }
 
-// StartAsk asks a voter whether it has heard no leader in its life either. Who has heard one
-// does not answer. Incarnation is the asker's, and Number counts its asks.
+// StartAsk asks a voter whether it too has received nothing from a leader in its current
+// incarnation. A voter that has does not reply. Incarnation is the sender's, and Number counts
+// its requests.
 type StartAsk struct {
 	Incarnation uint64 `cbor:"life"`
 	Number      uint64 `cbor:"number"`
 }
 
-// StartReply answers a StartAsk of AskedBy with the sender's life and the end of its log.
+// StartReply answers the StartAsk of incarnation AskedBy with the sender's incarnation and
+// the end of its log.
 type StartReply struct {
 	AskedBy     uint64 `cbor:"asked_by"`
 	Number      uint64 `cbor:"number"`
@@ -116,12 +118,12 @@
 	PrevTerm  Term    `cbor:"prev_term"`
 	Entries   []Entry `cbor:"entries,omitempty"`
 	Commit    Index   `cbor:"commit"`
-	// Round numbers the leader's heartbeats; its lease counts from the sending
-	// of the newest round that a quorum has answered.
+	// Round numbers the leader's heartbeats. Its lease starts when the newest
+	// round that a quorum has acknowledged was sent.
 	Round uint64 `cbor:"round"`
 }
 
-// AppendReply answers an Append or an Install, once what it speaks of is synced.
+// AppendReply answers an Append or an Install once the data it acknowledges is synced.
 type AppendReply struct {
 	Term     Term   `cbor:"term"`
 	Rejected bool   `cbor:"rejected"`
@@ -129,87 +131,88 @@
 	Round    uint64 `cbor:"round"`
 }
 
-// Install brings a follower that is behind the log's beginning a snapshot.
+// Install sends a snapshot to a follower that is behind the first entry of the log.
 type Install struct {
 	Term     Term     `cbor:"term"`
 	Snapshot Snapshot `cbor:"snapshot"`
 	Round    uint64   `cbor:"round"`
 }
 
-// TimeoutNow asks a caught-up follower to stand at once: a planned hand-over.
+// TimeoutNow asks a caught-up follower to start an election at once, for a planned
+// leadership transfer.
 type TimeoutNow struct {
 	Term Term `cbor:"term"`
 }
 
-// Join asks the leader to take a replica in as a learner. Who does not lead
-// passes it on, and names in For the replica that asked.
+// Join asks the leader to add a replica as a learner. A VM that is not the leader
+// forwards it, with the replica that asked in For.
 type Join struct {
 	For ReplicaID `cbor:"for"`
-	// Volatile says that the replica has no disk.
+	// Volatile is set when the replica has no disk.
 	Volatile bool `cbor:"volatile,omitempty"`
 }
 
-// EntryAddress is where one entry VM is reached.
+// EntryAddress holds the addresses of one entry VM.
 type EntryAddress struct {
-	// The fields are sent without their names: these values are sent most.
+	// Fields are encoded without their names, since addresses are among the most frequent values.
 	_    struct{} `cbor:",toarray"`
 	VM   VMName   `cbor:"vm" json:"vm"`
 	Hall string   `cbor:"hall" json:"hall"`
-	// Callers is the address for callers, Peers the one for the system.
+	// Callers is the address for callers, Peers the one for other VMs.
 	Callers string `cbor:"callers" json:"callers"`
 	Peers   string `cbor:"peers" json:"peers"`
 }
 
-// TargetReport is what a watcher has seen of one target.
+// TargetReport is the state of one target as observed by a watcher.
 type TargetReport struct {
 	Target  string `cbor:"target"`
 	Reached bool   `cbor:"reached"`
 	Leaving bool   `cbor:"leaving"`
-	// Holding is the sequence of the placement order that the engine carried out.
+	// Holding is the sequence of the last placement order that the engine has applied.
 	Holding uint64 `cbor:"holding"`
 }
 
-// Renew asks the leader for a lease and tells it what the entry VM knows.
+// Renew asks the leader for a lease and reports the state of the entry VM.
 type Renew struct {
 	Number   uint64          `cbor:"number"`
 	Address  EntryAddress    `cbor:"address"`
 	Revision config.Revision `cbor:"revision"`
-	// ViewVersion is the version of the list of entry VMs that is held, and ViewSum its sum.
+	// ViewVersion is the version of the sender's list of entry VMs, and ViewSum its checksum.
 	ViewVersion uint64 `cbor:"view_version"`
 	ViewSum     uint64 `cbor:"view_sum,omitempty"`
-	// Away says that no control VM of the asker's hall has answered it.
+	// Away is set when no control VM of the sender's hall has answered it.
 	Away bool `cbor:"away,omitempty"`
-	// Leaving asks to be left out of the addresses that callers get.
+	// Leaving asks to be left out of the addresses given to callers.
 	Leaving bool `cbor:"leaving"`
-	// InProgress counts requests; Load is in thousandths of capacity.
+	// InProgress is the number of requests in progress. Load is in thousandths of capacity.
 	InProgress int            `cbor:"in_progress"`
 	Load       int            `cbor:"load"`
 	Reports    []TargetReport `cbor:"reports,omitempty"`
-	// WorkSeen is the number of the newest change of work that the entry VM was told of.
+	// WorkSeen is the number of the newest work change that the entry VM has received.
 	WorkSeen uint64 `cbor:"work_seen,omitempty"`
-	// MarksSeen is that of the newest change of the marks of targets.
+	// MarksSeen is the number of the newest change of target marks that it has received.
 	MarksSeen uint64 `cbor:"marks_seen,omitempty"`
-	// Work is what the entry VM has under way at registered targets.
+	// Work is what the entry VM has in flight at registered targets.
 	Work map[relay.TargetKey]relay.Work `cbor:"work,omitempty"`
-	// Usage is what the entry VM has asked and repeated in the last window, by service.
+	// Usage is the entry VM's requests and retries in the last window, by service.
 	Usage map[string]relay.Usage `cbor:"usage,omitempty"`
-	// Dead are the targets that have lately failed it and done nothing since, Sound
-	// those that have done their part.
+	// Dead lists the targets that failed recently without a success since, Sound
+	// those that served successfully.
 	Dead  []relay.TargetKey `cbor:"dead,omitempty"`
 	Sound []relay.TargetKey `cbor:"well,omitempty"`
-	// Slow are those that say that they are slow.
+	// Slow lists the targets that report themselves as slow.
 	Slow []relay.TargetKey `cbor:"slow,omitempty"`
-	// Draining are targets that have said to it with an answer that they leave.
+	// Draining lists the targets that announced in a notice that they leave.
 	Draining []relay.TargetID `cbor:"draining,omitempty"`
-	// Limits are the targets that take so many requests a second.
+	// Limits lists the targets with a limit of requests per second.
 	Limits []LimitAsk `cbor:"limits,omitempty"`
-	// Crashed are runs that ended with their target, Survived requests that have run well
-	// since they were among these.
+	// Crashed lists runs that ended with their target. Survived lists requests that have
+	// run successfully since they were reported as crashed.
 	Crashed  []CrashReport    `cbor:"crashed,omitempty"`
 	Survived []SurvivalReport `cbor:"survived,omitempty"`
 }
 
-// renewal returns the part of a Renew that the leader needs of each entry VM.
+// renewal returns the part of a Renew that the leader needs from each entry VM.
 func (r Renew) renewal(from ReplicaID) Renewal {
 	return Renewal{
 		From: from, Number: r.Number, Address: r.Address, Revision: r.Revision, Leaving: r.Leaving,
@@ -230,21 +233,21 @@
 	Reports    []TargetReport  `cbor:"reports"`
 }
 
-// FleetPart is the sum over the entry VMs that renew with one control VM.
+// FleetPart aggregates the renewals of the entry VMs that renew with one control VM.
 type FleetPart struct {
 	Work map[relay.TargetKey]relay.Work `cbor:"work,omitempty"`
-	// Usage is the sum of what they have asked and repeated, VMs their number.
+	// Usage is the sum of their requests and retries, VMs the number of entry VMs.
 	Usage map[string]relay.Usage `cbor:"usage,omitempty"`
 	VMs   int                    `cbor:"vms"`
-	// Dead and Sound count the entry VMs that found a target so.
+	// Dead and Sound count the entry VMs that reported a target as such.
 	Dead  map[relay.TargetKey]int `cbor:"dead,omitempty"`
 	Sound map[relay.TargetKey]int `cbor:"well,omitempty"`
-	// Slow are the targets that have told any of them that they are slow, sorted.
+	// Slow lists the targets that report themselves as slow to any of them, sorted.
 	Slow []relay.TargetKey `cbor:"slow,omitempty"`
 }
 
-// RenewBatch hands the leader the renewals that a control VM has gathered, and says where
-// that one stands.
+// RenewBatch forwards the renewals collected by a control VM to the leader, with the versions
+// of that control VM's own state.
 type RenewBatch struct {
 	Number   uint64    `cbor:"number"`
 	Renewals []Renewal `cbor:"renewals,omitempty"`
@@ -252,23 +255,23 @@
 	ViewVersion uint64 `cbor:"view_version"`
 	WorkSeen    uint64 `cbor:"work_seen"`
 	MarksSeen   uint64 `cbor:"marks_seen,omitempty"`
-	// Following is the number of entry VMs that follow the sender's registry, and Expected
-	// are those of them that have not renewed with it yet: after a loss of all VMs there
-	// are more of them than leases.
+	// Following is the number of entry VMs that follow the sender's registry. Expected
+	// lists those that have not renewed with it yet: after a loss of all VMs there are
+	// more followers than leases.
 	Following int      `cbor:"following"`
 	Expected  []VMName `cbor:"expected,omitempty"`
-	// Limits are what the asks of the renewals say of targets with limits.
+	// Limits holds the permit requests of the renewals, for targets with limits.
 	Limits []HolderAsks `cbor:"limits,omitempty"`
-	// Part is missing where the one sent last still counts.
+	// Part is nil while the last one sent is still valid.
 	Part *FleetPart `cbor:"part,omitempty"`
-	// Crashed and Survived are those of the renewals since the last batch.
+	// Crashed and Survived come from the renewals since the last batch.
 	Crashed  []CrashReport    `cbor:"crashed,omitempty"`
 	Survived []SurvivalReport `cbor:"survived,omitempty"`
 }
 
-// GrantBatch grants all renewals of the batch of that number, to holders that are at
-// Revision or above, and brings the control VM to the newest state of the fleet. The fields
-// are those of Grant.
+// GrantBatch grants all renewals of the batch with its number, to holders at Revision or
+// above, and brings the control VM to the newest state of the fleet. The fields are those of
+// Grant.
 type GrantBatch struct {
 	Term        Term            `cbor:"term"`
 	Number      uint64          `cbor:"number"`
@@ -277,22 +280,21 @@
 	View        []EntryView     `cbor:"view,omitempty"`
 	Gone        []VMName        `cbor:"gone,omitempty"`
 	ViewWhole   bool            `cbor:"view_whole,omitempty"`
-	// Work is what all entry VMs together have under way at the targets where that has
-	// changed since the number that the batch named as WorkSeen; WorkWhole says that all
-	// others have none.
+	// Work is what all entry VMs together have in flight, for the targets where it has
+	// changed since the WorkSeen of the batch. With WorkWhole all other targets have none.
 	Work         map[relay.TargetKey]relay.Work `cbor:"work,omitempty"`
 	WorkWhole    bool                           `cbor:"work_whole,omitempty"`
 	WorkUpto     uint64                         `cbor:"work_upto,omitempty"`
 	WorkReported bool                           `cbor:"work_reported,omitempty"`
-	// Marks are those of targets that have changed since the number that the batch named as
-	// MarksSeen; MarksWhole says that all others have none.
+	// Marks holds the target marks that have changed since the MarksSeen of the batch. With
+	// MarksWhole all other targets have none.
 	Marks      map[relay.TargetKey]relay.Mark `cbor:"marks,omitempty"`
 	MarksWhole bool                           `cbor:"marks_whole,omitempty"`
 	MarksUpto  uint64                         `cbor:"marks_upto,omitempty"`
 	VMs        int                            `cbor:"vms,omitempty"`
 	Usage      map[string]relay.Usage         `cbor:"usage,omitempty"`
 	UsageBy    int                            `cbor:"usage_by,omitempty"`
-	// Permits are those that answer the batch's Limits.
+	// Permits answers the batch's Limits.
 	Permits []HolderPermits `cbor:"permits,omitempty"`
 }
 
@@ -303,60 +305,60 @@
 	Hall string   `cbor:"hall"`
 }
 
-// EntryView is what callers are told of one entry VM.
+// EntryView is the state of one entry VM as advertised to callers.
 type EntryView struct {
 	Address     EntryAddress `cbor:"address"`
 	Incarnation Incarnation  `cbor:"incarnation"`
 	Leaving     bool         `cbor:"leaving"`
-	// LoadLevel is coarse, so that it seldom changes: 0 idle to 3 full.
+	// LoadLevel ranges from 0 (idle) to 3 (full). It is coarse so that it rarely changes.
 	LoadLevel int `cbor:"load_level"`
 }
 
 // Grant is a lease. It carries the changes that bring the holder to Revision,
-// or the whole State when it is too far behind.
+// or the whole State when the holder is too far behind.
 type Grant struct {
-	// To is the incarnation that has asked: the next one of its VM asks under like numbers.
+	// To is the incarnation that asked. The next incarnation of its VM reuses the numbers.
 	To       Incarnation     `cbor:"to"`
 	Term     Term            `cbor:"term"`
 	Number   uint64          `cbor:"number"`
 	Revision config.Revision `cbor:"revision"`
 	Deltas   []Delta         `cbor:"deltas,omitempty"`
 	State    *config.State   `cbor:"state,omitempty"`
-	// ViewVersion is that of the list of entry VMs after View and Gone are
-	// taken: what has changed since the holder's version. ViewWhole says that
-	// View is the whole list.
+	// ViewVersion is the version of the list of entry VMs after View and Gone
+	// are applied, which hold the changes since the holder's version. With
+	// ViewWhole, View is the whole list.
 	ViewVersion uint64      `cbor:"view_version"`
 	View        []EntryView `cbor:"view,omitempty"`
 	Gone        []VMName    `cbor:"gone,omitempty"`
 	ViewWhole   bool        `cbor:"view_whole,omitempty"`
-	// ViewSame says that the holder's list is the newest, under another version.
+	// ViewSame is set when the holder's list equals the newest one under another version.
 	ViewSame bool   `cbor:"view_same,omitempty"`
 	Cluster  string `cbor:"cluster"`
-	// Control are the control VMs that live.
+	// Control lists the live control VMs.
 	Control []ControlVM `cbor:"control,omitempty"`
-	// Leader is the VM that has granted it.
+	// Leader is the VM that granted the lease.
 	Leader VMName `cbor:"leader,omitempty"`
-	// Others is what all other entry VMs have under way. VMs counts the entry VMs.
+	// Others is what all other entry VMs have in flight. VMs counts the entry VMs.
 	Others map[relay.TargetKey]relay.Work `cbor:"others,omitempty"`
-	// OthersWhole says that targets missing in Others have none, or come with the next
-	// lease. WorkUpto is what the holder names as WorkSeen from then on.
+	// With OthersWhole, targets missing in Others have no work or come with the next lease.
+	// WorkUpto is what the holder sends as WorkSeen from then on.
 	OthersWhole bool   `cbor:"others_whole,omitempty"`
 	WorkUpto    uint64 `cbor:"work_upto,omitempty"`
-	// WorkReported says that Others is known: a new leader has to hear of it first.
+	// WorkReported is set once Others is known: a new leader has to receive reports first.
 	WorkReported bool `cbor:"work_reported,omitempty"`
-	// Marks are those of targets that have changed. MarksWhole says that targets missing in
-	// it have none, or come with the next lease. MarksUpto is what the holder names as
-	// MarksSeen from then on.
+	// Marks holds the target marks that have changed. With MarksWhole, targets missing in it
+	// have none or come with the next lease. MarksUpto is what the holder sends as MarksSeen
+	// from then on.
 	Marks      map[relay.TargetKey]relay.Mark `cbor:"marks,omitempty"`
 	MarksWhole bool                           `cbor:"marks_whole,omitempty"`
 	MarksUpto  uint64                         `cbor:"marks_upto,omitempty"`
 	VMs        int                            `cbor:"vms,omitempty"`
-	// Usage is what UsageBy entry VMs have asked and repeated together in the last window,
-	// by service; it comes with WorkReported.
+	// Usage sums the requests and retries of UsageBy entry VMs in the last window, by
+	// service. It comes with WorkReported.
 	Usage   map[string]relay.Usage `cbor:"usage,omitempty"`
 	UsageBy int                    `cbor:"usage_by,omitempty"`
-	// Permits are lent for targets with limits; they come with the lease that answers the
-	// renewal which asked for them.
+	// Permits are granted for targets with limits, with the lease that answers the renewal
+	// which requested them.
 	Permits []relay.Permits `cbor:"permits,omitempty"`
 }
 
@@ -366,24 +368,24 @@
 	Changes  []config.Change `cbor:"changes"`
 }
 
-// Redirect tells an entry VM which control VM leads, if that is known, or which ones it
+// Redirect names the leader to an entry VM, if it is known, or the control VMs that it
 // should renew with.
 type Redirect struct {
 	Leader   VMName      `cbor:"leader"`
 	Controls []ControlVM `cbor:"controls,omitempty"`
 }
 
-// ClaimRequest asks for the sole right to dispatch a request that may not be
-// repeated.
+// ClaimRequest asks for the exclusive right to dispatch a request that may not
+// be repeated.
 //
-// Attempt numbers the claims of one entry VM. It asks under a new number only
-// after the end of the attempt before has been recorded or was never
-// dispatched, so a later number of the same holder replaces an earlier one.
+// Attempt numbers the claims of one entry VM. The VM uses a new number only
+// after the previous attempt was recorded as ended or was never dispatched, so
+// a later number of the same holder replaces an earlier one.
 type ClaimRequest struct {
 	ID      RequestID `cbor:"id"`
 	Attempt uint64    `cbor:"attempt"`
 	Digest  string    `cbor:"digest"`
-	// Peek asks how a claim stands without making one.
+	// Peek queries the state of a claim without making one.
 	Peek bool `cbor:"peek,omitempty"`
 }
 
@@ -392,17 +394,17 @@
 
 // The outcomes of a claim.
 const (
-	// ClaimGranted: the asker alone may dispatch.
+	// ClaimGranted means that only the requester may dispatch.
 	ClaimGranted ClaimOutcome = "granted"
-	// ClaimNone: there is no claim; the answer to a Peek only.
+	// ClaimNone means that there is no claim. It only answers a Peek.
 	ClaimNone ClaimOutcome = "none"
-	// ClaimBusy: another entry VM holds it and is alive; ask again.
+	// ClaimBusy means that another live entry VM holds the claim; retry later.
 	ClaimBusy ClaimOutcome = "busy"
-	// ClaimUnknown: the holder is gone and may have dispatched.
+	// ClaimUnknown means that the holder was lost and may have dispatched.
 	ClaimUnknown ClaimOutcome = "unknown"
-	// ClaimRecorded: the answer is in the reply.
+	// ClaimRecorded means that the answer is in the reply.
 	ClaimRecorded ClaimOutcome = "recorded"
-	// ClaimConflict: the same identity came with different content.
+	// ClaimConflict means that the same identity was used with different content.
 	ClaimConflict ClaimOutcome = "conflict"
 )
 
@@ -422,7 +424,7 @@
 	Answer  CallAnswer `cbor:"answer"`
 }
 
-// RecordReply says that a record is durable.
+// RecordReply confirms that a record is durable.
 type RecordReply struct {
 	ID      RequestID `cbor:"id"`
 	Attempt uint64    `cbor:"attempt"`
@@ -441,14 +443,14 @@
 	Text string `cbor:"text" json:"text"`
 }
 
-// KeepRecord is what a keeper holds of a stream, so that another entry VM can
-// go on with it: the request, and the tokens its caller may have seen.
+// KeepRecord is the copy of a stream at its keeper, from which another entry VM
+// can resume it: the request, and the tokens that its caller may have received.
 type KeepRecord struct {
 	ID      RequestID     `cbor:"id"`
 	Owner   VMName        `cbor:"owner"`
 	Epoch   Epoch         `cbor:"epoch"`
 	Request StreamRequest `cbor:"request"`
-	// Version is that of the model; a stream keeps to one.
+	// Version is the model version, which is fixed for the whole stream.
 	Version  string  `cbor:"version"`
 	Chain    []Stage `cbor:"chain"`
 	Position int     `cbor:"position"`
@@ -456,10 +458,10 @@
 	Finish   string  `cbor:"finish"`
 }
 
-// KeepUpdate adds to a kept record. From is the place of the first token.
+// KeepUpdate extends a kept record. From is the position of the first token.
 type KeepUpdate struct {
 	ID RequestID `cbor:"id"`
-	// Record is set at the beginning and when a new keeper is told all.
+	// Record is set in the first update, and whenever a keeper needs the full record.
 	Record   *KeepRecord `cbor:"record,omitempty"`
 	Epoch    Epoch       `cbor:"epoch"`
 	Chain    []Stage     `cbor:"chain,omitempty"`
@@ -467,7 +469,7 @@
 	From     int         `cbor:"from"`
 	Tokens   []Token     `cbor:"tokens,omitempty"`
 	Finish   string      `cbor:"finish,omitempty"`
-	// Drop says that the record is of no more use.
+	// Drop is set when the record is no longer needed.
 	Drop bool `cbor:"drop,omitempty"`
 }
 
@@ -477,21 +479,21 @@
 	Updates []KeepUpdate `cbor:"updates"`
 }
 
-// KeepReply confirms a batch. Refused names the streams of which the keeper
-// knows a later owner, Missing those that it has to be told whole.
+// KeepReply acknowledges a batch. Refused lists the streams for which the keeper
+// knows a later owner, Missing those for which it needs the full record.
 type KeepReply struct {
 	Number  uint64      `cbor:"number"`
 	Refused []RequestID `cbor:"refused,omitempty"`
 	Missing []RequestID `cbor:"missing,omitempty"`
 }
 
-// Find asks a keeper for a stream, in order to take it over.
+// Find asks a keeper for its record of a stream, to take the stream over.
 type Find struct {
 	ID RequestID `cbor:"id"`
 }
 
-// FindReply answers Find. A record in it has been handed over: its Epoch is
-// the new owner's.
+// FindReply answers Find. A record in it has been transferred: its Epoch is
+// that of the new owner.
 type FindReply struct {
 	ID     RequestID   `cbor:"id"`
 	Record *KeepRecord `cbor:"record,omitempty"`
@@ -504,8 +506,8 @@
 	Prompt       string    `cbor:"prompt"`
 	MaxTokens    int       `cbor:"max_tokens"`
 	Deadline     time.Time `cbor:"deadline"`
-	// Returnable says that the caller gave the identity itself and can come
-	// back with it.
+	// Returnable is set when the caller chose the identity itself, so that it
+	// can reconnect with it.
 	Returnable bool `cbor:"returnable"`
 }
 
