--- a/internal/core/repair.go
+++ b/internal/core/repair.go
@@ -7,21 +7,21 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// This file replaces a stage of a stream that has died, slowed to a halt or
-// forgotten its state.
+// This file replaces a stage of a stream that has failed, stalled or lost its
+// state.
 //
-// Only the lost range of layers is made anew. Any engines that hold its layers
-// can take it, also several in a row, also from other chains. Each of them
-// rebuilds its KV cache from what the stage before it has kept of its
-// activations, or, for the first layers, from the prompt and the tokens. The
-// surviving stages run no committed position again: they are asked for the
-// same position under the next epoch and repeat what they kept of it. The ways
-// that were weighed are in docs/DESIGN.md.
+// Only the lost range of layers is rebuilt. Any engines that hold its layers
+// can take it over, also several in a row and from other chains. Each of them
+// rebuilds its KV cache from the activations kept by the stage before it, or,
+// for the first layers, from the prompt and the tokens. The surviving stages
+// run no committed position again: they are asked for the same position under
+// the next epoch and return the stored result. docs/DESIGN.md compares the
+// alternatives.
 //
-// The order of a repair matters: a source must have its own state before it
-// can feed the next, so rebuilds run one after another from the front.
+// The order of a repair matters: a source needs its own state before it can
+// feed the next stage, so rebuilds run one after another from the front.
 
-// repairPause is the wait before a repair that found no engine is tried again.
+// repairRetryDelay is the delay before a repair that found no engine is retried.
 const repairPause = 100 * time.Millisecond
 
 // repair replaces the stage that target held.
@@ -33,7 +33,7 @@
 	n.repairNow(s)
 }
 
-// repairNow finds engines for each stage whose engine can't be used.
+// repairNow finds replacements for each stage whose engine can't be used.
 func (n *Node) repairNow(s *stream) {
 	chain := make([]Stage, 0, len(s.chain)+1)
 	var rebuild []int
@@ -67,7 +67,8 @@
 	return !ok || t.Down
 }
 
-// swapChain counts the stream against its new targets.
+// replaceChain counts the stream against the targets of its new chain and
+// releases those that it no longer uses.
 func (n *Node) swapChain(s *stream, chain []Stage) {
 	var dropped []Stage
 	for _, stage := range s.chain {
@@ -86,7 +87,8 @@
 }
 
 // cover returns engines that together hold the layers, or nil. From the front
-// it takes the one that reaches furthest, and of equals the least used.
+// it picks the engine that holds the most of the remaining layers, and among
+// equals the least used.
 func (n *Node) cover(s *stream, layers config.Range) []Stage {
 	var cover []Stage
 	next := layers.First
@@ -129,7 +131,7 @@
 	return slices.ContainsFunc(chain, func(s Stage) bool { return s.Target == target })
 }
 
-// rebuildNext orders the next rebuild, or goes on with the stream.
+// rebuildNext orders the next rebuild, or resumes the stream when none is left.
 func (n *Node) rebuildNext(s *stream) {
 	if len(s.rebuild) == 0 {
 		n.runNext(s)
@@ -149,13 +151,13 @@
 		r.Source = &source
 	} else {
 		r.Prompt = s.request.Prompt
-		// The last token has not been run yet: the next position will.
+		// The last token is not part of the state yet: the next position runs it.
 		r.Tokens = slices.Clone(s.tokens[:len(s.tokens)-1])
 	}
 	n.emit(r)
 }
 
-// rebuildEnded goes on with a repair.
+// rebuildEnded handles the result of a rebuild and continues the repair.
 func (n *Node) rebuildEnded(e RebuildEnded) {
 	s, ok := n.entry.streams[e.Stream]
 	if !ok || s.phase != phaseRepairing || s.epoch != e.Epoch || len(s.rebuild) == 0 {
@@ -177,8 +179,8 @@
 	}
 }
 
-// refill has a stage that is alive but lacks the stream's state rebuild it,
-// and all that a repair had still to rebuild after it.
+// rebuildStage has a live stage that lacks the stream's state rebuild it, together
+// with the rebuilds that are still pending.
 func (n *Node) refill(s *stream, target string) {
 	i := slices.IndexFunc(s.chain, func(stage Stage) bool { return stage.Target == target })
 	if i < 0 || s.position == 0 {
@@ -196,10 +198,10 @@
 	n.rebuildNext(s)
 }
 
-// stageRefused handles an engine that would not take a stream. When the first
-// stage refuses the first position, nothing has run: the stream goes back in
-// line for another route, if the budget for retries allows. Else the stages
-// before have run, and only the one that refused is replaced.
+// stageRefused handles an engine that refused a stream. When the first stage
+// refuses the first position, nothing has run, and the stream is queued again
+// for another route if the retry budget allows. Otherwise earlier stages or
+// positions have run, and only the stage that refused is replaced.
 func (n *Node) stageRefused(s *stream, target string) {
 	n.poolOfStream(s).refused(s.route)
 	if s.position > 0 || target != s.chain[0].Target {
@@ -216,7 +218,7 @@
 	n.requeue(s, target)
 }
 
-// requeue puts a stream that has not run back in line.
+// requeue returns a stream that has not run to the queue.
 func (n *Node) requeue(s *stream, avoid string) {
 	pool, route, chain := s.pool, s.route, s.chain
 	s.epoch = s.epoch.WithNextAttempt()
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -10,21 +10,21 @@
 
 // This file runs the stream of one answer of a model pipeline.
 //
-// The core drives a stream position by position: it orders the first stage to
-// run the next position and commits the token that comes back through all the
-// ranges. The stages hand their activations on among themselves, so that an
-// entry VM moves only tokens (docs/DESIGN.md weighs this against moving the
-// activations through the entry VM).
+// The core drives a stream position by position. It orders the first stage to
+// run the next position and commits the token that the last stage returns. The
+// stages forward activations directly to each other, so an entry VM transfers
+// only tokens (docs/DESIGN.md compares this with sending the activations
+// through the entry VM).
 //
-// Invariants: at most one run of a stream is in flight; only an answer with
-// the stream's present epoch and position is taken, so late, crossed and
-// doubled ones change nothing; a token is shown to the caller only after the
-// keeper has it; nothing is dispatched before the keeper has the request.
+// Invariants: at most one run of a stream is in flight. Only an answer with
+// the stream's current epoch and position is accepted, so late, reordered and
+// duplicate answers have no effect. A token is sent to the caller only after
+// the keeper has it. Nothing is dispatched before the keeper has the request.
 //
-// An engine runs a position once in its life: it repeats the kept result when
-// it is asked again, and refuses epochs before the newest one it has seen.
+// An engine incarnation runs a position once. It returns the stored result when
+// asked again, and refuses epochs before the newest one it has seen.
 
-// phase is how far a request has come.
+// phase is the processing state of a request.
 type phase string
 
 // The phases of streams and calls.
@@ -40,52 +40,52 @@
 	phaseDone        phase = "done"
 )
 
-// stream is one answer under way, or kept for its caller after its end.
+// stream is one answer in progress, or a finished one that is kept for its caller.
 type stream struct {
 	id       RequestID
 	request  StreamRequest
 	pipeline config.Pipeline
 	phase    phase
 	conn     ConnID
-	// goneAt is when the caller left; zero while it is there.
+	// disconnectedAt is when the caller disconnected, zero while it is connected.
 	goneAt time.Time
 	wait   *waiting
 	epoch  Epoch
 	pool   string
 	route  string
 	chain  []Stage
-	// holding says that the chain is counted against its targets.
+	// reserved is set while the chain is counted against its targets.
 	holding  bool
 	position int
 	inFlight bool
-	// beganAt is when it got its route.
+	// beganAt is when the stream was assigned its route.
 	beganAt time.Time
 	// sentAt is when the run in flight was ordered.
 	sentAt time.Time
-	// dispatched says that some engine may have run some of it.
+	// dispatched is set when an engine may have run a part of the stream.
 	dispatched bool
 	tokens     []Token
 	finish     string
-	// kept is how many tokens the keeper has, shown how many the caller.
+	// kept is the number of tokens that the keeper has, shown the number sent to the caller.
 	kept  int
 	shown int
-	// finishKept says that the keeper has the end, finishShown the caller.
+	// finishKept is set when the keeper has the end, finishShown when the caller has it.
 	finishKept  bool
 	finishShown bool
-	// doubted says that an earlier attempt could not be ruled out.
+	// mayHaveRunBefore is set when an earlier attempt could not be ruled out.
 	doubted bool
 	keeper  VMName
-	// registered says that the keeper has the request itself.
+	// registered is set once the request has been sent to a keeper, where there is one.
 	registered bool
 	// rebuild lists the stages that must rebuild their KV cache, in order.
 	rebuild []int
-	// repairAt is when a repair that found no engine is tried again.
+	// repairAt is when a repair that found no engine is retried.
 	repairAt time.Time
-	// dropAt is when a finished stream is forgotten.
+	// dropAt is when a finished stream is removed.
 	dropAt time.Time
 }
 
-// streamAsked takes a request for a model pipeline.
+// streamAsked handles a request for a model pipeline.
 func (n *Node) streamAsked(a StreamAsked) {
 	org, ok := n.organisationOf(a.Key)
 	if !ok {
@@ -129,8 +129,8 @@
 	n.emit(Refuse{Conn: conn, ID: id, Refusal: refusal(RefusedKey, RanNo, "the API key is not known", "send the organisation's key as a bearer token")})
 }
 
-// queueStream puts a new stream in line. A caller that already has tokens of
-// an answer that nobody keeps can't be given a whole one.
+// queueStream queues a new stream. It fails when the caller already has tokens of
+// an answer that no VM keeps, since the rest can't be supplied.
 func (n *Node) queueStream(s *stream) {
 	if s.shown > 0 {
 		n.failStream(s, refusal(RefusedLost, RanUnknown, "the rest of the answer is no longer kept", "ask again under a new identity, and drop the part that was received"))
@@ -145,13 +145,13 @@
 	s.phase = phaseQueued
 	s.wait = n.waitingStream(s)
 	if r, ok := n.admit(p, s.wait); !ok {
-		// It was not counted, so it must not be uncounted either.
+		// It was not added to the requests in progress, so it must not be subtracted.
 		s.wait = nil
 		n.failStream(s, r)
 	}
 }
 
-// waitingStream is a stream as the queue of its pool knows it.
+// queuedStream returns the queue entry of a stream.
 func (n *Node) waitingStream(s *stream) *waiting {
 	return &waiting{
 		organisation: s.request.Organisation,
@@ -163,8 +163,8 @@
 	}
 }
 
-// beginStream starts a stream on a route that has room. The keeper gets the
-// request first, so that no dispatch is unknown to it.
+// beginStream starts a stream on a route with free capacity. The keeper gets the
+// request first, so that it knows of every dispatch.
 func (n *Node) beginStream(s *stream, poolName, route string, stages []Stage) {
 	s.pool = poolName
 	s.route = route
@@ -179,7 +179,7 @@
 	n.register(s)
 }
 
-// runNext orders the next position, unless one is in flight.
+// runNext orders the next position, unless a run is in flight or the answer has ended.
 func (n *Node) runNext(s *stream) {
 	if s.inFlight || s.finish != "" {
 		return
@@ -211,7 +211,7 @@
 	return ModelRef{Model: s.pipeline.Model, Version: s.pipeline.Version, Adapter: s.pipeline.Adapter}
 }
 
-// runEnded takes the answer of a chain, if it is the one that is waited for.
+// runEnded handles the answer of a chain if it matches the run in flight.
 func (n *Node) runEnded(e RunEnded) {
 	s, ok := n.entry.streams[e.Stream]
 	if !ok || !s.inFlight || s.epoch != e.Epoch || s.position != e.Position {
@@ -267,7 +267,7 @@
 	return p
 }
 
-// endRun lets the engines of a stream go.
+// releaseEngines releases the engines of a stream.
 func (n *Node) endRun(s *stream) {
 	if !s.holding {
 		return
@@ -281,7 +281,7 @@
 	n.give(s.pool, s.route, s.chain)
 }
 
-// showTokens gives the caller what the keeper has and the caller has not.
+// emitTokens sends the caller the tokens that the keeper has and the caller lacks.
 func (n *Node) showTokens(s *stream) {
 	finish := ""
 	if s.finishKept {
@@ -299,7 +299,7 @@
 	}
 }
 
-// finishStream keeps a whole answer for a caller that may come back for it.
+// finishStream keeps a complete answer for a caller that may reconnect.
 func (n *Node) finishStream(s *stream) {
 	s.finishShown = true
 	s.phase = phaseDone
@@ -313,7 +313,7 @@
 	s.conn = 0
 }
 
-// reattach gives a stream to a caller that has come back.
+// reattach attaches a stream to a caller that has reconnected.
 func (n *Node) reattach(s *stream, conn ConnID, after int) {
 	if s.conn != 0 {
 		n.emit(Refuse{Conn: s.conn, ID: s.id, Refusal: movedRefusal()})
@@ -330,7 +330,7 @@
 	n.showTokens(s)
 }
 
-// replay gives the rest of a finished answer.
+// replay sends the rest of a finished answer.
 func (n *Node) replay(s *stream) {
 	from := min(s.shown, len(s.tokens))
 	n.emit(Emit{Conn: s.conn, ID: s.id, From: from, Tokens: slices.Clone(s.tokens[from:]), Finish: s.finish})
@@ -341,7 +341,7 @@
 	return refusal(RefusedMoved, RanYes, "the caller took the answer up on another connection", "read it there")
 }
 
-// failStream gives a stream's caller a final answer and forgets the stream.
+// failStream sends a stream's caller the final refusal and removes the stream.
 func (n *Node) failStream(s *stream, r Refusal) {
 	if s.doubted {
 		r = r.WithDoubt()
@@ -352,7 +352,7 @@
 	n.forgetStream(s)
 }
 
-// forgetStream drops a stream and all that is held for it.
+// removeStream removes a stream and releases all that is held for it.
 func (n *Node) forgetStream(s *stream) {
 	n.detach(s)
 	if s.wait != nil {
@@ -368,8 +368,8 @@
 	}
 }
 
-// loseStream ends a stream that another entry VM has taken over. Its engines
-// are that one's now, so no release is sent.
+// relinquishStream ends a stream that another entry VM has taken over. Its
+// engines now belong to that VM, so no release is sent.
 func (n *Node) loseStream(s *stream) {
 	n.note("stream taken over by another entry VM", string(s.id))
 	if s.conn != 0 {
@@ -384,8 +384,8 @@
 	}
 }
 
-// callerGone follows a closed connection. A stream that has begun runs on for
-// a while, since its caller may come back for the rest.
+// callerGone handles a closed connection. A stream that has begun continues for
+// a time, since its caller may reconnect for the rest.
 func (n *Node) callerGone(conn ConnID) {
 	if c, ok := n.entry.calls[conn]; ok {
 		n.callLeft(c)
@@ -403,8 +403,8 @@
 	}
 }
 
-// reattachFor is how long a stream waits for its caller. One that never named
-// its request is unlikely to come back.
+// reattachTimeout is how long a stream waits for its caller. A caller that never
+// named its request is unlikely to reconnect.
 func (n *Node) reattachFor(s *stream) time.Duration {
 	if s.request.Returnable {
 		return n.settings.Timing.Reattach
@@ -425,7 +425,7 @@
 			n.forgetStream(s)
 		}
 	case !s.goneAt.IsZero() && !n.now.Before(s.goneAt.Add(n.reattachFor(s))):
-		n.note("stream dropped: its caller has left", string(s.id))
+		n.note("stream dropped: its caller disconnected and did not return in time", string(s.id))
 		n.forgetStream(s)
 	case s.phase != phaseQueued && s.phase != phaseFinding && !n.now.Before(s.request.Deadline):
 		n.failStream(s, refusal(RefusedDeadline, s.ran(), "its deadline passed", "send it again with a later deadline"))
@@ -435,8 +435,8 @@
 	}
 }
 
-// ran says what is known of whether a stream was run: not, as long as runNext
-// has dispatched nothing that an engine has taken.
+// ran reports whether a stream may have run. It has not while runNext has
+// dispatched nothing that an engine accepted.
 func (s *stream) ran() Ran {
 	switch {
 	case len(s.tokens) > 0:
