--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -7,38 +7,39 @@
 	"time"
 )
 
-// This file keeps a second copy of each stream at another entry VM, its
-// keeper, so that a whole answer survives the loss of its entry VM.
+// This file replicates each stream to another entry VM, its keeper, so that the
+// answer survives the loss of its entry VM.
 //
 // The owner of a stream sends the request to the keeper before it dispatches
-// anything, and each token before the caller sees it. One batch is in flight
-// to a keeper at a time and takes all that has gathered, so the cost is a
-// message a round trip and not a message a token.
+// anything, and each token before the caller gets it. One batch at a time is in
+// flight to a keeper and carries all pending updates, so the cost is one
+// message per round trip rather than one per token.
 //
-// A caller that was cut off comes to any entry VM with the identity of its
-// request. That VM asks the first VMs in rendezvous order and the first of each
-// data hall, among which the keeper is. The keeper hands its record over under the next owner's epoch;
-// from then on it refuses the old owner's updates, and so do the engines as
-// soon as the new owner has spoken to them.
+// A caller that lost its connection may reconnect to any entry VM with the
+// identity of its request. That VM asks the first VMs in rendezvous order and
+// the first of each data hall, which include the keeper. The keeper transfers
+// its record under the next owner's epoch. From then on it refuses updates of
+// the old owner, and so do the engines once the new owner has contacted them.
 //
-// Invariants: what a caller has seen, the keeper has; a record is handed to
-// one VM for each owner number; two keepers that were cut off from each other
-// give different holders, of which the engines obey the greater.
+// Invariants: the keeper has every token that the caller has received. A record
+// is transferred to one VM for each owner number. Two keepers that were
+// partitioned from each other assign different holders, and the engines obey
+// the greater one.
 //
-// Known limits: an answer is lost when owner and keeper go within the time
-// that a new keeper takes to be told, about PeerReply; the caller is then told
-// so. With a single entry VM there is no keeper.
+// Known limits: an answer is lost when owner and keeper are lost within the
+// time it takes to update a new keeper, about PeerReply; the caller then gets a
+// refusal that says so. With a single entry VM there is no keeper.
 
-// rendezvousWidth is how many VMs are asked for a stream, whatever their hall.
+// rendezvousWidth is the number of VMs that are asked for a stream in any hall.
 const rendezvousWidth = 3
 
-// keptRecord is what this VM keeps for another one.
+// keptRecord is a record that this VM keeps for another one.
 type keptRecord struct {
 	record KeepRecord
 	dropAt time.Time
 }
 
-// keeperLink is the way to one keeper.
+// keeperLink is the state of the updates to one keeper.
 type keeperLink struct {
 	number   uint64
 	inFlight bool
@@ -47,11 +48,11 @@
 	outbox   []KeepUpdate
 }
 
-// keeperFor chooses the keeper of a stream: the first in rendezvous order in
+// keeperFor chooses the keeper of a stream: the first VM in rendezvous order in
 // another data hall that is not suspected, so that the answer survives the loss
-// of a whole hall; else the first in this one. When all are suspected it is the
-// first all the same: a slow keeper is better than none. There is none only
-// when no other entry VM is known.
+// of a whole hall, else the first one in this hall. When all are suspected the
+// same order applies to them: a slow keeper is better than none. It returns ""
+// only when no other entry VM is known.
 func (n *Node) keeperFor(id RequestID) VMName {
 	var best VMName
 	bestRank := math.MaxInt
@@ -69,7 +70,7 @@
 	return best
 }
 
-// keeperRank is 0 for the VMs that are preferred as keepers.
+// keeperRank returns the preference of a VM as keeper, 0 for the best.
 func (n *Node) keeperRank(vm VMName) int {
 	rank := 0
 	if n.entry.halls[vm] == n.settings.Address.Hall {
@@ -81,8 +82,8 @@
 	return rank
 }
 
-// findKeepers gives keepers to the streams that have none, since no other entry
-// VM was known when they began: after the start of a deployment, say.
+// findKeepers assigns keepers to streams that have none because no other entry VM
+// was known when they began, for example right after a deployment starts.
 func (n *Node) findKeepers() {
 	if len(n.entry.view) < 2 {
 		return
@@ -94,7 +95,7 @@
 	}
 }
 
-// register gives a stream to a keeper, and begins it once that has it.
+// register sends a stream to a keeper. The stream begins once the keeper has it.
 func (n *Node) register(s *stream) {
 	s.keeper = n.keeperFor(s.id)
 	s.registered = true
@@ -130,7 +131,7 @@
 	n.keep(s, KeepUpdate{ID: s.id, Epoch: s.epoch, Position: s.position, From: last, Tokens: slices.Clone(s.tokens[last:]), Finish: s.finish})
 }
 
-// keepChain tells the keeper of a new chain and epoch.
+// keepChain sends a new chain and epoch to the keeper.
 func (n *Node) keepChain(s *stream) {
 	if s.keeper != "" {
 		n.keep(s, KeepUpdate{ID: s.id, Epoch: s.epoch, Chain: s.chain, Position: s.position, From: len(s.tokens)})
@@ -143,14 +144,14 @@
 	}
 }
 
-// caughtUp shows what needs no keeper.
+// acknowledgeAll treats everything as kept, for a stream without a keeper.
 func (n *Node) caughtUp(s *stream) {
 	s.kept = len(s.tokens)
 	s.finishKept = s.finish != ""
 	n.keptMore(s)
 }
 
-// keptMore goes on with a stream after its keeper has more of it.
+// resumeAfterKeep continues a stream after its keeper has acknowledged an update.
 func (n *Node) keptMore(s *stream) {
 	if s.phase == phaseRegistering {
 		n.startOrResume(s)
@@ -158,8 +159,8 @@
 	n.showTokens(s)
 }
 
-// startOrResume runs the next position; a stream that was taken over with all
-// its tokens has none.
+// startOrResume runs the next position. A stream that was taken over with all its
+// tokens has none left, and its engines are released.
 func (n *Node) startOrResume(s *stream) {
 	s.phase = phaseRunning
 	if s.finish == "" {
@@ -183,8 +184,8 @@
 	if l.inFlight || len(l.outbox) == 0 {
 		return
 	}
-	// A number is never used again, also not for a link made anew: a late
-	// reply must not be taken for that of another batch.
+	// Numbers are never reused, not even for a link that is created again: a
+	// late reply must not match another batch.
 	n.entry.keepNumber++
 	l.number = n.entry.keepNumber
 	l.inFlight = true
@@ -194,7 +195,7 @@
 	n.send(vm, Message{Keep: &Keep{Number: l.number, Updates: l.sent}})
 }
 
-// keepReplied counts what a keeper has.
+// keepReplied handles a keeper's acknowledgement of a batch.
 func (n *Node) keepReplied(from ReplicaID, r KeepReply) {
 	l, ok := n.entry.links[from.VM]
 	if !ok || !l.inFlight || l.number != r.Number {
@@ -222,7 +223,7 @@
 	n.flush(from.VM, l)
 }
 
-// tickLinks gives the streams of a silent keeper to others.
+// tickLinks replaces keepers that have not acknowledged in time.
 func (n *Node) tickLinks() {
 	for _, vm := range slices.Sorted(maps.Keys(n.entry.links)) {
 		l := n.entry.links[vm]
@@ -258,7 +259,7 @@
 	n.send(from.VM, Message{KeepReply: &reply})
 }
 
-// keepVerdict is what a keeper makes of an update.
+// keepVerdict is a keeper's decision on an update.
 type keepVerdict int
 
 const (
@@ -308,17 +309,17 @@
 	}
 }
 
-// find is a search for a stream that a caller has come back for.
+// find is the search for the record of a stream that a caller may be resuming.
 type find struct {
-	// none holds the VMs that have said that they keep nothing of it.
+	// noRecord holds the VMs that have replied that they have no record.
 	none map[VMName]bool
-	// againAt is when the VMs that were silent are asked again, endAt when
-	// the search is given up.
+	// retryAt is when the VMs that have not replied are asked again, expiresAt when
+	// the search ends.
 	againAt time.Time
 	endAt   time.Time
 }
 
-// findFirst asks the VMs that may keep a stream before a new one is begun. It
+// startFind asks the VMs that may keep a stream before a new one is started. It
 // reports whether there are any.
 func (n *Node) findFirst(s *stream) bool {
 	if k, ok := n.entry.kept[s.id]; ok {
@@ -327,8 +328,8 @@
 	}
 	f := &find{none: make(map[VMName]bool), endAt: n.now.Add(n.settings.Timing.PeerReply)}
 	if s.shown > 0 {
-		// Somebody has kept it. A VM that is dead leaves the list of entry VMs
-		// when its lease has run out; one that is slow answers until then.
+		// Some VM has kept it. A dead VM leaves the list of entry VMs when its
+		// lease expires; a slow one answers until then.
 		f.endAt = n.now.Add(2 * n.settings.Timing.LeaseTerm)
 	}
 	if len(n.silentKeepers(s, f)) == 0 {
@@ -340,10 +341,10 @@
 	return true
 }
 
-// silentKeepers returns the VMs that may keep a stream and have not said that
-// they don't. A keeper is the first of its hall in rendezvous order, or among
-// the first of all, unless a VM was suspected; when the caller has seen a part
-// of the answer already, all VMs are asked.
+// pendingKeepers returns the VMs that may keep a stream and have not replied that
+// they don't. Unless a VM was suspected, the keeper is the first of its hall in
+// rendezvous order or among the first of all. When the caller has already
+// received a part of the answer, all VMs are asked.
 func (n *Node) silentKeepers(s *stream, f *find) []VMName {
 	order := rendezvous(string(s.id), n.entry.view, len(n.entry.view))
 	seen := make(map[string]bool)
@@ -374,19 +375,19 @@
 	return record
 }
 
-// findAsked hands a kept record over, or says that there is none.
+// findAsked transfers a kept record, or replies that there is none.
 func (n *Node) findAsked(from ReplicaID, f Find) {
 	reply := FindReply{ID: f.ID}
 	if k, ok := n.entry.kept[f.ID]; ok {
 		record := n.handOverRecord(k, from)
 		reply.Record = &record
-		n.note("stream handed to "+string(from.VM), string(f.ID))
+		n.note("stream transferred to "+string(from.VM), string(f.ID))
 	}
 	n.send(from.VM, Message{FindReply: &reply})
 }
 
-// findReplied takes the first record that comes. When every VM has said that
-// it has none, the request is a new one.
+// findReplied accepts the first record that arrives. When every VM has replied
+// that it has none, the request is a new one.
 func (n *Node) findReplied(from VMName, r FindReply) {
 	f, ok := n.entry.finds[r.ID]
 	s := n.entry.streams[r.ID]
@@ -426,7 +427,7 @@
 	}
 }
 
-// adopt goes on with a stream that another entry VM has begun.
+// takeOverStream resumes a stream that another entry VM has begun.
 func (n *Node) adopt(s *stream, r KeepRecord) {
 	n.note("stream taken over", string(s.id))
 	s.request = r.Request
