--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -10,17 +10,17 @@
 
 // This file routes calls to plain services.
 //
-// A call that may be repeated is dispatched to a runner and, when that breaks,
-// to another one. Any other call runs at most once: before its dispatch the
-// entry VM gets a claim that is durable on a quorum of control VMs, and only
-// its holder may dispatch it, once. A resend, to whichever entry VM, finds the
-// claim: it gets the recorded answer, or waits for the holder, or, when the
-// holder is gone, learns that the outcome is unknown. Nobody runs it again.
+// A repeatable call is dispatched to a runner and, when that fails, to another
+// one. Any other call runs at most once: before the dispatch the entry VM
+// obtains a claim that is durable on a quorum of control VMs, and only its
+// holder may dispatch the call, once. A resend to any entry VM finds the claim.
+// It gets the recorded answer, waits for the holder, or, when the holder is
+// lost, gets a refusal that says that the outcome is unknown. No VM runs it again.
 //
 // Invariants: a claimed call is dispatched again only after a target has
-// provably not run it; a call that was told ran: no has no claim, or gives it
-// back before any other VM can learn of it; the digest of the content binds a
-// claim, so that an identity can't be used for two different calls.
+// provably not run it. A call that was refused with "ran: no" has no claim, or
+// its claim is returned before any other VM can see it. A claim is bound to the
+// digest of the content, so an identity can't be used for two different calls.
 
 // call is one request for a plain service.
 type call struct {
@@ -34,34 +34,35 @@
 	route        string
 	stages       []Stage
 	holding      bool
-	// permitted says that a permit of the runner was taken for it, where that has a limit.
+	// permitted is set when a permit was used for it, where the runner has a limit.
 	permitted bool
 	beganAt   time.Time
-	// attempt numbers the claim; claimAt is when it is asked for again.
+	// attempt numbers the claim; retryAt is when the claim is requested again, or a
+	// peek times out.
 	attempt uint64
 	claimAt time.Time
 	claimed bool
-	// busy says that another VM was seen to hold the claim.
+	// busy is set when another VM was seen to hold the claim.
 	busy bool
-	// refusal is what the caller gets once a peek has shown that it is true.
+	// refusal is sent to the caller once a peek has confirmed it.
 	refusal *Refusal
-	// left says that the caller has gone; the call is seen through.
+	// disconnected is set when the caller has disconnected; the call still runs to its end.
 	left bool
 }
 
-// pendingRecord is a record that the control VMs have not confirmed.
+// pendingRecord is a record that the control VMs have not acknowledged.
 type pendingRecord struct {
 	request RecordRequest
 	againAt time.Time
 }
 
-// callCost is what a call counts in its service's queue.
+// callCost is the cost of a call in its service's queue.
 const callCost = 1
 
-// claimPause is the wait before a claim is asked for again.
+// claimRetryInterval is the delay before a claim or record request is resent.
 const claimPause = 200 * time.Millisecond
 
-// callAsked takes a request for a plain service.
+// callAsked handles a request for a plain service.
 func (n *Node) callAsked(a CallAsked) {
 	org, ok := n.organisationOf(a.Key)
 	if !ok {
@@ -109,7 +110,7 @@
 	}
 }
 
-// joinCall gives a call that is under way here to the caller that resends it.
+// reattachCall attaches a call in progress on this VM to the caller that resends it.
 func (n *Node) joinCall(c *call) bool {
 	old, ok := n.entry.callIDs[c.asked.ID]
 	if !ok {
@@ -135,13 +136,13 @@
 	return refusal(RefusedConflict, RanNo, "the identity was used for a request with other content", "give each request an identity of its own")
 }
 
-// beginCall starts a call on a runner that has room.
+// beginCall starts a call on a runner with free capacity.
 func (n *Node) beginCall(c *call, poolName, route string, stages []Stage) {
 	c.pool = poolName
 	c.route = route
 	c.stages = stages
 	c.holding = true
-	// It is used here: a claim that takes longer than a permit lasts would have it void.
+	// The permit is used here, since it could expire while the claim is pending.
 	c.permitted = n.routePermit(stages)
 	if c.repeatable || c.claimed {
 		n.dispatchCall(c)
@@ -162,8 +163,8 @@
 	n.deliver(leader, Message{Claim: &ClaimRequest{ID: c.asked.ID, Attempt: c.attempt, Digest: c.asked.Digest}})
 }
 
-// answerPending answers a resend from a record that is not yet durable. Until
-// it is, no new attempt may begin here, unless the record says ran: no.
+// answerPending answers a resend from a record that is not durable yet. Until
+// it is durable, no new attempt may begin here, unless the record says "ran: no".
 func (n *Node) answerPending(c *call) bool {
 	p, ok := n.entry.records[c.asked.ID]
 	if !ok || p.request.Ran == RanNo {
@@ -177,9 +178,9 @@
 	return true
 }
 
-// claimReplied goes on with a call whose claim was decided. A claim that comes
-// after its call was refused is given back. That is safe, since the record of
-// an attempt that was dispatched is pending here or durable already.
+// claimReplied continues a call whose claim was decided. A claim that arrives
+// after its call was refused is returned. That is safe, since the record of an
+// attempt that was dispatched is either pending here or already durable.
 func (n *Node) claimReplied(r ClaimReply) {
 	conn, ok := n.entry.callIDs[r.ID]
 	c := n.entry.calls[conn]
@@ -207,7 +208,7 @@
 	case ClaimConflict:
 		n.refuseCall(c, conflictRefusal())
 	case ClaimBusy:
-		// Another entry VM is at it; ask again until its record is there.
+		// Another entry VM holds the claim; retry until its record is durable.
 		c.busy = true
 	}
 }
@@ -216,8 +217,8 @@
 	return refusal(RefusedUnknown, RanUnknown, "it may have run, and its answer is not known", "look it up at the service before sending it under a new identity")
 }
 
-// dispatchCall sends a call to its runner. One that has asked to back off since it was picked is
-// left alone, and so is one that has named a limit since, where this VM has no permit for it.
+// dispatchCall sends a call to its runner. The call goes to another runner when this one has
+// asked to back off since it was picked, or has set a limit since and this VM has no permit.
 func (n *Node) dispatchCall(c *call) {
 	runner := c.stages[0].Target
 	if n.backoffs(runner) || !c.permitted && !n.entry.limits.Take(runnerID(runner), n.now) {
@@ -236,7 +237,7 @@
 	})
 }
 
-// dispatchEnded takes a runner's answer.
+// dispatchEnded handles the result of a dispatch to a runner.
 func (n *Node) dispatchEnded(e DispatchEnded) {
 	c := n.callOf(e)
 	if c == nil || c.phase != phaseDispatched {
@@ -272,8 +273,8 @@
 	}
 }
 
-// callOf finds the call that a dispatch was for: its caller may have come back
-// on another connection meanwhile.
+// callOf returns the call of a dispatch. Its caller may have reconnected on
+// another connection since.
 func (n *Node) callOf(e DispatchEnded) *call {
 	if c, ok := n.entry.calls[e.Conn]; ok {
 		return c
@@ -284,8 +285,7 @@
 	return nil
 }
 
-// retryCall sends a call that did not run, or that may run twice, to another
-// runner.
+// retryCall sends a call that did not run, or is repeatable, to another runner.
 func (n *Node) retryCall(c *call, avoid string) {
 	p := n.entry.pools[c.pool]
 	if p == nil || !n.entry.budget.take() || !n.now.Before(c.asked.Deadline) {
@@ -299,8 +299,8 @@
 	n.give(pool, route, stages)
 }
 
-// giveUpCall refuses a call that no runner took. Of one that broke it is not
-// known whether it ran, but it may be sent again.
+// giveUpCall refuses a call that no runner served. A repeatable call may have
+// run on a runner that failed, but may be sent again.
 func (n *Node) giveUpCall(c *call) {
 	ran := RanNo
 	if c.repeatable {
@@ -317,13 +317,13 @@
 	n.forgetCall(c)
 }
 
-// refuseCall gives a call its final refusal. A claim of a call that did not
-// run is given back.
+// refuseCall ends a call with a refusal. The claim of a call that did not run is
+// returned.
 //
-// An identity that the caller gave may have been sent to another entry VM
-// before. To be told ran: no under it means that no attempt has run, so the
-// control VMs are asked how its claim stands first; without their answer the
-// caller is told that it is not known.
+// An identity chosen by the caller may have been sent to another entry VM
+// before. A refusal with "ran: no" states that no attempt under the identity has
+// run, so the control VMs are first asked for the state of its claim. Without
+// their answer the refusal says that the outcome is unknown.
 func (n *Node) refuseCall(c *call, r Refusal) {
 	unsettled := !c.repeatable && c.asked.Returnable && !c.claimed && !c.left
 	if unsettled && r.Ran == RanNo && r.Kind != RefusedConflict {
@@ -333,7 +333,7 @@
 	n.endCall(c, r)
 }
 
-// peek asks how a claim stands before a refusal is given.
+// peek queries the state of a claim before a refusal is sent.
 func (n *Node) peek(c *call, r Refusal) {
 	leader := n.entry.tenure.leader
 	if leader == "" || c.busy || c.phase == phaseClaiming {
@@ -346,7 +346,7 @@
 	n.deliver(leader, Message{Claim: &ClaimRequest{ID: c.asked.ID, Digest: c.asked.Digest, Peek: true}})
 }
 
-// peeked gives the refusal, or what an earlier attempt has brought.
+// peeked sends the refusal, or the result of an earlier attempt.
 func (n *Node) peeked(c *call, r ClaimReply) {
 	switch r.Outcome {
 	case ClaimNone:
@@ -388,9 +388,9 @@
 	}
 }
 
-// callLeft follows a caller that has closed its connection. What has not begun
-// is dropped; what may have begun is seen through, so that a resend gets its
-// answer.
+// callDisconnected handles a caller that has closed its connection. A call that
+// has not begun is removed. One that may have begun runs to its end, so that a
+// resend gets its answer.
 func (n *Node) callLeft(c *call) {
 	c.left = true
 	if c.phase == phaseQueued && !c.claimed {
@@ -418,7 +418,7 @@
 	}
 }
 
-// record stores how a claimed call ended, and goes on until that is durable.
+// record stores the outcome of a claimed call, and resends it until it is durable.
 func (n *Node) record(r RecordRequest) {
 	if len(r.Answer.Body) > recordLimit {
 		r.Answer = CallAnswer{Status: r.Answer.Status, ContentType: "text/plain", Body: []byte("the answer was given once and was too large to be kept")}
@@ -427,7 +427,7 @@
 	n.sendRecord(n.entry.records[r.ID])
 }
 
-// recordLimit bounds the answers that are kept, in bytes.
+// maxRecordBytes bounds the body of a recorded answer.
 const recordLimit = 64 << 10
 
 func (n *Node) sendRecord(p *pendingRecord) {
