--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -8,25 +8,25 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// This file decides whether a request is taken, and in which order what was
-// taken is begun.
+// This file decides whether a request is admitted, and in which order admitted
+// requests begin.
 //
-// A request that can't be served before its deadline is refused the moment it
-// comes, with the time at which to come back; one that waits and has lost its
-// chance is refused within sweepEvery. A refusal here precedes every dispatch,
-// so it says ran: no, and the request has left the queue for good.
+// A request that can't be served before its deadline is refused on arrival, with
+// a retry time. A queued one that can no longer meet its deadline is refused
+// within sweepEvery. A refusal here precedes every dispatch, so it says "ran: no",
+// and the request has left the queue for good.
 
-// waiting is work that waits for a route: a stream or a call.
+// queuedWork is work that waits for a route: a stream or a call.
 type waiting struct {
 	organisation string
 	class        config.Class
-	// weight is the organisation's share; cost is what it asks for.
+	// weight is the organisation's share; cost is the requested amount of work.
 	weight   float64
 	cost     float64
 	deadline time.Time
 	// avoid is a target that has just refused it.
 	avoid string
-	// gone says that it has been refused or its caller has left.
+	// dropped is set when it was refused or its caller has disconnected.
 	gone bool
 	// stream or call is the work itself.
 	stream *stream
@@ -35,12 +35,12 @@
 
 func (w *waiting) isGone() bool { return w.gone }
 
-// rankCount is the number of ranks of a queue: two for each class.
+// rankCount is the number of priorities of a queue: two for each class.
 const rankCount = 2 * config.ClassCount
 
-// rank is the place of work among what waits: by class, and inside a class what
-// may not be repeated after all else, so that lookups are to be had when
-// submissions pile up.
+// rank returns the priority of queued work: by class, and within a class calls
+// that may not be repeated last, so that lookups are served while submissions
+// pile up.
 func (w *waiting) rank() int {
 	rank := 2 * int(w.class)
 	if w.isSubmission() {
@@ -52,11 +52,11 @@
 // isSubmission reports whether the work is a call that may not be repeated.
 func (w *waiting) isSubmission() bool { return w.call != nil && !w.call.repeatable }
 
-// queueLimit bounds what waits in one pool.
+// queueLimit bounds the queued work of one pool.
 const queueLimit = 20000
 
-// checkTenure returns the refusal that a VM without a lease, or one about to
-// go, gives to any new work.
+// checkServing returns the refusal for new work while this VM has no lease, or is
+// about to stop, and reports whether it accepts new work.
 func (n *Node) checkTenure() (Refusal, bool) {
 	if n.stopping && !n.now.Before(n.entry.leaveAt) {
 		return refusal(RefusedLeaving, RanNo, "this entry VM is being stopped", "send the request to one of the other addresses").
@@ -80,7 +80,7 @@
 	return n.entry.config.Organisations.Get(n.entry.keys[config.HashKey(key)])
 }
 
-// admit queues work, or returns why it is refused.
+// admit queues work, or returns the refusal.
 func (n *Node) admit(p *pool, w *waiting) (Refusal, bool) {
 	org, _ := n.entry.config.Organisations.Get(w.organisation)
 	if !n.now.Before(w.deadline) {
@@ -108,8 +108,8 @@
 	return Refusal{}, true
 }
 
-// readmit puts work that had its turn and was refused by a target back in line.
-// It is not charged again, so that it goes to the front of its flow's share.
+// readmit queues work again after a target refused it. It has no cost this time,
+// since its flow has already been charged for it.
 func (p *pool) readmit(w *waiting, avoid string) *waiting {
 	again := *w
 	again.avoid = avoid
@@ -117,7 +117,7 @@
 	return &again
 }
 
-// leave uncounts a request that has got its final answer.
+// uncount removes a request that got its final answer from the requests in progress.
 func (n *Node) leave(organisation string) {
 	n.entry.inProgress[organisation]--
 	if n.entry.inProgress[organisation] <= 0 {
@@ -125,14 +125,14 @@
 	}
 }
 
-// comeBack is when the queue will have drained, spread over as long again so
-// that those who are sent away do not return together.
+// retryTime returns a retry time after the queue is expected to be empty, with
+// jitter of the same length so that refused callers do not return together.
 func (n *Node) comeBack(p *pool) time.Time {
 	wait := max(p.wait(n.now, p.queued()), time.Second)
 	return n.now.Add(wait + time.Duration(n.rand.Int64N(int64(wait))))
 }
 
-// pump begins what waits while there are routes with room.
+// startQueued starts queued work while there are routes with free capacity.
 func (n *Node) pump(p *pool) {
 	for len(p.open) > 0 {
 		w, ok := p.queue.peek()
@@ -158,7 +158,7 @@
 	n.beginCall(w.call, p.name, name, stages)
 }
 
-// sweep refuses what waits in vain and forgets what is no longer of use.
+// sweep refuses queued work that can't meet its deadline and removes expired state.
 func (n *Node) sweep() {
 	for _, name := range n.poolNames() {
 		n.sweepPool(n.entry.pools[name])
@@ -184,8 +184,8 @@
 	n.pump(p)
 }
 
-// latest is when work must begin to end before its deadline. What begins later
-// would take room from work that can still be of use, and then be thrown away.
+// latestStart returns the latest start that meets the deadline. Work started later would
+// take capacity from work that can still succeed, and then be discarded.
 func (p *pool) latest(w *waiting) time.Time { return w.deadline.Add(-p.service(w.cost)) }
 
 func (n *Node) expire(p *pool, w *waiting) {
@@ -199,7 +199,7 @@
 	n.dropWaiting(w, refusal(RefusedDeadline, RanNo, "it waited until it could no longer be served before its deadline", "come back at the given time").WithRetryAt(n.comeBack(p)))
 }
 
-// dropWaiting refuses work that has not begun.
+// refuseQueued refuses work that has not begun.
 func (n *Node) dropWaiting(w *waiting, r Refusal) {
 	w.gone = true
 	if w.stream != nil {
@@ -209,8 +209,7 @@
 	n.refuseCall(w.call, r)
 }
 
-// retryBudget bounds retries to a share of all requests, so that they can't
-// feed on themselves.
+// retryBudget bounds retries to a share of all requests, to prevent retry storms.
 type retryBudget struct{ tokens float64 }
 
 const (
--- a/internal/core/routing.go
+++ b/internal/core/routing.go
@@ -13,56 +13,56 @@
 	"github.com/spoolbank/spoolbank/internal/core/plan"
 )
 
-// pool is a set of interchangeable routes and the work that waits for them:
-// the chains of a model's version, or the runners of a plain service.
+// pool is a set of interchangeable routes and the work queued for them: the
+// chains of a model version, or the runners of a plain service.
 type pool struct {
 	name string
-	// routes is in the order of byName's keys; open are those with room.
+	// routes holds the routes of byName; open are those with free capacity.
 	routes []*route
 	byName map[string]*route
 	open   []*route
-	// used counts what is in progress by the name of its route. It outlives
-	// the route: a chain that is mended comes back under its name while old
-	// work still runs on it.
+	// used counts the work in progress by route name. An entry can outlive its
+	// route: a repaired chain returns under its old name while earlier work
+	// still runs on it.
 	used  map[string]int
 	queue fairQueue[*waiting]
-	// served is the rate at which work ends, in units of cost a second, as an
+	// served is the rate at which work ends, in units of cost per second, as an
 	// exponential mean.
 	served   float64
 	servedAt time.Time
-	// unitTime is how long a unit of cost takes once it has begun, and usedPart
-	// the part of the asked cost that answers come to, as running means.
+	// unitTime is the time per unit of cost once work has begun, and costRatio the
+	// ratio of actual to requested cost. Both are running means.
 	unitTime time.Duration
 	usedPart float64
-	// sharers is how many entry VMs are thought to use each route.
+	// vmsPerRoute is the estimated number of entry VMs that use each route.
 	sharers float64
 }
 
-// route is one way through a pool.
+// route is one chain or runner of a pool.
 type route struct {
 	name   string
 	stages []Stage
 	slots  int
-	// window is what this entry VM may have in progress on it; see window.go.
+	// window bounds what this entry VM may have in progress on it; see window.go.
 	window float64
 	delay  delayMeter
-	// openAt is the place in the pool's open routes, or -1.
+	// openAt is the index in the pool's open routes, or -1.
 	openAt int
 }
 
 // targetState is what this entry VM knows of a target from its own work.
 type targetState struct {
 	used int
-	// suspectUntil is how long no new work goes there.
+	// suspectUntil is when the target may get new work again after a failure.
 	suspectUntil time.Time
 	failures     int
-	// backoffUntil is until when it has asked this VM to back off.
+	// backoffUntil is the end of the backoff that it asked this VM for.
 	backoffUntil time.Time
-	// report is what the last watch brought.
+	// report is the result of the last watch.
 	report TargetReport
 }
 
-// suspectFor is the first pause after a failure; it doubles up to the bound.
+// suspectInitial is the first pause after a failure. It doubles up to suspectMax.
 const (
 	suspectFor     = 500 * time.Millisecond
 	suspectAtMost  = 8 * time.Second
@@ -83,7 +83,7 @@
 	return ok && n.now.Before(t.suspectUntil)
 }
 
-// suspect keeps new work from a target that has just failed this VM.
+// suspect withholds new work from a target that has just failed.
 func (n *Node) suspect(name string) {
 	t := n.target(name)
 	pause := min(suspectFor<<min(t.failures, 8), suspectAtMost)
@@ -98,8 +98,8 @@
 	}
 }
 
-// refreshPools derives the pools from the configuration. Routes that stay keep
-// what is known of them.
+// refreshPools derives the pools from the configuration. Routes that remain keep
+// their window and delay.
 func (n *Node) refreshPools() {
 	c := n.entry.config
 	wanted := make(map[string]bool)
@@ -128,8 +128,8 @@
 	}
 }
 
-// servingVersion returns the version that a new stream uses: the pipeline's, or,
-// while chains still roll over to that, another one that has room where the
+// servingVersion returns the version that a new stream uses: the pipeline's own,
+// or, during the rollout to it, another one with free capacity when the
 // pipeline's has none.
 func (n *Node) servingVersion(p config.Pipeline) string {
 	wanted := p.Version
@@ -200,12 +200,12 @@
 	}
 }
 
-// subsetSize is how many routes of a pool an entry VM uses. With fewer there is
-// nothing to gain; with more, each VM would keep connections to every target.
+// subsetSize is the number of routes of a pool that an entry VM uses. A pool with
+// fewer needs no subset; with more, each VM would connect to every target.
 const subsetSize = 16
 
-// subset returns the routes that this VM uses: those that rank highest by a
-// hash of the VM and the route, so that a change of one moves no other.
+// subset returns the routes that this VM uses: the first by a hash of the VM and
+// the route, so that a change of one route moves no other.
 func (n *Node) subset(routes []*route) []*route {
 	if len(routes) <= subsetSize {
 		return routes
@@ -216,7 +216,7 @@
 	return ranked[:subsetSize]
 }
 
-// sharers estimates how many entry VMs use each route.
+// vmsPerRoute estimates the number of entry VMs that use each route.
 func (n *Node) sharers(all, used int) float64 {
 	if all == 0 {
 		return 1
@@ -224,14 +224,13 @@
 	return max(1, float64(len(n.entry.view))*float64(used)/float64(all))
 }
 
-// firstWindow is an even part of a route's slots.
-// drawLimit bounds the random draws before all open routes are looked at.
+// maxDraws bounds the random draws before all open routes are scanned.
 const drawLimit = 4
 
-// choose returns the better of two routes drawn at random among those with
-// room. Two draws keep several entry VMs from all taking the one that was idle
-// in the last report. Its cost does not grow with the number of routes: only
-// when the draws meet none that is usable are the open ones looked at in turn.
+// choose returns the better of two routes drawn at random among those with free
+// capacity. With two random choices, entry VMs don't all pick the route that was
+// idle in the last report. The cost does not grow with the number of routes: the
+// open ones are scanned only when the draws find none that is usable.
 func (n *Node) choose(p *pool, w *waiting) *route {
 	a := n.draw(p, w)
 	b := n.draw(p, w)
@@ -263,8 +262,8 @@
 	return last
 }
 
-// usable reports whether work may go on a route. Submissions leave the last
-// place of each runner to lookups.
+// usable reports whether a route may take the work. Submissions leave the last
+// free place of each runner to lookups.
 func (n *Node) usable(p *pool, r *route, w *waiting) bool {
 	if n.routeSuspect(r) || n.routeBackoffs(r) || n.routeShort(r) {
 		return false
@@ -272,7 +271,7 @@
 	return !w.isSubmission() || r.window < 2 || float64(p.used[r.name])+1 < r.window
 }
 
-// reopen keeps the list of routes with room in step after a change of one.
+// updateOpen updates the list of routes with free capacity after a change of r.
 func (p *pool) reopen(r *route) {
 	room := float64(p.used[r.name]) < r.window
 	switch {
@@ -296,8 +295,8 @@
 	return slices.ContainsFunc(r.stages, func(s Stage) bool { return n.isSuspect(s.Target) })
 }
 
-// cost of a route is the part of its slots that is used, and a little for each
-// stage in another hall.
+// cost returns the share of a route's slots that would be used, plus a small
+// penalty for each stage in another hall.
 func (n *Node) cost(p *pool, r *route) float64 {
 	cost := float64(p.used[r.name]+1) / float64(max(r.slots, 1))
 	for _, s := range r.stages {
@@ -310,7 +309,7 @@
 
 const awayCost = 0.01
 
-// take counts a piece of work on a route and its stages.
+// reserve counts one unit of work on a route and its targets.
 func (n *Node) take(poolName, name string, stages []Stage) {
 	if p, ok := n.entry.pools[poolName]; ok {
 		p.use(name, 1)
@@ -332,7 +331,7 @@
 	n.pump(p)
 }
 
-// use counts work on a route by its name.
+// use changes the count of work in progress on a route.
 func (p *pool) use(name string, change int) {
 	p.used[name] += change
 	if p.used[name] == 0 {
@@ -343,11 +342,11 @@
 	}
 }
 
-// meanPart is the weight of a new sample in a running mean.
+// meanWeight is the weight of a new sample in a running mean.
 const meanPart = 0.05
 
-// ended counts work that has ended, for the estimates of times: how much was
-// asked for, how much it came to, and how long that took.
+// recordEnd updates the time estimates with work that has ended: its requested
+// cost, its actual cost and its duration.
 func (p *pool) ended(asked, cost float64, took time.Duration, now time.Time) {
 	elapsed := now.Sub(p.servedAt)
 	p.served = p.served*decay(elapsed) + cost/servedHalfLife.Seconds()*math.Ln2
@@ -364,7 +363,7 @@
 	p.usedPart += meanPart * (cost/asked - p.usedPart)
 }
 
-// service estimates how long work of the given cost takes once it has begun.
+// serviceTime estimates how long work of the given cost takes once it has begun.
 func (p *pool) service(cost float64) time.Duration {
 	return time.Duration(cost * p.usedPart * float64(p.unitTime))
 }
@@ -373,8 +372,8 @@
 	return math.Exp2(-elapsed.Seconds() / servedHalfLife.Seconds())
 }
 
-// wait estimates how long it takes to serve so much cost. It is 0 while
-// nothing is known.
+// waitTime estimates how long it takes to serve the cost ahead. It is 0 while
+// the service rate is unknown.
 func (p *pool) wait(now time.Time, ahead float64) time.Duration {
 	rate := p.served * decay(now.Sub(p.servedAt))
 	if rate <= 0 || ahead <= 0 {
@@ -383,7 +382,7 @@
 	return time.Duration(ahead * p.usedPart / rate * float64(time.Second))
 }
 
-// queued returns the cost of all that waits.
+// queued returns the total cost of the queued work.
 func (p *pool) queued() float64 {
 	var cost float64
 	for i := range p.queue.classes {
@@ -392,7 +391,7 @@
 	return cost
 }
 
-// load is the part of this VM's windows that is used, in thousandths.
+// load returns the used share of this VM's windows, in thousandths.
 func (n *Node) load() int {
 	used, room := 0, 0.0
 	for _, p := range n.entry.pools {
@@ -407,8 +406,8 @@
 	return int(float64(used) / room * 1000)
 }
 
-// rendezvous orders VMs by their hash with a key. Each VM that knows the same
-// list gets the same order, and the loss of one moves only what was its own.
+// rendezvous orders VMs by their hash with a key (rendezvous hashing). VMs with
+// the same list get the same order, and the loss of one moves only its own keys.
 func rendezvous(key string, views []EntryView, count int) []VMName {
 	type scored struct {
 		vm    VMName
--- a/internal/core/window.go
+++ b/internal/core/window.go
@@ -6,53 +6,55 @@
 )
 
 // This file sizes the window of each route: how much this entry VM may have in
-// progress there.
+// progress on it.
 //
-// The problem: engines take many more streams into memory than they can run at
-// a time. Beyond the point where all stages of a chain are at work, one more
-// stream adds no throughput. It only makes every answer slower, those of the
-// critical class too, and it takes room that fair shares then can't give to
-// others. Slots and load reports don't show that point; the time of a run does.
+// The problem: engines accept many more streams into memory than they can run
+// concurrently. Once all stages of a chain are busy, another stream adds no
+// throughput. It slows down every answer, also those of the critical class, and
+// takes capacity that fair sharing then can't give to others. Slots and load
+// reports don't show that point, but the latency of a run does.
 //
-// The algorithm: a window begins small. Once in as many runs as it is wide it
-// grows by one when the mean time of a run is near the least one seen, and
+// The algorithm: a window starts small. Once per as many runs as its size, it
+// grows by one when the mean latency of a run is near the minimum seen, and
 // shrinks by a tenth when it is far above. A refusal halves it. Each entry VM
-// does so by itself; they share a route because each of them sees the same
-// delay. Growing by one for every run at first was tried: at an open it filled
-// the engines to twice what they can run before the delay showed.
+// does so on its own; they share a route since all of them see the same delay.
+// Growing by one for every run at first was rejected: when an event opened, the
+// engines were filled to twice what they can run before the delay showed.
 //
-// Known limits: the least time is forgotten after delayMemory at the earliest,
-// so a route that has become slower for good is used too little until then.
+// Known limits: the minimum expires after minDelayLifetime at the earliest, so a
+// route that has become permanently slower is underused until then.
 
 const (
-	// delayMore and delayMost are the mean time of a run, over the least one,
-	// below which a window grows and above which it shrinks.
+	// growBelow and shrinkAbove are the ratios of the mean run latency to the
+	// minimum below which a window grows and above which it shrinks.
 	delayMore = 1.15
 	delayMost = 1.3
-	// delaySlack is what a run may take longer without meaning anything: the
-	// noise of a busy machine. It is small beside what may pass between tokens.
+	// delaySlack is added to the minimum to tolerate the jitter of a busy machine.
+	// It is small compared to the time allowed between tokens.
 	delaySlack = 2 * time.Millisecond
-	// delayMemory is how long the least time is kept, once or twice over.
+	// minDelayLifetime is how long the minimum is kept: at least once, at most twice
+	// this time.
 	delayMemory = 2 * time.Minute
-	// windowShrink is what a delay, and windowHalve what a refusal leaves.
+	// delayFactor scales a window after a delay, refusalFactor after a refusal.
 	windowShrink = 0.9
 	windowHalve  = 0.5
-	// firstPart is the part of an even share that a window begins with.
+	// initialShare is the fraction of an even share that a window starts with.
 	firstPart = 0.125
+	// delayWeight is the weight of a new sample in the mean latency.
 	delayPart = 0.125
 )
 
-// delayMeter keeps the times of a route's runs.
+// delayMeter tracks the latencies of a route's runs.
 type delayMeter struct {
 	least    time.Duration
 	leastNow time.Duration
 	leastAt  time.Time
 	mean     float64
-	// count is the number of runs since the window was last looked at.
+	// count is the number of runs since the window was last adjusted.
 	count int
 }
 
-// add takes the time of one run, and returns the mean over the least.
+// add records the latency of one run and returns the ratio of the mean to the minimum.
 func (d *delayMeter) add(took time.Duration, now time.Time) float64 {
 	if d.leastAt.IsZero() || now.Sub(d.leastAt) > delayMemory {
 		d.least = d.leastNow
@@ -72,16 +74,17 @@
 	return d.mean / float64(least+delaySlack)
 }
 
-// firstWindow is a small part of an even share of the route's slots.
+// initialWindow returns the starting size of a window. For a chain it is a small
+// fraction of an even share of the route's slots.
 func (p *pool) firstWindow(r *route) float64 {
 	if len(r.stages) == 1 && r.stages[0].Layers.Len() == 0 {
-		// A runner of a plain service says itself when it has no room.
+		// A runner of a plain service refuses work itself when it is full.
 		return math.Max(1, math.Ceil(float64(r.slots)/max(p.sharers, 1)))
 	}
 	return math.Max(1, math.Ceil(firstPart*float64(r.slots)/max(p.sharers, 1)))
 }
 
-// ran moves a route's window by the time that a run took.
+// recordRun adjusts a route's window by the latency of a run.
 func (p *pool) ran(name string, took time.Duration, now time.Time) {
 	r := p.byName[name]
 	if r == nil {
@@ -104,7 +107,7 @@
 	p.reopen(r)
 }
 
-// refused halves a route's window.
+// recordRefusal halves a route's window.
 func (p *pool) refused(name string) {
 	r := p.byName[name]
 	if r == nil {
@@ -114,7 +117,7 @@
 	p.reopen(r)
 }
 
-// taken lets the window of a plain service's runner grow again after refusals.
+// recordSuccess lets the window of a plain service's runner grow again after refusals.
 func (p *pool) taken(name string) {
 	r := p.byName[name]
 	if r == nil {
