--- a/internal/core/fair_queue.go
+++ b/internal/core/fair_queue.go
@@ -2,21 +2,21 @@
 
 import "container/heap"
 
-// fairQueue orders waiting work: by class, and inside a class by weighted fair
-// shares among flows. It is start-time fair queueing: each flow has a tag, the
-// flow with the lowest goes first, and what it is served moves its tag on by
-// cost over weight. A flow that asks for ten times its share is served at its
-// share while others wait, and gets all that nobody else asks for.
+// fairQueue orders queued work by class, and within a class by weighted fair
+// shares among flows. It implements start-time fair queueing: each flow has a
+// tag, the flow with the lowest tag is served first, and service advances its
+// tag by cost over weight. A flow that demands ten times its share is limited to
+// its share while others wait, and gets all spare capacity.
 //
-// Tags move when work is served and not when it arrives. Work that is dropped
-// while it waits costs its flow nothing: charging it at its arrival was tried,
-// and a flow whose work had expired was then served nothing at all.
+// Tags advance when work is served, not when it arrives, so work dropped from
+// the queue costs its flow nothing. Charging on arrival was rejected: a flow
+// whose work had expired was then not served at all.
 //
-// Push and pop cost the logarithm of the number of flows that wait.
+// Push and pop take time logarithmic in the number of waiting flows.
 type fairQueue[T any] struct {
 	classes []fairClass[T]
 	length  int
-	// dropped reports whether an item is no longer to be served.
+	// dropped reports whether an item must no longer be served.
 	dropped func(T) bool
 }
 
@@ -24,7 +24,7 @@
 	virtual float64
 	flows   map[string]*flow[T]
 	waiting flowHeap[T]
-	// cost is that of all items, weight that of the flows that have items.
+	// cost is the sum over all items, weight the sum over the flows with items.
 	cost   float64
 	weight float64
 }
@@ -50,7 +50,7 @@
 	return q
 }
 
-// push adds an item of the given cost to the flow, which has the weight.
+// push adds an item of the given cost to the flow of that name and weight.
 func (q *fairQueue[T]) push(class int, name string, weight, cost float64, value T) {
 	c := &q.classes[class]
 	f, ok := c.flows[name]
@@ -70,8 +70,8 @@
 	}
 }
 
-// peek returns the item that is next, and reports whether there is one. What
-// has been dropped is taken away on the way.
+// peek returns the next item and reports whether there is one. It removes dropped
+// items that it passes.
 func (q *fairQueue[T]) peek() (value T, ok bool) {
 	for i := range q.classes {
 		c := &q.classes[i]
@@ -86,7 +86,7 @@
 	return value, false
 }
 
-// pop takes the item that is next, and reports whether there was one.
+// pop removes and returns the next item, and reports whether there was one.
 func (q *fairQueue[T]) pop() (value T, ok bool) {
 	value, ok = q.peek()
 	if !ok {
@@ -106,7 +106,7 @@
 	return value, true
 }
 
-// advance takes the head of the class's first flow away.
+// removeHead removes the head of the class's first flow.
 func (q *fairQueue[T]) advance(c *fairClass[T], f *flow[T]) {
 	f.cost -= f.items[0].cost
 	c.cost -= f.items[0].cost
@@ -122,12 +122,13 @@
 	c.forget()
 }
 
-// forgetAbove bounds the flows without items that are remembered.
+// evictAbove is the number of flows above which idle ones are removed also while
+// others wait.
 const forgetAbove = 1000
 
-// forget drops flows without items whose tag says nothing any more. While
-// others wait, one that was served ahead of virtual time stays known, so that
-// it can't gain by coming back empty.
+// evictIdle removes flows without items whose tag has no effect any more. While
+// others wait, a flow that was served ahead of virtual time is kept, so that it
+// gains nothing by running empty and returning.
 func (c *fairClass[T]) forget() {
 	if len(c.waiting) > 0 && len(c.flows) < forgetAbove {
 		return
@@ -139,9 +140,9 @@
 	}
 }
 
-// ahead returns the cost that is served before a new item of the flow: all of
-// the classes before, and of its own class the part that fair shares give the
-// other flows while its own items are served.
+// costAhead returns the cost that is served before a new item of the flow: that of
+// all earlier classes, and in its own class the cost that fair sharing serves
+// until the flow's own items are done.
 func (q *fairQueue[T]) ahead(class int, name string, weight float64) float64 {
 	var before float64
 	for i := range class {
@@ -155,7 +156,7 @@
 	return before + min(f.cost*c.weight/weight, c.cost)
 }
 
-// flowHeap is a heap of the flows that have items, by their tag.
+// flowHeap is a heap of the flows with items, ordered by tag and then name.
 type flowHeap[T any] []*flow[T]
 
 func (h flowHeap[T]) Len() int { return len(h) }
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -7,31 +7,31 @@
 	"github.com/spoolbank/spoolbank/internal/core/plan"
 )
 
-// This file decides what engines hold and orders them to load it.
+// This file decides which layers each engine holds and sends the orders to load them.
 //
 // The plan is a pure function of the configuration. The leader writes it to
-// the log, so that it is in force for entry VMs like any other change, and
-// then sends the orders. Which of two mechanisms keeps a former leader's order
-// from undoing a later one is said by the target's declaration:
+// the log, so that it applies to entry VMs like any other change, and then
+// sends the orders. The target's declaration selects the mechanism that keeps
+// an order of a former leader from undoing a later one:
 //
 //   - fence=true: the target refuses an order whose (term, sequence) is before
-//     one it has carried out.
-//   - fence=false: each order is void OrderLife after its issue, and a new
-//     leader sends such a target nothing until the orders of the one before
-//     have all become void.
+//     one it has applied.
+//   - fence=false: each order expires OrderLife after its issue, and a new
+//     leader sends such a target nothing until all orders of the previous
+//     leader have expired.
 
-// orderState is an order that is under way.
+// orderState is an order in flight.
 type orderState struct {
 	fence Fence
-	// againAt is when it is sent again, if no answer came.
+	// resendAt is when it is resent without an answer.
 	againAt time.Time
 	sentAt  time.Time
 }
 
-// ordersPause is the interval between two looks while an order is open.
+// openOrdersInterval is the interval between checks while an order is open.
 const ordersPause = 50 * time.Millisecond
 
-// tickPlan writes a new plan when the configuration has changed.
+// tickPlan proposes a new plan when the configuration has changed.
 func (n *Node) tickPlan() {
 	c := n.machine.Config
 	if n.leading.planned == c.Revision || n.leading.planPending > n.replica.commit {
@@ -46,7 +46,7 @@
 	}
 }
 
-// numbered gives each placement the next sequence.
+// withSequences assigns the next sequence number to each placement.
 func (n *Node) numbered(changes []config.Change) []config.Change {
 	sequence := n.machine.Sequence
 	for i := range changes {
@@ -60,9 +60,9 @@
 	return changes
 }
 
-// tickOrders sends what engines have not confirmed yet.
+// tickOrders sends the orders that engines have not confirmed yet.
 //
-// It looks at all placements, so it does so seldom while all are confirmed.
+// It scans all placements, so it runs less often while all are confirmed.
 func (n *Node) tickOrders() {
 	if n.now.Before(n.leading.ordersAt) {
 		return
@@ -104,9 +104,9 @@
 	return state == nil || state.fence.Sequence != p.Sequence || !n.now.Before(state.againAt)
 }
 
-// recheck returns the placement with its ready mark mended, when a watcher has
-// seen that it is no longer true: the order was carried out, or the engine has
-// restarted and holds nothing.
+// updateReady returns the placement with its ready mark corrected, and reports
+// whether it changed. A watcher may have seen that the order was applied, or that
+// the engine restarted and holds nothing.
 func (n *Node) recheck(p config.Placement, state *orderState) (config.Placement, bool) {
 	held, at := n.holding(p.Target)
 	if at.IsZero() {
@@ -140,7 +140,7 @@
 	n.emit(Order{Fence: fence, Address: target.Address, Placement: p, Adapters: model.Adapters, NotAfter: notAfter})
 }
 
-// orderEnded marks a placement that its engine has confirmed.
+// orderEnded marks a placement as ready once its engine has confirmed it.
 func (n *Node) orderEnded(o OrderEnded) {
 	if !n.holdsLease() {
 		return
@@ -159,11 +159,11 @@
 	n.leading.planPending = n.propose(Entry{Changes: []config.Change{{Place: &ready}}})
 }
 
-// pipelineUse is what a pipeline's chains allow.
+// pipelineUse is the capacity of a pipeline's chains.
 type pipelineUse struct {
 	chains int
 	slots  int
-	// bound is in tokens a second.
+	// bound is in tokens per second.
 	bound float64
 }
 
