--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -9,42 +9,41 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file has the leader tell engines that register themselves which layers
-// to hold.
+// This file lets the leader order engines that register themselves to hold layers.
 //
-// What an engine holds, it says itself, so that a new leader needs no memory of
-// the orders of the one before. An order is conditional on the number of orders
-// that the engine has carried out: a late copy of an older one is refused by the
-// engine. An order without an answer may still be carried out; the engine then
-// counts as holding its range until it says otherwise or the wait is over.
+// Engines report the layers that they hold, so a new leader needs no record of
+// the previous leader's orders. An order is conditional on the number of orders
+// that the engine has applied, so the engine refuses a late copy of an older one.
+// An order without an answer may still be applied. The engine then counts as
+// holding its range until it reports otherwise or the timeout has passed.
 
 // OrderLayers asks the runtime to order an engine to hold layers. LayersOrdered
-// answers it.
+// reports the outcome.
 type OrderLayers struct {
 	Target  relay.TargetID
 	Address string
 	Layers  config.Range
-	// NotAfter is when the order is void.
+	// NotAfter is when the order expires.
 	NotAfter time.Time
 }
 
-// OrderOutcome is how an order ended.
+// OrderOutcome is the outcome of an order.
 type OrderOutcome int
 
 // The outcomes of an order.
 const (
-	// OrderBegun: the engine carries it out.
+	// OrderBegun means that the engine has started to apply it.
 	OrderBegun OrderOutcome = iota
-	// OrderRefused: the engine did not take it.
+	// OrderRefused means that the engine did not accept it.
 	OrderRefused
-	// OrderUnknown: it may have been taken, or may be later.
+	// OrderUnknown means that it may have been accepted, or may still be.
 	OrderUnknown
 )
 
 // String returns the outcome's name.
 func (o OrderOutcome) String() string { return [...]string{"begun", "refused", "unknown"}[o] }
 
-// LayersOrdered answers OrderLayers.
+// LayersOrdered reports the outcome of an OrderLayers.
 type LayersOrdered struct {
 	Target  relay.TargetID
 	Outcome OrderOutcome
@@ -55,52 +54,52 @@
 func (LayersOrdered) isEvent() {}
 
 const (
-	// placeEvery is the interval between two looks at what engines hold.
+	// placeInterval is the interval between checks of the layers that engines hold.
 	placeEvery = 250 * time.Millisecond
-	// placeSettle is the quiet after the last new engine before the first plan is
-	// made: engines register within one beat of 1.2 s.
+	// placeSettleTime is the time without a new engine before the first plan is made:
+	// engines register within one heartbeat of 1.2 s.
 	placeSettle = 1300 * time.Millisecond
-	// placeLife is how long an order may wait to be delivered.
+	// layerOrderLifetime is how long an order may take to be delivered.
 	placeLife = 2 * time.Second
-	// placeAgain is the pause after an order that was refused.
+	// refusedOrderDelay is the delay after an order that was refused.
 	placeAgain = 2 * time.Second
-	// placeUnknown is the wait for an order without an answer: a late one is
-	// carried out within 12 s.
+	// unknownOrderTimeout is the wait for an order without an answer: a late one is
+	// applied within 12 s.
 	placeUnknown = 13 * time.Second
 )
 
-// placing is what the leader knows of its orders. It is lost with the lead.
+// placing is the leader's state of its orders. It is lost when leadership ends.
 type placing struct {
 	decoded decoded
 	lookAt  time.Time
-	// queued is what the plan of a fleet that held nothing has not been ordered yet, by
-	// service.
+	// queued holds the assignments of an initial plan that have not been ordered yet, by
+	// service. An initial plan is one for a fleet that holds nothing.
 	queued map[string][]relay.Assignment
-	// orders holds what was ordered and is not yet seen to be held.
+	// orders holds the orders that engines have not yet reported as applied.
 	orders map[relay.TargetID]layerOrder
-	// underWay are the engines with an order that has no outcome yet.
+	// underWay holds the engines with an order in flight.
 	underWay map[relay.TargetID]bool
-	// known is the number of engines at the last look, and settledAt when the
-	// first plan may be made.
+	// enginesSeen is the highest number of engines seen, and settledAt when the first plan may
+	// be made.
 	known     int
 	settledAt time.Time
-	// noted is what was last noted of a service's plan and faults, holds what the layers
-	// that engines hold bear, and holdsAt when that is worked out again, by service.
+	// By service, noted holds what was last logged of the plan and its faults, holds the
+	// capacity of the layers that engines hold, and holdsAt when that is updated next.
 	noted   map[string]planNotes
 	holds   map[string]relay.Capacity
 	holdsAt map[string]time.Time
 }
 
-// planNotes is what was last noted of a service: each is noted again when it changes.
+// planNotes holds the last log lines on a service. Each is logged again when it changes.
 type planNotes struct{ faults, plan string }
 
-// holdsEvery is the interval between two looks at what the layers that engines hold bear:
-// the figure is for operators, who look at it every few seconds.
+// capacityInterval is the interval at which the capacity of the held layers is computed. The
+// figure is for operators, who read it every few seconds.
 const holdsEvery = time.Second
 
 type layerOrder struct {
 	layers config.Range
-	// until is when it is taken to have come to nothing.
+	// until is when the order is assumed to have failed.
 	until time.Time
 }
 
@@ -137,9 +136,8 @@
 	n.orderSome(s, n.assignments(s, engines, holding))
 }
 
-// assignments returns what is to be ordered next, the most urgent first. What was planned
-// for a fleet that held nothing is kept until it is ordered: a plan for what is left would
-// be another one.
+// assignments returns the next orders, the most urgent first. An initial plan is kept until
+// all of it is ordered, since a plan for the remaining engines would differ.
 func (n *Node) assignments(s *relay.Service, engines []relay.Target, holding bool) []relay.Assignment {
 	p := &n.leading.placing
 	if !holding {
@@ -160,9 +158,9 @@
 	return n.settings.Policy.Plan(s.Engine, firstEmpty(engines, loadsAhead*s.Engine.LoadsAtOnce))
 }
 
-// firstEmpty returns engines without those that hold nothing after the first so many; most is
-// 0 where there is no bound. What can't be ordered yet is not planned for: a plan for 1,500
-// empty engines beside as many others takes 0.15 s.
+// firstEmpty returns engines with at most the first most of those that hold nothing; 0 is no
+// bound. Engines that can't be ordered yet are left out of the plan: one for 1,500 empty
+// engines and as many others takes 0.15 s.
 func firstEmpty(engines []relay.Target, most int) []relay.Target {
 	if most <= 0 {
 		return engines
@@ -177,16 +175,16 @@
 	})
 }
 
-// loadsAhead is how many times more engines load at a time than load at full speed: that
-// one is done is known up to a heartbeat later, in which the store is not to be idle.
+// loadsAhead is the factor by which loads in progress exceed those that run at full speed. The
+// end of a load is reported up to a heartbeat later, and the store must not be idle until then.
 const loadsAhead = 8
 
-// ordersAtOnce is how many orders are under way at a time. Each is a connection and a call of
-// the runtime's, behind all of which the leader's heartbeats and leases would wait.
+// maxOrdersInFlight bounds the orders in flight. Each is a connection and a call of the
+// runtime, and the leader's heartbeats and leases would wait behind all of them.
 const ordersAtOnce = 64
 
-// orderSome orders no more engines than can load at a time: all that load share a store, and of
-// thousands that load at once none would hold anything for long.
+// sendOrders orders no more engines than may load concurrently. All loads share a store, and
+// with thousands in parallel none would finish for a long time.
 func (n *Node) orderSome(s *relay.Service, assignments []relay.Assignment) {
 	p := &n.leading.placing
 	for _, a := range assignments {
@@ -197,7 +195,7 @@
 	}
 }
 
-// mayOrder reports whether one engine more may be ordered now.
+// mayOrder reports whether another engine may be ordered now.
 func (p *placing) mayOrder(e *relay.Engine) bool {
 	if len(p.underWay) >= ordersAtOnce {
 		return false
@@ -205,7 +203,7 @@
 	return e.LoadsAtOnce <= 0 || len(p.orders) < loadsAhead*e.LoadsAtOnce
 }
 
-// orderQueued orders the next ones of the plans of fleets that held nothing.
+// orderQueued sends the next orders of the initial plans.
 func (n *Node) orderQueued() {
 	p := &n.leading.placing
 	for _, service := range slices.Sorted(maps.Keys(p.queued)) {
@@ -220,8 +218,8 @@
 	}
 }
 
-// enginesOf returns the engines of a service that live and take work, with what
-// they hold or were ordered to hold.
+// enginesOf returns the live engines of a service that accept work, with the layers
+// that they hold or were ordered to hold, and whether any of them holds layers.
 func (n *Node) enginesOf(service string) (engines []relay.Target, holding bool) {
 	p := &n.leading.placing
 	marks := n.leading.fleetNow(n).marks
@@ -259,7 +257,7 @@
 	n.emit(OrderLayers{Target: a.Target, Address: t.Address, Layers: a.Layers, NotAfter: n.now.Add(placeLife)})
 }
 
-// loadCaution lengthens the expected time of a load, since loads share a store.
+// loadTimeFactor extends the expected time of a load, since loads share a store.
 const loadCaution = 4
 
 func (n *Node) layersOrdered(o LayersOrdered) {
--- a/internal/core/placing_notes.go
+++ b/internal/core/placing_notes.go
@@ -11,10 +11,10 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file tells operators what the leader plans with, and what the plan bears.
+// This file logs the leader's plans for operators, with their inputs and capacity.
 
-// noteFaults notes what keeps a service from a plan, or from a good one, when it changes.
-// What engines hold stands.
+// logFaults logs the faults that prevent a plan for a service, or a good one, when they
+// change. The layers that engines hold are left as they are.
 func (n *Node) noteFaults(s *relay.Service, engines []relay.Target) {
 	text := ""
 	if err := errors.Join(s.Engine.Faults(engines)...); err != nil {
@@ -31,7 +31,7 @@
 	}
 }
 
-// notePlan notes a plan with its inputs.
+// logPlan logs a plan with its inputs.
 func (n *Node) notePlan(s *relay.Service, engines []relay.Target, plan []relay.Assignment) {
 	held := withLayers(engines, plan)
 	whole, left := s.Engine.Hold(held), s.Engine.HoldAfter(held, lossesNoted)
@@ -47,13 +47,13 @@
 }
 
 const (
-	// lossesNoted is the number of lost engines that a noted plan gives the rate after.
+	// loggedLosses is the number of lost engines for which a logged plan states the rate.
 	lossesNoted = 3
-	// roundedTo is the unit of the times in a note: people need no more.
+	// timeUnit is the unit to which logged times are rounded.
 	roundedTo = 10 * time.Millisecond
 )
 
-// withLayers returns engines with the layers that a plan gives them.
+// withLayers returns engines with the layers that a plan assigns to them.
 func withLayers(engines []relay.Target, plan []relay.Assignment) []relay.Target {
 	given := make(map[relay.TargetID]relay.Assignment, len(plan))
 	for _, a := range plan {
@@ -68,7 +68,7 @@
 	return held
 }
 
-// kindsOf counts engines by kind.
+// countKinds lists the number of engines of each accelerator kind.
 func kindsOf(engines []relay.Target) string {
 	counts := make(map[string]int)
 	for _, t := range engines {
@@ -81,7 +81,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// lookAtHolds works out what the layers that engines hold bear, for Status.
+// updateCapacity computes the capacity of the layers that engines hold, for Status.
 func (n *Node) lookAtHolds(s *relay.Service, engines []relay.Target) {
 	p := &n.leading.placing
 	if n.now.Before(p.holdsAt[s.Name]) {
@@ -91,7 +91,7 @@
 	p.holds[s.Name] = s.Engine.Hold(engines)
 }
 
-// planHolds returns what the layers that engines hold bear, over all services.
+// planHolds returns the capacity of the layers that engines hold, over all services.
 func (n *Node) planHolds() (answers, rate float64) {
 	for _, c := range n.leading.placing.holds {
 		answers += c.Answers
--- a/internal/core/shortlist.go
+++ b/internal/core/shortlist.go
@@ -9,17 +9,17 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file has a control VM list the engines that entry VMs are told of: see
+// This file selects the engines that a control VM advertises to entry VMs: see
 // relay/shortlist.go.
 
-// listEvery is the least time between two looks at the shortlists: a look goes through all
-// engines, and load that doubles within it is borne by what is listed.
+// shortlistInterval is the least time between checks of the shortlists. A check scans all
+// engines, and those listed can take a load that doubles within the interval.
 const listEvery = 250 * time.Millisecond
 
-// shortlist is when a control VM looks at the shortlists next.
+// shortlist holds the time of the next check of the shortlists.
 type shortlist struct{ lookAt time.Time }
 
-// listEngines lists the engines that the load wants, where it is time for it.
+// listEngines lists the engines that the load requires, when a check is due.
 func (n *Node) listEngines() {
 	s := &n.registry.shortlist
 	if n.now.Before(s.lookAt) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// listService lists the engines of a service that the load wants, of those that live.
+// listService lists the live engines of a service that the load requires.
 func (n *Node) listService(service string, engines []relay.Target) {
 	ids, answers := n.shortlistOf(service, engines)
 	more := 0
@@ -51,7 +51,7 @@
 	n.note(fmt.Sprintf("entry VMs are told of %d engines more: %d of %d are on the shortlists, for %.0f answers in progress", more, len(ids), len(engines), answers), service)
 }
 
-// liveEngines returns the targets that may be withheld and can be given work, by service.
+// liveEngines returns the live targets that may be withheld and accept work, by service.
 func (n *Node) liveEngines() map[string][]relay.Target {
 	marks := n.markedTargets()
 	engines := make(map[string][]relay.Target)
@@ -63,9 +63,9 @@
 	return engines
 }
 
-// shortlistOf returns the engines of a service that entry VMs are to know, and the answers in
-// progress that they are for: all of them where the document has no cost model of them, for
-// they hold no layers then.
+// shortlistOf returns the engines of a service to advertise to entry VMs, and the number of
+// answers in progress that they are sized for. Without a cost model in the document it returns
+// all engines, since they hold no layers then.
 func (n *Node) shortlistOf(service string, engines []relay.Target) (ids []relay.TargetID, answers float64) {
 	if e := n.registry.unnamed.decoded.document.Engine(service); e != nil {
 		answers = e.InProgress(engines, n.fleetWork())
@@ -77,7 +77,7 @@
 	return ids, 0
 }
 
-// markedTargets returns the marks of targets as this VM knows them.
+// markedTargets returns the target marks known to this VM.
 func (n *Node) markedTargets() map[relay.TargetKey]relay.Mark {
 	if n.leads() {
 		return n.leading.fleet.marks
@@ -85,7 +85,7 @@
 	return n.forwarding.report.marked.values
 }
 
-// fleetWork returns what all entry VMs have under way at targets, as this VM knows it.
+// fleetWork returns what all entry VMs have in flight at targets, as known to this VM.
 func (n *Node) fleetWork() map[relay.TargetKey]relay.Work {
 	if n.leads() {
 		return n.leading.fleet.work
