--- a/internal/core/config/backoff.go
+++ b/internal/core/config/backoff.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// EndedBackoff says that an operator has ended the backoffs of a target: VMs that it has asked to be
-// left alone ask it again.
+// EndedBackoff records that an operator has ended the backoffs of a target: VMs that it asked to
+// back off send to it again.
 type EndedBackoff struct {
-	// Target is the target's name, without its start.
+	// Target is the target's name, without its incarnation.
 	Target string `json:"target" cbor:"target"`
-	// Revision is that of the change that ended them.
+	// Revision is the revision of the change that ended them.
 	Revision Revision `json:"revision" cbor:"revision"`
 }
 
 // ObjectName implements Named.
 func (e EndedBackoff) ObjectName() string { return e.Target }
 
-// endedBackoffsMost bounds the ended backoffs that are kept: each counts once, within a lease.
+// maxEndedBackoffs bounds the ended backoffs that are kept. Each is applied once, within a lease.
 const endedBackoffsMost = 64
 
-// withEndedBackoff ends the backoffs of a target at the next revision. Where too many are kept, the
-// oldest goes.
+// withEndedBackoff ends the backoffs of a target at the next revision. Above maxEndedBackoffs the
+// oldest is removed.
 func (s State) withEndedBackoff(target string) State {
 	s.EndedBackoffs = s.EndedBackoffs.With(EndedBackoff{Target: target, Revision: s.Revision + 1})
 	if s.EndedBackoffs.Len() > endedBackoffsMost {
--- a/internal/core/config/change.go
+++ b/internal/core/config/change.go
@@ -19,8 +19,7 @@
 	KindService      Kind = "service"
 	// KindQuarantine is a request in quarantine, which can be removed but not declared.
 	KindQuarantine Kind = "quarantine"
-	// KindBackoff is the backoff that a target has asked VMs for, which can be removed but not
-	// declared.
+	// KindBackoff is the backoff requested by a target, which can be removed but not declared.
 	KindBackoff Kind = "backoff"
 )
 
@@ -51,14 +50,14 @@
 	Drain bool `cbor:"drain"`
 }
 
-// Condition is what the leader has learned of a target.
+// Condition is the state of a target as observed by the leader.
 type Condition struct {
 	Target  string `cbor:"target"`
 	Leaving bool   `cbor:"leaving"`
 	Down    bool   `cbor:"down"`
 }
 
-// Change is one step from a State to the next: exactly one field is set.
+// Change is one change of a State. Exactly one field is set.
 type Change struct {
 	VM           *VM           `cbor:"vm,omitempty"`
 	Target       *Target       `cbor:"target,omitempty"`
@@ -73,15 +72,15 @@
 	Place        *Placement    `cbor:"place,omitempty"`
 	Unplace      string        `cbor:"unplace,omitempty"`
 	Document     *Document     `cbor:"document,omitempty"`
-	// Patch is a Document as what it changes in the one before.
+	// Patch is a Document as a delta to the previous one.
 	Patch *DocumentPatch `cbor:"patch,omitempty"`
-	// Quarantine puts a request into quarantine, and Release lets the one with that
-	// fingerprint go.
+	// Quarantine puts a request into quarantine, and Release removes the request with
+	// that fingerprint from it.
 	Quarantine *QuarantinedRequest `cbor:"quarantine,omitempty"`
 	Release    string              `cbor:"release,omitempty"`
 }
 
-// InvalidError tells an operator why a change can't be taken.
+// InvalidError explains to an operator why a change is rejected.
 type InvalidError struct {
 	Ref    Ref
 	Reason string
@@ -93,8 +92,8 @@
 	return fmt.Sprintf("%s: %s; %s", e.Ref, e.Reason, e.Remedy)
 }
 
-// Apply returns the state after changes, at revision next. It fails without
-// effect when any change is invalid.
+// Apply returns the state after the changes, at revision next. It applies none
+// of them when one is invalid.
 func (s State) Apply(next Revision, changes []Change) (State, error) {
 	for _, c := range changes {
 		var err error
@@ -250,7 +249,7 @@
 	return s, nil
 }
 
-// users returns what still refers to the object, sorted.
+// referrers returns the objects that refer to the given one, sorted.
 func (s State) users(r Ref) []Ref {
 	var refs []Ref
 	switch r.Kind {
@@ -296,7 +295,7 @@
 	case KindQuarantine:
 		return s.Quarantine.Has(r.Name)
 	case KindBackoff:
-		return true // each VM knows its own: one that knows of none has nothing to end
+		return true // backoffs are local to each VM; a VM without one has nothing to end
 	}
 	return false
 }
--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -1,6 +1,6 @@
-// Package config holds the replicated configuration: what operators declare
-// and what the planner decides from it. All values are immutable; a Change
-// gives a new State. The package does no I/O and reads no clock.
+// Package config defines the replicated configuration: the declarations of
+// operators and the decisions of the planner. All values are immutable; a
+// Change produces a new State. The package does no I/O and reads no clock.
 package config
 
 import (
@@ -28,7 +28,7 @@
 	ClassCount = 4
 )
 
-// VM is what operators have said of one VM of the system.
+// VM is the operators' declaration of one VM of the system.
 type VM struct {
 	Name  string `json:"name" cbor:"name"`
 	Drain bool   `json:"drain" cbor:"drain"`
@@ -50,13 +50,13 @@
 	Speed float64 `json:"speed,omitempty" cbor:"speed,omitempty"`
 	// Memory is the number of layers that fit beside the KV cache.
 	Memory int `json:"memory,omitempty" cbor:"memory,omitempty"`
-	// Slots is the number of streams or calls that it serves at a time.
+	// Slots is the number of streams or calls that it serves concurrently.
 	Slots int `json:"slots" cbor:"slots"`
-	// Fence says that the target checks (term, sequence) of the orders it gets.
+	// Fence is set when the target checks the (term, sequence) of its orders.
 	Fence bool `json:"fence,omitempty" cbor:"fence,omitempty"`
 	Drain bool `json:"drain,omitempty" cbor:"drain,omitempty"`
 	// Leaving is set by the leader when the platform or the target itself
-	// says that the VM under it goes away.
+	// announces that its VM will be removed.
 	Leaving bool `json:"leaving,omitempty" cbor:"leaving,omitempty"`
 	// Down is set by the leader when the target's watchers can't reach it.
 	Down bool `json:"down,omitempty" cbor:"down,omitempty"`
@@ -77,7 +77,7 @@
 	return t
 }
 
-// WithCondition returns the target with what the leader has learned of it.
+// WithCondition returns the target with the condition observed by the leader.
 func (t Target) WithCondition(c Condition) Target {
 	t.Leaving = c.Leaving
 	t.Down = c.Down
@@ -109,7 +109,7 @@
 // ObjectName implements Named.
 func (p Pipeline) ObjectName() string { return p.Name }
 
-// Event is a fixed start at which callers arrive together.
+// Event is a scheduled period at whose start callers arrive together.
 type Event struct {
 	Name      string    `json:"name" cbor:"name"`
 	Start     time.Time `json:"start" cbor:"start"`
@@ -120,32 +120,32 @@
 // ObjectName implements Named.
 func (e Event) ObjectName() string { return e.Name }
 
-// Organisation is whoever an API key belongs to, with its share and limit.
+// Organisation is the owner of an API key, with its share and limit.
 type Organisation struct {
 	Name string `json:"name" cbor:"name"`
 	// Key is the hexadecimal SHA-256 of the API key; see HashKey.
 	Key string `json:"key" cbor:"key"`
-	// Weight is the share inside a class, relative to the others.
+	// Weight is the share within a class, relative to other organisations.
 	Weight int `json:"weight" cbor:"weight"`
-	// Limit bounds the requests in progress on one entry VM; 0 is no bound.
+	// Limit bounds the requests in progress on one entry VM; 0 is unlimited.
 	Limit int `json:"limit,omitempty" cbor:"limit,omitempty"`
 }
 
 // ObjectName implements Named.
 func (o Organisation) ObjectName() string { return o.Name }
 
-// HashKey returns the form in which an API key is kept.
+// HashKey returns the hash under which an API key is stored.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Service is a plain service beside the models.
+// Service is a plain service, served by runners rather than model engines.
 type Service struct {
 	Name  string `json:"name" cbor:"name"`
 	Class Class  `json:"class" cbor:"class"`
-	// Repeatable lists "METHOD /prefix" rules of calls that may run twice.
-	// Any other call runs at most once.
+	// Repeatable lists "METHOD /prefix" rules of calls that may run more than
+	// once. Any other call runs at most once.
 	Repeatable []string `json:"repeatable,omitempty" cbor:"repeatable,omitempty"`
 }
 
@@ -160,27 +160,27 @@
 	})
 }
 
-// Range is a half-open range of layers, First included and Last not.
+// Range is a half-open range of layers: it includes First and excludes Last.
 type Range struct {
 	First int `json:"first" cbor:"first"`
 	Last  int `json:"last" cbor:"last"`
 }
 
-// String returns the range in the usual half-open form.
+// String returns the range in the form [first,last).
 func (r Range) String() string { return fmt.Sprintf("[%d,%d)", r.First, r.Last) }
 
 // Len returns the number of layers.
 func (r Range) Len() int { return r.Last - r.First }
 
-// Placement is the planner's decision on what one engine holds.
+// Placement is the planner's decision on the layers that one engine holds.
 type Placement struct {
 	Target  string `json:"target" cbor:"target"`
 	Chain   string `json:"chain" cbor:"chain"`
 	Model   string `json:"model" cbor:"model"`
 	Version string `json:"version" cbor:"version"`
 	Layers  Range  `json:"layers" cbor:"layers"`
-	// Sequence grows with each placement of any target; it is the second
-	// half of the fence of the order that carries it out.
+	// Sequence grows with each placement of any target. It is the second
+	// part of the fence of the order that applies the placement.
 	Sequence uint64 `json:"sequence" cbor:"sequence"`
 	// Ready is set once the engine has confirmed the load.
 	Ready bool `json:"ready" cbor:"ready"`
@@ -195,7 +195,7 @@
 	return p
 }
 
-// Holds reports whether two placements ask the same of an engine.
+// SameLoad reports whether two placements require an engine to load the same.
 func (p Placement) Holds(q Placement) bool {
 	return p.Target == q.Target && p.Chain == q.Chain && p.Model == q.Model && p.Version == q.Version && p.Layers == q.Layers
 }
@@ -212,15 +212,15 @@
 	Services      Set[Service]      `cbor:"services"`
 	Placements    Set[Placement]    `cbor:"placements"`
 	Document      Document          `cbor:"document"`
-	// Quarantine are the requests that are sent to no target.
+	// Quarantine holds the requests that are sent to no target.
 	Quarantine Set[QuarantinedRequest] `cbor:"quarantine"`
-	// EndedBackoffs are the targets whose backoffs operators have ended of late.
+	// EndedBackoffs holds the targets whose backoffs operators have ended recently.
 	EndedBackoffs Set[EndedBackoff] `cbor:"ended_backoffs,omitempty"`
 }
 
-// Document is a whole configuration in the form in which its operator wrote it.
-// It stands beside the objects that are declared one by one: a deployment uses
-// the one or the other. What it means is decoded where it is used.
+// Document is a whole configuration as written by its operator. A deployment uses
+// either a document or objects that are declared one by one. The document is
+// decoded where it is used.
 type Document struct {
 	Version uint64 `cbor:"version"`
 	Source  Text   `cbor:"source"`
--- a/internal/core/config/quarantine.go
+++ b/internal/core/config/quarantine.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// QuarantinedRequest is a request that is sent to no target, since it has ended several.
+// QuarantinedRequest is a request that is sent to no target, since it has crashed several.
 type QuarantinedRequest struct {
-	// Fingerprint is that of the request, in hexadecimal.
+	// Fingerprint is the fingerprint of the request, in hexadecimal.
 	Fingerprint string `json:"fingerprint" cbor:"fingerprint"`
-	// FirstEnd is when the first of the targets ended that it was put there for. Since is when
-	// it was, and Until when it is let go.
+	// FirstEnd is when the first of the targets crashed for which it is in quarantine. Since
+	// is the beginning of the quarantine, and Until its end.
 	FirstEnd time.Time `json:"first_end" cbor:"first_end"`
 	Since    time.Time `json:"since" cbor:"since"`
 	Until    time.Time `json:"until" cbor:"until"`
@@ -20,12 +20,12 @@
 // ObjectName implements Named.
 func (q QuarantinedRequest) ObjectName() string { return q.Fingerprint }
 
-// quarantineMost bounds the requests in quarantine: some 150 KB on each VM, and in each
-// snapshot. Each has cost three targets to get there.
+// maxQuarantined bounds the requests in quarantine, which take some 150 KB on each VM and in
+// each snapshot. Each of them has crashed three targets.
 const quarantineMost = 1024
 
-// withQuarantine puts a request into quarantine. Those whose time is over leave it, and where
-// there are too many, the one that has been there for the longest time.
+// withQuarantine puts a request into quarantine. It removes the expired ones and, above
+// maxQuarantined, the oldest.
 func (s State) withQuarantine(q QuarantinedRequest) State {
 	held := s.Quarantine
 	for _, o := range held.Sorted() {
--- a/internal/core/config/set.go
+++ b/internal/core/config/set.go
@@ -6,21 +6,21 @@
 	"slices"
 )
 
-// Named is an object of the configuration that is told apart by its name.
+// Named is an object of the configuration that is identified by its name.
 type Named interface {
 	// ObjectName returns the name, unique among objects of one kind.
 	ObjectName() string
 }
 
 // Set is an immutable set of objects by name. The zero value is empty. Its
-// methods copy on write: the configuration changes some thousand times a day
-// and is read thousands of times a second.
+// methods copy on write, since the configuration changes some thousand times a
+// day and is read thousands of times a second.
 type Set[T Named] struct {
-	// Items is exported for the codecs only; it is never written in place.
+	// Items is exported for the codecs only. It is never modified in place.
 	Items map[string]T `cbor:"items"`
 }
 
-// Get returns the object called name, and whether there is one.
+// Get returns the object called name and reports whether there is one.
 func (s Set[T]) Get(name string) (T, bool) {
 	item, ok := s.Items[name]
 	return item, ok
@@ -55,8 +55,7 @@
 	return Set[T]{Items: items}
 }
 
-// Sorted returns the objects in the order of their names, so that output
-// never varies between runs.
+// Sorted returns the objects sorted by name, so that output is deterministic.
 func (s Set[T]) Sorted() []T {
 	return slices.SortedFunc(maps.Values(s.Items), func(a, b T) int {
 		return cmp.Compare(a.ObjectName(), b.ObjectName())
--- a/internal/core/config/text.go
+++ b/internal/core/config/text.go
@@ -8,26 +8,27 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// This file keeps a document's text small on the wire and on disk.
+// This file compresses the text of a document for the wire and the disk.
 //
-// Problem: a document of 1,900 routes is some 600 KB, and most changes alter one route. The
-// whole of it for each change filled the links of a fleet of 300 VMs.
+// Problem: a document of 1,900 routes is some 600 KB, and most changes alter one route.
+// Sending the whole text for each change saturated the links of a fleet of 300 VMs.
 //
 // Algorithm: a text is sent and stored compressed. A change is sent as the new text
-// compressed with the old one as its dictionary, which leaves little more than what is
-// new. Only one who has the old text can read it, so that a patch names its version.
+// compressed with the old one as its dictionary, so its size is little more than that of the
+// new content. It can only be decoded with the old text, so a patch names its base version.
 
-// Text is the text of a document. In messages and on disk it is compressed.
+// Text is the text of a document. It is compressed in messages and on disk.
 type Text []byte
 
 const (
-	// textLimit bounds a text, in bytes: operators may send 8 MB.
+	// maxTextBytes bounds a decoded text. Operators may send 8 MB.
 	textLimit = 32 << 20
-	// dictionaryID marks patches; any number but 0 serves.
+	// dictionaryID marks patches. Any number other than 0 is valid.
 	dictionaryID = 1
 )
 
-// ErrText is returned for bytes that hold no text, or not one of the given dictionary.
+// ErrText is returned for bytes that are no compressed text, or were made with another
+// dictionary.
 var ErrText = errors.New("compressed text can't be read; it was damaged, or made from another text")
 
 var encoder = sync.OnceValues(func() (*zstd.Encoder, error) {
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// Diff returns what makes next of t.
+// Diff returns the patch that turns t into next.
 func (t Text) Diff(next Text) ([]byte, error) {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
 		zstd.WithEncoderDictRaw(dictionaryID, t))
@@ -71,7 +72,8 @@
 	return e.EncodeAll(next, nil), e.Close()
 }
 
-// Patched returns the text that Diff was given. Its error is ErrText.
+// Patched returns the text that results from a patch made by Diff. It returns ErrText when
+// the patch can't be decoded.
 func (t Text) Patched(patch []byte) (Text, error) {
 	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxMemory(textLimit), zstd.WithDecoderDictRaw(dictionaryID, t))
@@ -86,15 +88,16 @@
 	return text, nil
 }
 
-// DocumentPatch makes the document of one version from that of another.
+// DocumentPatch turns one version of the document into another.
 type DocumentPatch struct {
 	Version uint64 `cbor:"version"`
-	// Base is the version that Patch is to be applied to.
+	// Base is the version that Patch applies to.
 	Base  uint64 `cbor:"base"`
 	Patch []byte `cbor:"patch"`
 }
 
-// Change returns the change that makes next of d: a patch where that is smaller.
+// Change returns the change that turns d into next: a patch, or the whole document when a
+// patch is not small enough.
 func (d Document) Change(next Document) Change {
 	if d.Version == 0 || len(d.Source) == 0 {
 		return Change{Document: &next}
@@ -106,11 +109,11 @@
 	return Change{Patch: &DocumentPatch{Version: next.Version, Base: d.Version, Patch: patch}}
 }
 
-// patchWorth is how many times smaller than the plain text a patch must be: a whole text
-// is compressed to about a tenth.
+// minPatchRatio is the least ratio of the plain text's size to that of a patch: a whole text
+// compresses to about a tenth.
 const patchWorth = 10
 
-// Patched returns the document that a patch makes.
+// Patched returns the document after a patch.
 func (d Document) Patched(p DocumentPatch) (Document, error) {
 	if p.Base != d.Version {
 		return d, &InvalidError{Ref{"document", fmt.Sprint(p.Version)}, fmt.Sprintf("it is a patch of version %d, and version %d is held", p.Base, d.Version), "send it again"}
--- a/internal/core/config/text_test.go
+++ b/internal/core/config/text_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// routes is a document's text of n routes, one of which is unlike.
+// routes returns a document text of n routes, of which the one at changed differs.
 func routes(n, changed int) config.Text {
 	var b bytes.Buffer
 	for i := range n {
@@ -34,7 +34,8 @@
 	require.ErrorIs(t, again.UnmarshalBinary([]byte("garbage")), config.ErrText)
 }
 
-// A change of one route of 1,900 was sent as the whole text, 60 KB, to each of 300 VMs.
+// Guards against sending the whole text, 60 KB, to each of 300 VMs for a change of one route
+// of 1,900.
 func TestAChangeOfOneRouteIsSmall(t *testing.T) {
 	before := config.Document{Version: 3, Source: routes(1900, -1)}
 	after := config.Document{Version: 9, Source: routes(1900, 1200)}
@@ -46,10 +47,10 @@
 	require.Equal(t, after, got)
 
 	_, err = after.Patched(*change.Patch)
-	require.Error(t, err, "it is a patch of another version")
+	require.Error(t, err, "the patch is for another version")
 	_, err = config.Document{Version: 3, Source: routes(1900, 7)}.Patched(*change.Patch)
 	if err == nil {
-		t.Log("zstd does not check raw dictionaries: the version is what protects a text")
+		t.Log("zstd does not verify raw dictionaries: only the version check protects a text")
 	}
 }
 
