--- a/internal/core/plan/plan.go
+++ b/internal/core/plan/plan.go
@@ -1,17 +1,17 @@
 // Package plan decides which engine holds which layers. It is a pure function
 // of the configuration.
 //
-// The problem: a model of L layers is cut into contiguous ranges, one for each
-// engine of a chain, and the engines are unequal in speed and memory. A chain
-// makes as many tokens a second as its slowest stage, which is the engine's
-// speed over its number of layers. Links between halls cost time for each
-// token, so a chain stays inside one hall where it can.
+// The problem: a model of L layers is split into contiguous ranges, one for each
+// engine of a chain, and the engines differ in speed and memory. The throughput
+// of a chain is that of its slowest stage, which is the engine's speed divided
+// by its number of layers. Links between halls add latency to each token, so a
+// chain stays within one hall where possible.
 //
-// The algorithm: engines are taken hall by hall, the fastest first, and dealt
-// out to as many chains as their memory allows. Each chain is then cut by
-// splitting layers in proportion to speed within memory, which Split does
-// exactly. What is placed and still works is not moved: only chains that lost
-// an engine, and engines that are free, are planned anew.
+// The algorithm: engines are taken hall by hall, the fastest first, and grouped
+// into as many chains as their memory allows. The layers of each chain are then
+// split in proportion to speed within memory, for which Split is exact. Healthy
+// placements are not moved: only chains that lost an engine, and free engines,
+// are planned again.
 //
 // Known limits: the grouping of engines into chains is greedy, and engines are
 // shared among models in the order of the models' names, in proportion to the
@@ -28,20 +28,20 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// Stage is one engine with what it can do.
+// Stage is one engine with its capacity.
 type Stage struct {
 	Target string
-	// Speed is in layers times tokens a second; Memory in layers.
+	// Speed is in layers times tokens per second; Memory is in layers.
 	Speed  float64
 	Memory int
 }
 
-// Split cuts layers among stages, in their order, so that the slowest stage is
-// as fast as can be. It returns nil when the memory does not suffice.
+// Split divides layers among stages, in their order, so that the rate of the
+// slowest stage is maximal. It returns nil when the memory does not suffice.
 //
-// A rate r is possible when the stages can hold, each at most its speed over r,
-// all the layers. Each best rate is some stage's speed over a whole number of
-// layers, so trying those finds it exactly.
+// A rate r is feasible when the stages together can hold all layers, each at
+// most its speed divided by r. The best rate is some stage's speed divided by a
+// whole number of layers, so trying all of these finds the optimum.
 func Split(layers int, stages []Stage) []config.Range {
 	rate := bestRate(layers, stages)
 	if rate == 0 {
@@ -57,10 +57,10 @@
 	return ranges
 }
 
-// slack makes up for rounding when a speed is divided by a rate it made.
+// rateTolerance absorbs rounding when a speed is divided by a rate derived from it.
 const slack = 1e-9
 
-// holds returns the layers that a stage can hold at a rate.
+// layersAt returns the number of layers that a stage can hold at a rate.
 func holds(s Stage, rate float64) int {
 	return min(s.Memory, int(math.Floor(s.Speed/rate+slack)))
 }
@@ -86,17 +86,17 @@
 	return total
 }
 
-// Chain is a whole model on engines that are ready for it.
+// Chain is a sequence of engines that together hold a whole model and are ready.
 type Chain struct {
 	Name   string
 	Stages []config.Placement
-	// Slots is the number of streams that its narrowest stage takes.
+	// Slots is the lowest number of streams that any of its stages serves.
 	Slots int
-	// Rate is in tokens a second, all slots together.
+	// Rate is in tokens per second over all slots.
 	Rate float64
 }
 
-// Chains returns the chains of a model's version that are whole, ready and
+// Chains returns the chains of a model version that are complete, ready and
 // available, sorted by name.
 func Chains(c config.State, model, version string) []Chain {
 	byName := make(map[string][]config.Placement)
@@ -139,13 +139,13 @@
 	return next == layers
 }
 
-// use is a model's version that some pipeline needs.
+// modelVersion is a model version that some pipeline needs.
 type use struct {
 	model   config.Model
 	version string
 }
 
-// Changes returns the changes of placement that the configuration calls for.
+// Changes returns the placement changes that the configuration requires.
 func Changes(c config.State) []config.Change {
 	p := planner{config: c, free: make(map[string]bool)}
 	p.keepWhole()
@@ -160,8 +160,8 @@
 	return p.changes
 }
 
-// clearFree takes the placement of engines whose chain is gone, so that no
-// chain of a later plan is mixed up with it.
+// unplaceFree removes the placements of engines that are still free, so that a
+// later plan does not mix them with another chain.
 func (p *planner) clearFree() {
 	for _, name := range slices.Sorted(maps.Keys(p.free)) {
 		if p.free[name] && p.config.Placements.Has(name) {
@@ -173,15 +173,15 @@
 type planner struct {
 	config  config.State
 	changes []config.Change
-	// free holds the engines that may be given something else.
+	// free holds the engines that may be assigned other layers.
 	free map[string]bool
-	// taken says that a chain that works has been taken apart already. That
-	// happens to one at a time, and only while all engines are ready, so that a
-	// change of version rolls over the chains without losing capacity.
+	// dismantled is set when a working chain has already been dismantled in this
+	// plan. One chain is dismantled at a time, and only while all engines are
+	// ready, so that a version rolls out without loss of capacity.
 	taken bool
 }
 
-// settled reports whether every available engine holds what it was given.
+// allReady reports whether every available engine holds its placement.
 func (p *planner) settled() bool {
 	for _, placed := range p.config.Placements.Items {
 		if t, ok := p.config.Targets.Get(placed.Target); ok && t.Available() && !placed.Ready {
@@ -191,7 +191,8 @@
 	return true
 }
 
-// takeOne reports whether a chain that works may be taken apart now.
+// mayDismantle reports whether a working chain may be dismantled now. It allows
+// one chain per plan.
 func (p *planner) takeOne() bool {
 	if p.taken || !p.settled() {
 		return false
@@ -200,8 +201,8 @@
 	return true
 }
 
-// takeChain frees the engines of a chain of the use that has most of them, for
-// a use that has none.
+// dismantleChain frees the engines of one chain of the version with the most
+// chains, for a version that has none. It reports whether it did.
 func (p *planner) takeChain(uses []use) bool {
 	var richest use
 	most := 1
@@ -227,7 +228,7 @@
 	return true
 }
 
-// uses returns what pipelines need, in a fixed order.
+// versions returns the model versions that pipelines need, in a fixed order.
 func (p *planner) uses() []use {
 	var uses []use
 	for _, pipeline := range p.config.Pipelines.Sorted() {
@@ -238,8 +239,8 @@
 			uses = append(uses, u)
 		}
 	}
-	// The use with the fewest chains goes first, so that a version that is
-	// new gets engines before others get more.
+	// The version with the fewest chains is placed first, so that a new one
+	// gets engines before others get more.
 	slices.SortStableFunc(uses, func(a, b use) int {
 		return cmp.Compare(p.count(a), p.count(b))
 	})
@@ -256,11 +257,11 @@
 	return len(names)
 }
 
-// keepWhole finds the engines that are free: those that hold nothing, and
-// those of chains that nobody wants or that lost a stage for good. A chain that
-// lost a stage is first mended with an engine that holds nothing, so that what
-// works is not moved. One whose stage is only being drained is left to its
-// streams when it can't be mended.
+// findFree finds the free engines: those that hold nothing, and those of chains
+// that no pipeline uses or that can't be repaired. A chain that lost a stage is
+// first repaired with an engine that holds nothing, so that healthy placements
+// are not moved. If it can't be repaired and its stage is only draining, it is
+// left to its streams.
 func (p *planner) keepWhole() {
 	chains := make(map[string][]config.Placement)
 	for _, placed := range p.config.Placements.Sorted() {
@@ -280,7 +281,7 @@
 	present, lost := p.divide(stages)
 	m, ok := p.config.Models.Get(stages[0].Model)
 	if !p.wanted(stages[0]) && p.modelWanted(stages[0]) && len(lost) == 0 && !p.takeOne() {
-		// It serves on with its old version until its turn comes.
+		// It continues to serve its old version until it is replaced.
 		return
 	}
 	if ok && p.wanted(stages[0]) {
@@ -296,7 +297,7 @@
 	}
 }
 
-// divide parts the stages whose engines are available from the others.
+// splitStages separates the stages with available engines from the others.
 func (p *planner) divide(stages []config.Placement) (present, lost []config.Placement) {
 	for _, s := range stages {
 		if t, ok := p.config.Targets.Get(s.Target); ok && t.Available() {
@@ -309,14 +310,14 @@
 	return present, lost
 }
 
-// drains reports whether a stage that is not available still runs its streams.
+// isDraining reports whether a stage that is not available still runs its streams.
 func (p *planner) drains(s config.Placement) bool {
 	t, ok := p.config.Targets.Get(s.Target)
 	return ok && !t.Down
 }
 
-// mend puts engines that hold nothing in the place of lost stages. It reports
-// whether the chain is whole then.
+// repairChain replaces lost stages by engines that hold nothing. It reports
+// whether the chain is complete afterwards.
 func (p *planner) mend(like config.Placement, present, lost []config.Placement, missing []config.Range) bool {
 	var spares []string
 	for _, r := range missing {
@@ -340,7 +341,7 @@
 	return true
 }
 
-// spare returns the fastest engine that holds nothing and has the memory.
+// spare returns the fastest engine that holds nothing and has enough memory.
 func (p *planner) spare(layers int, taken []string) (string, bool) {
 	var best config.Target
 	for _, t := range p.config.Targets.Sorted() {
@@ -354,7 +355,7 @@
 	return best.Name, best.Name != ""
 }
 
-// gaps returns the ranges of layers that sorted stages leave out.
+// gaps returns the ranges of layers that the sorted stages don't cover.
 func gaps(stages []config.Placement, layers int) []config.Range {
 	var missing []config.Range
 	next := 0
@@ -388,8 +389,9 @@
 	return false
 }
 
-// placeUse makes chains for one use out of the free engines. With others still
-// to place it takes its part of them only. It reports whether it made any.
+// placeVersion makes chains for one version from the free engines, an even part
+// of the possible chains when others are still to be placed. It reports whether
+// it made any.
 func (p *planner) placeUse(u use, sharers int) bool {
 	chains := p.group(u.model.Layers, p.freeStages())
 	take := (len(chains) + sharers - 1) / sharers
@@ -415,12 +417,12 @@
 	}
 }
 
-// chainName names a chain after its first engine, which is in no other.
+// chainName names a chain after its first engine, which belongs to no other.
 func (p *planner) chainName(u use, stages []Stage) string {
 	return fmt.Sprintf("%s@%s/%s", u.model.Name, u.version, stages[0].Target)
 }
 
-// hallStages is the free engines of one hall, the fastest first.
+// hallStages holds the free engines of one hall.
 type hallStages struct {
 	hall   string
 	stages []Stage
@@ -443,8 +445,8 @@
 	return halls
 }
 
-// group makes chains inside halls, and one chain after another of what is left
-// over in all of them.
+// group makes chains within halls, and further chains from the engines that are
+// left over in all halls.
 func (p *planner) group(layers int, halls []hallStages) [][]Stage {
 	var chains [][]Stage
 	var left []Stage
@@ -457,8 +459,8 @@
 	return append(chains, made...)
 }
 
-// deal makes as many chains as the memory allows, each of engines that are
-// near in speed, since the slowest decides.
+// buildChains makes as many chains as the memory allows, each from engines of
+// similar speed, since the slowest one bounds the chain.
 func deal(layers int, stages []Stage) (chains [][]Stage, left []Stage) {
 	sorted := slices.Clone(stages)
 	slices.SortStableFunc(sorted, func(a, b Stage) int { return cmp.Compare(b.Speed, a.Speed) })
@@ -475,8 +477,8 @@
 	return chains, chain
 }
 
-// Bound returns the tokens a second that no placement can exceed: all engines
-// at work all the time.
+// Bound returns the upper bound on tokens per second of any placement, with all
+// engines fully utilized.
 func Bound(layers int, stages []Stage) float64 {
 	var speed float64
 	for _, s := range stages {
--- a/internal/core/plan/plan_test.go
+++ b/internal/core/plan/plan_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolbank/spoolbank/internal/core/plan"
 )
 
-// best tries every cut of the layers, in the stages' order.
+// best returns the best rate over all splits of the layers, by exhaustive search.
 func best(layers int, stages []plan.Stage) float64 {
 	if len(stages) == 0 {
 		if layers == 0 {
@@ -59,7 +59,7 @@
 	})
 }
 
-// state has so many equal engines, two to a chain, and what the planner placed.
+// state returns a configuration with equal engines, two to a chain, after planning.
 func state(t *testing.T, engines int) config.State {
 	changes := []config.Change{
 		{Model: &config.Model{Name: "m", Layers: 8, Versions: []string{"v1", "v2"}}},
@@ -89,9 +89,9 @@
 func TestReplanMovesNothingThatWorks(t *testing.T) {
 	before := state(t, 5)
 	require.Len(t, plan.Chains(before, "m", "v1"), 2)
-	require.Empty(t, plan.Changes(before), "a plan that is carried out needs no change")
+	require.Empty(t, plan.Changes(before), "a plan that has been applied needs no change")
 	after := apply(t, before, config.Change{Condition: &config.Condition{Target: "e0", Down: true}})
-	require.Len(t, plan.Chains(after, "m", "v1"), 2, "the spare takes the lost range")
+	require.Len(t, plan.Chains(after, "m", "v1"), 2, "the spare takes over the lost range")
 	for _, p := range before.Placements.Sorted() {
 		if p.Target != "e0" {
 			now, ok := after.Placements.Get(p.Target)
@@ -104,7 +104,7 @@
 func TestDrainLeavesTheChainToItsStreams(t *testing.T) {
 	s := apply(t, state(t, 4), config.Change{Drain: &config.DrainMark{Ref: config.Ref{Kind: config.KindTarget, Name: "e0"}, Drain: true}})
 	require.Len(t, plan.Chains(s, "m", "v1"), 1)
-	require.Equal(t, 4, s.Placements.Len(), "without a spare nothing is reloaded under running streams")
+	require.Equal(t, 4, s.Placements.Len(), "without a spare no layers are reloaded under running streams")
 	s = apply(t, s, config.Change{Drain: &config.DrainMark{Ref: config.Ref{Kind: config.KindTarget, Name: "e0"}}})
 	require.Len(t, plan.Chains(s, "m", "v1"), 2)
 }
@@ -113,7 +113,7 @@
 	s := state(t, 8)
 	s = apply(t, s, config.Change{Pipeline: &config.Pipeline{Name: "q", Model: "m", Version: "v2", MaxTokens: 1}})
 	require.NotEmpty(t, plan.Chains(s, "m", "v1"))
-	require.NotEmpty(t, plan.Chains(s, "m", "v2"), "a new version gets engines while the old one serves")
+	require.NotEmpty(t, plan.Chains(s, "m", "v2"), "a new version gets engines while the old one keeps serving")
 }
 
 func TestVersionRollsOverOneChainAtATime(t *testing.T) {
@@ -126,8 +126,8 @@
 		require.Len(t, changes, 2, "one chain of two engines")
 		unready, err := s.Apply(s.Revision+1, changes)
 		require.NoError(t, err)
-		require.Empty(t, plan.Changes(unready), "the next one waits until this one is ready")
-		require.Len(t, plan.Chains(unready, "m", "v1"), 4-step, "the others serve on")
+		require.Empty(t, plan.Changes(unready), "the next chain waits until this one is ready")
+		require.Len(t, plan.Chains(unready, "m", "v1"), 4-step, "the others keep serving")
 		for i := range changes {
 			ready := changes[i].Place.WithReady()
 			changes[i].Place = &ready
--- a/internal/core/plan/seed_test.go
+++ b/internal/core/plan/seed_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the random histories, so that a run gives the same
-// verdict each time. Give -rapid.seed for others.
+// TestMain fixes the seed of the random inputs, so that runs are reproducible.
+// Set -rapid.seed for others.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
