--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -15,12 +15,12 @@
 	"github.com/spoolbank/spoolbank/query"
 )
 
-// rig drives one Node by hand, for the costs in docs/CAPACITY.md.
+// rig drives one Node step by step, to measure the costs in docs/CAPACITY.md.
 type rig struct {
 	t    require.TestingT
 	node *core.Node
 	now  time.Time
-	// sent counts messages and their bytes.
+	// sent counts messages and bytes their total size; bytes < 0 turns its count off.
 	sent  int
 	bytes int
 	// kept counts batches to keepers.
@@ -28,7 +28,7 @@
 	keepers map[core.VMName]bool
 	// renewal is the size of the newest renewal, in bytes.
 	renewal int
-	// shown counts the tokens that callers got.
+	// shown counts the tokens that were sent to callers.
 	shown int
 	conn  core.ConnID
 	asked uint64
@@ -43,8 +43,8 @@
 	chainLength = 4
 )
 
-// benchConfig is a configuration of so many targets in ready chains of four,
-// and so many organisations.
+// benchConfig returns a configuration with the given number of targets, in
+// ready chains of four, and of organisations.
 func benchConfig(t require.TestingT, targets, organisations int) config.State {
 	var s config.State
 	changes := []config.Change{
@@ -84,7 +84,7 @@
 	return view
 }
 
-// newEntryRig is an entry VM under a lease.
+// newEntryRig returns an entry VM that holds a lease.
 func newEntryRig(t require.TestingT, targets, entries, organisations int) *rig {
 	r := &rig{t: t, now: epochStart, keepers: make(map[core.VMName]bool)}
 	view := benchView(entries)
@@ -101,7 +101,7 @@
 	return r
 }
 
-// renewLease gives the entry VM its next lease.
+// renewLease grants the entry VM its next lease.
 func (r *rig) renewLease(revision config.Revision) {
 	r.step(core.Received{Envelope: core.Envelope{From: core.ReplicaID{VM: "c1"}, To: "vm000", Body: core.Message{Grant: &core.Grant{
 		To:   1,
@@ -109,7 +109,7 @@
 	}}}})
 }
 
-// step gives the Node an event, and answers what its keepers would.
+// step passes an event to the Node, and replies as its keepers and targets would.
 func (r *rig) step(event core.Event) (runs []core.Run) {
 	var replies []core.Event
 	for _, effect := range r.node.Step(r.now, event) {
@@ -141,14 +141,14 @@
 	return runs
 }
 
-// begin opens a stream and returns its first run.
+// begin starts a stream and returns its first run.
 func (r *rig) begin(maxTokens int) core.Run {
 	runs := r.ask(maxTokens)
 	require.Len(r.t, runs, 1)
 	return runs[0]
 }
 
-// ask asks for a stream, which may have to wait for room.
+// ask requests a stream, which may be queued for capacity.
 func (r *rig) ask(maxTokens int) []core.Run {
 	r.conn++
 	return r.step(core.StreamAsked{Conn: r.conn, ID: core.RequestID(fmt.Sprint(r.conn)), Key: "key0", Request: core.StreamRequest{
@@ -156,7 +156,7 @@
 	}})
 }
 
-// answer ends a run with a token and returns the next run, if there is one.
+// answer completes a run with a token and returns the next run, if there is one.
 func (r *rig) answer(run core.Run, finish string) []core.Run {
 	return r.step(core.RunEnded{Stream: run.Stream, Epoch: run.Epoch, Position: run.Position, Result: core.ResultDone,
 		Next: run.Position + 1, Token: core.Token{ID: 7, Text: "token "}, Finish: finish, Load: 100})
@@ -164,8 +164,9 @@
 
 var benchTargets = []int{10, 100, 600}
 
-// BenchmarkToken is the cost of one token of a stream on its entry VM: its
-// commit, the message to the keeper and its answer, the caller's, the next run.
+// BenchmarkToken measures the cost of one token of a stream on its entry VM:
+// the commit, the update to the keeper and its reply, the message to the caller,
+// the next run.
 func BenchmarkToken(b *testing.B) {
 	for _, targets := range benchTargets {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -181,8 +182,8 @@
 	}
 }
 
-// BenchmarkRequest is the cost of a request of one token, from its arrival to
-// its end: admission, the choice of a route, the keeper, the answer.
+// BenchmarkRequest measures the cost of a request of one token, from its arrival
+// to its end: admission, the choice of a route, the keeper, the answer.
 func BenchmarkRequest(b *testing.B) {
 	for _, targets := range benchTargets {
 		b.Run(fmt.Sprintf("targets=%d", targets), func(b *testing.B) {
@@ -195,8 +196,8 @@
 	}
 }
 
-// BenchmarkEntryControl is the control work of one entry VM for a second of
-// its life: ticks, renewals, watches, sweeps.
+// BenchmarkEntryControl measures the control work of one entry VM per second:
+// ticks, renewals, watches, sweeps.
 func BenchmarkEntryControl(b *testing.B) {
 	sizes := []struct{ targets, entries int }{{40, 10}, {100, 60}, {600, 360}}
 	for _, size := range sizes {
@@ -219,7 +220,7 @@
 	}
 }
 
-// newLeaderRig is a leader with so many entry VMs under a lease.
+// newLeaderRig returns a leader with the given number of entry VMs under a lease.
 func newLeaderRig(t require.TestingT, targets, entries int) (*rig, []core.Envelope) {
 	r := &rig{t: t, now: epochStart}
 	self := core.ReplicaID{VM: "c1", Incarnation: 1}
@@ -247,7 +248,7 @@
 	return r, renewals
 }
 
-// lead steps the leader; its disk syncs at once.
+// lead steps the leader, whose disk syncs immediately.
 func (r *rig) lead(event core.Event) {
 	var synced uint64
 	for _, effect := range r.node.Step(r.now, event) {
@@ -277,8 +278,8 @@
 
 var benchEntries = []int{10, 100, 360}
 
-// BenchmarkLeaderSecond is a second of a leader's life: two renewals of each
-// entry VM, its own ticks, and nothing else.
+// BenchmarkLeaderSecond measures one second of an idle leader: two renewals of
+// each entry VM and its own ticks.
 func BenchmarkLeaderSecond(b *testing.B) {
 	for _, entries := range benchEntries {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
@@ -309,8 +310,8 @@
 	}
 }
 
-// BenchmarkChange is the cost of one change of the configuration on a leader,
-// up to the grants that bring it to the entry VMs.
+// BenchmarkChange measures the cost of one configuration change on a leader, up
+// to the grants that carry it to the entry VMs.
 func BenchmarkChange(b *testing.B) {
 	for _, entries := range benchEntries {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
@@ -337,8 +338,8 @@
 	}
 }
 
-// BenchmarkClaim is the cost of a claim and its record on a leader that keeps
-// so many others.
+// BenchmarkClaim measures the cost of a claim and its record on a leader that
+// already keeps the given number of claims.
 func BenchmarkClaim(b *testing.B) {
 	for _, kept := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("kept=%d", kept), func(b *testing.B) {
@@ -373,7 +374,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkMemory is what a stream, a kept record and a target cost an entry VM.
+// BenchmarkMemory measures the memory of an entry VM per stream, and for its targets.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		before := heapBytes()
@@ -396,8 +397,8 @@
 	}
 }
 
-// TestCostsDoNotGrow holds counted costs against bounds: they don't vary with
-// the machine. A decision must not cost more with more targets.
+// TestCostPerTokenIsIndependentOfTargets checks counted costs, which don't depend on
+// the machine, against bounds. A decision must not cost more with more targets.
 func TestCostsDoNotGrow(t *testing.T) {
 	perToken := make(map[int]float64)
 	for _, targets := range benchTargets {
--- a/internal/core/engine_fleet_test.go
+++ b/internal/core/engine_fleet_test.go
@@ -13,37 +13,38 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// engineFleet is a fleet of VMs with engines that register, load what they are ordered to
-// and say so.
+// engineFleet is a fleet of VMs with engines that register, load the layers that they are
+// ordered to hold and report them.
 type engineFleet struct {
 	*hallFleet
 	engines map[relay.TargetID]*loadingEngine
 	ids     []relay.TargetID
-	// loads counts the orders that were carried out, loading those under way.
+	// loads counts the accepted orders, loading those in progress.
 	loads, loading int
-	// atOnce is how many engines load at full speed; 0 if all do.
+	// atOnce is the number of engines that load at full speed; 0 if all do.
 	atOnce int
 }
 
-// loadingEngine is an engine that may be carrying out an order.
+// loadingEngine is an engine that may be applying an order.
 type loadingEngine struct {
 	target relay.Target
+	// speaks is the control VM that the engine reports to.
 	speaks core.VMName
 	order  core.OrderLayers
-	// left is what is left of a load at full speed.
+	// left is the remaining time of a load at full speed.
 	left   time.Duration
 	beatAt time.Time
 }
 
 const (
-	// engineBeat is the users' interval of heartbeats.
+	// engineBeat is the users' heartbeat interval.
 	engineBeat = 1200 * time.Millisecond
-	// engineLoad is what the load of all layers takes before the first request: a tenth
-	// of the users' 14 s.
+	// engineLoad is the load time of all layers before the first request: a tenth of
+	// the users' 14 s.
 	engineLoad = 1400 * time.Millisecond
 )
 
-// fullDocument is a document of the users' engines: three kinds that share 80 layers.
+// fullDocument returns a document with the users' engines: three kinds that share 80 layers.
 func fullDocument([]byte) (*relay.Document, error) {
 	return &relay.Document{Version: 1, Services: []relay.Service{{
 		Name: "s", MaxConns: 1348, Engine: &relay.Engine{
@@ -56,7 +57,7 @@
 	}}}, nil
 }
 
-// newEngineFleet starts VMs, and engines that none of them knows yet.
+// newEngineFleet starts VMs, and engines that have not registered yet.
 func newEngineFleet(t require.TestingT, size fleetSize, engines int) *engineFleet {
 	f := &engineFleet{hallFleet: newHallFleet(t, size), engines: make(map[relay.TargetID]*loadingEngine)}
 	f.decode = fullDocument
@@ -82,7 +83,7 @@
 	return f
 }
 
-// run lets time pass in ticks, in which engines speak and load.
+// run advances time in ticks, in which engines send heartbeats and load.
 func (f *engineFleet) run(d time.Duration) {
 	for until := f.now.Add(d); f.now.Before(until); {
 		f.hallFleet.run(tickEvery)
@@ -120,7 +121,7 @@
 	f.step(e.speaks, core.TargetSpoke{Conn: 1, Target: e.target})
 }
 
-// load carries a load on for a tick.
+// load advances a load by one tick.
 func (f *engineFleet) load(e *loadingEngine) {
 	if e.left <= 0 {
 		return
@@ -133,7 +134,7 @@
 	}
 }
 
-// copies returns the least number of engines that hold a layer in a hall.
+// copies returns the number of engines in a hall that hold its least replicated layer.
 func (f *engineFleet) copies(hall string) int {
 	counts := make([]int, 80)
 	for _, id := range f.ids {
@@ -151,20 +152,21 @@
 	return !slices.ContainsFunc(f.ids, func(id relay.TargetID) bool { return f.engines[id].target.Layers.Len() == 0 })
 }
 
-// busiest returns the VM of those that begin with a letter which has sent the most.
+// busiest returns the VM that has sent the most bytes, of those whose name begins with a letter.
 func (f *engineFleet) busiest(role byte) core.VMName {
 	vms := slices.DeleteFunc(slices.Clone(f.names), func(vm core.VMName) bool { return vm[0] != role })
 	return slices.MaxFunc(vms, func(a, b core.VMName) int { return cmp.Compare(f.bytes[a], f.bytes[b]) })
 }
 
-// hundredsFleet is 300 VMs with three halls, and ten engines for each of them: a tenth of
-// what the target in two years has for each VM, as the users' sweep plays it.
+// hundredsFleet has 300 VMs in three halls. With ten engines for each VM it has a tenth of
+// the engines per VM of the fleet size to support in two years, as in the users' sweep.
 var hundredsFleet = fleetSize{halls: 3, controls: 6, disks: 2, entries: 94}
 
-// All engines of a fleet are new at a start, and load within seconds. Each VM was told all
-// of each engine at each of its messages, again while that was on its way, and of all that
-// loads with each lease: 298 MB in 2.6 s, 9.5 MB a second at the busiest control VM, whose
-// link carries 12.5; 97 MB and 3.3 MB a second since.
+// Guards against target updates that saturate links when all engines of a starting fleet load
+// within seconds. Each VM was sent the full state of an engine at each of its reports, again
+// while that was in flight, and all loading engines with each lease: 298 MB in 2.6 s, and
+// 9.5 MB/s at the busiest control VM, whose link carries 12.5 MB/s. With deltas it is 97 MB
+// and 3.3 MB/s.
 func TestAFleetThatLoadsLeavesLinksRoom(t *testing.T) {
 	f := newEngineFleet(t, hundredsFleet, 3000)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
@@ -184,8 +186,8 @@
 	}
 }
 
-// requireShortlist holds that an entry VM knows the engines on the shortlists as they are, and
-// few others.
+// requireShortlist checks that an entry VM knows the current state of the engines on the
+// shortlists, and few others.
 func (f *engineFleet) requireShortlist(vm core.VMName) {
 	document, err := f.decode(nil)
 	require.NoError(f.t, err)
@@ -202,12 +204,12 @@
 		require.Equal(f.t, f.engines[id].target.Layers, known.Layers, "%s at %s", id, vm)
 		require.Equal(f.t, f.engines[id].target.Leaving, known.Leaving, "%s at %s", id, vm)
 	}
-	require.Less(f.t, len(f.learned[vm]), 3*3*relay.ShortlistLeast, "those of three halls, with two that have taken the place of each")
+	require.Less(f.t, len(f.learned[vm]), 3*3*relay.ShortlistLeast, "the shortlists of three halls, and two replacements for each engine")
 }
 
-// The store of weights serves 14 loads at full speed, and 3,000 engines are empty at a start.
-// Ordered all at once, each hall would have its first copy of the model after 45 s (computed),
-// when the others have theirs.
+// Guards against late first copies of the model when 3,000 empty engines start and the weight
+// store serves 14 loads at full speed. If all were ordered at once, no hall would have its
+// first copy before all halls have theirs, after 45 s (computed).
 func TestHallsGetTheirFirstCopiesSoon(t *testing.T) {
 	f := newEngineFleet(t, hundredsFleet, 3000)
 	f.atOnce = 14
@@ -226,9 +228,9 @@
 	require.Less(t, took, 7*time.Second)
 }
 
-// The load: 3,000 engines register at 320 a second, for as long as there is until the first
-// request. The first plan waited until no more came, 10.7 s after the first had, and 47
-// engines were ordered to load 2 s after the first request.
+// Guards against a first plan that waits until all engines have registered. 3,000 engines
+// register at 320 a second, right up to the first request. The plan was made 10.7 s after the
+// first registration, and 47 engines were ordered to load 2 s after the first request.
 func TestLoadsBeginWhileEnginesRegister(t *testing.T) {
 	f := newEngineFleet(t, hundredsFleet, 3000)
 	f.atOnce = 14
@@ -251,8 +253,8 @@
 	require.Less(t, took, 8*time.Second, "before the last has registered")
 }
 
-// A fleet that has ten times what it is asked loads no more: each load takes a part of the
-// store from others.
+// A fleet with ten times the required capacity starts no further loads, since each load takes
+// a part of the store's bandwidth from others.
 func TestAFleetThatHasEnoughLoadsNoMore(t *testing.T) {
 	f := newEngineFleet(t, smallFleet, 900)
 	f.decode = func(text []byte) (*relay.Document, error) {
@@ -274,11 +276,12 @@
 	require.Equal(t, loads, f.loads)
 	f.work["e0-0"] = map[relay.TargetKey]relay.Work{busy.Key(): {Requests: 90, Tokens: 200_000_000}}
 	f.run(10 * time.Second)
-	require.Greater(t, f.loads, loads, "in use, it loads more")
+	require.Greater(t, f.loads, loads, "under load, further engines load")
 }
 
-// The VMs of a hall that is cut off from its control VMs turn to those of others, each of which
-// told them of all targets anew: 21.3 MB in 4 s.
+// Guards against full target updates after a failover between control VMs. When the entry VMs
+// of a hall lose its control VMs, they fail over to those of other halls, each of which sent
+// them all targets again: 21.3 MB in 4 s.
 func TestAVMThatTurnsToAnotherControlVMIsToldOfLittle(t *testing.T) {
 	f := newEngineFleet(t, hundredsFleet, 3000)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
--- a/internal/core/orders_flood_test.go
+++ b/internal/core/orders_flood_test.go
@@ -10,8 +10,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// Pattern: a start of thousands of engines, all of which are empty. The leader ordered all of
-// them in one step, and its heartbeats and leases waited behind as many calls.
+// Guards against the leader ordering thousands of empty engines in one step when a fleet
+// starts: its heartbeats and leases then waited behind as many calls.
 func TestAFleetThatStartsIsOrderedAFewEnginesAtATime(t *testing.T) {
 	const engines, atATime = 600, 64
 	f := newEngineFleet(t, smallFleet, engines)
@@ -30,7 +30,7 @@
 		speak()
 		f.hallFleet.run(time.Second)
 	}
-	require.Len(t, f.orders, atATime, "none of them has an outcome")
+	require.Len(t, f.orders, atATime, "no order has an outcome yet")
 
 	ordered := make(map[relay.TargetID]bool)
 	for len(f.orders) > 0 {
@@ -42,5 +42,5 @@
 		f.step(next.by, core.LayersOrdered{Target: next.Target, Outcome: core.OrderBegun})
 		require.LessOrEqual(t, len(f.orders), atATime)
 	}
-	require.Len(t, ordered, engines, "each outcome brings the next order, with no wait between")
+	require.Len(t, ordered, engines, "each outcome triggers the next order without delay")
 }
--- a/internal/core/placing_notes_test.go
+++ b/internal/core/placing_notes_test.go
@@ -11,6 +11,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
+// countNotes returns the number of log lines that contain a text.
 func (f *engineFleet) noted(text string) int {
 	count := 0
 	for _, n := range f.notes {
@@ -21,8 +22,8 @@
 	return count
 }
 
-// An operator reads in the leader's log what a plan was made with and what it bears, once a
-// plan, and in its gauges what the engines hold.
+// The leader logs the inputs and the capacity of each plan once, and its status reports the
+// capacity of the held layers.
 func TestTheLeaderNotesAPlanOnce(t *testing.T) {
 	f := newEngineFleet(t, smallFleet, 90)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
@@ -36,8 +37,8 @@
 	require.Positive(t, status.PlanRate)
 }
 
-// A document whose cost model can't be planned with is named in the log with its field, once;
-// what engines hold stands, and the next sound document is planned with.
+// A document with an invalid cost model is logged once with its field. The engines keep their
+// layers, and the next valid document is planned with.
 func TestAFaultyCostModelIsNotedAndMovesNothing(t *testing.T) {
 	f := newEngineFleet(t, smallFleet, 90)
 	f.decode = func(text []byte) (*relay.Document, error) {
@@ -69,6 +70,6 @@
 	f.engines[f.ids[0]].target.Layers = config.Range{}
 	f.put(3)
 	f.run(5 * time.Second)
-	require.Greater(t, f.loads, loads, "it is planned with again")
+	require.Greater(t, f.loads, loads, "planning resumes with the valid document")
 	require.Equal(t, 1, f.noted("can't be planned with"))
 }
