--- a/internal/core/config/backoff.go
+++ b/internal/core/config/backoff.go
@@ -18,13 +18,13 @@
 func (e EndedBackoff) ObjectName() string { return e.Target }
 
 // maxEndedBackoffs bounds the ended backoffs that are kept. Each is applied once, within a lease.
-const endedBackoffsMost = 64
+const maxEndedBackoffs = 64
 
 // withEndedBackoff ends the backoffs of a target at the next revision. Above maxEndedBackoffs the
 // oldest is removed.
 func (s State) withEndedBackoff(target string) State {
 	s.EndedBackoffs = s.EndedBackoffs.With(EndedBackoff{Target: target, Revision: s.Revision + 1})
-	if s.EndedBackoffs.Len() > endedBackoffsMost {
+	if s.EndedBackoffs.Len() > maxEndedBackoffs {
 		oldest := slices.MinFunc(s.EndedBackoffs.Sorted(), func(a, b EndedBackoff) int {
 			return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Target, b.Target))
 		})
--- a/internal/core/config/change.go
+++ b/internal/core/config/change.go
@@ -250,7 +250,7 @@
 }
 
 // referrers returns the objects that refer to the given one, sorted.
-func (s State) users(r Ref) []Ref {
+func (s State) referrers(r Ref) []Ref {
 	var refs []Ref
 	switch r.Kind {
 	case KindModel:
@@ -307,24 +307,24 @@
 	if r.Kind == KindBackoff {
 		return s.withEndedBackoff(r.Name), nil
 	}
-	if users := s.users(r); len(users) > 0 {
+	if users := s.referrers(r); len(users) > 0 {
 		return s, &InvalidError{r, fmt.Sprintf("is used by %s", users[0]), fmt.Sprintf("remove %s first", users[0])}
 	}
-	s.VMs = removeOf(s.VMs, r, KindVM)
-	s.Targets = removeOf(s.Targets, r, KindTarget)
-	s.Models = removeOf(s.Models, r, KindModel)
-	s.Pipelines = removeOf(s.Pipelines, r, KindPipeline)
-	s.Events = removeOf(s.Events, r, KindEvent)
-	s.Organisations = removeOf(s.Organisations, r, KindOrganisation)
-	s.Services = removeOf(s.Services, r, KindService)
-	s.Quarantine = removeOf(s.Quarantine, r, KindQuarantine)
+	s.VMs = withoutOfKind(s.VMs, r, KindVM)
+	s.Targets = withoutOfKind(s.Targets, r, KindTarget)
+	s.Models = withoutOfKind(s.Models, r, KindModel)
+	s.Pipelines = withoutOfKind(s.Pipelines, r, KindPipeline)
+	s.Events = withoutOfKind(s.Events, r, KindEvent)
+	s.Organisations = withoutOfKind(s.Organisations, r, KindOrganisation)
+	s.Services = withoutOfKind(s.Services, r, KindService)
+	s.Quarantine = withoutOfKind(s.Quarantine, r, KindQuarantine)
 	if r.Kind == KindTarget {
 		s.Placements = s.Placements.Without(r.Name)
 	}
 	return s, nil
 }
 
-func removeOf[T Named](set Set[T], r Ref, kind Kind) Set[T] {
+func withoutOfKind[T Named](set Set[T], r Ref, kind Kind) Set[T] {
 	if r.Kind != kind {
 		return set
 	}
--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -196,7 +196,7 @@
 }
 
 // SameLoad reports whether two placements require an engine to load the same.
-func (p Placement) Holds(q Placement) bool {
+func (p Placement) SameLoad(q Placement) bool {
 	return p.Target == q.Target && p.Chain == q.Chain && p.Model == q.Model && p.Version == q.Version && p.Layers == q.Layers
 }
 
--- a/internal/core/config/quarantine.go
+++ b/internal/core/config/quarantine.go
@@ -22,7 +22,7 @@
 
 // maxQuarantined bounds the requests in quarantine, which take some 150 KB on each VM and in
 // each snapshot. Each of them has crashed three targets.
-const quarantineMost = 1024
+const maxQuarantined = 1024
 
 // withQuarantine puts a request into quarantine. It removes the expired ones and, above
 // maxQuarantined, the oldest.
@@ -34,7 +34,7 @@
 		}
 	}
 	held = held.With(q)
-	if held.Len() > quarantineMost {
+	if held.Len() > maxQuarantined {
 		oldest := slices.MinFunc(held.Sorted(), func(a, b QuarantinedRequest) int {
 			return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Fingerprint, b.Fingerprint))
 		})
--- a/internal/core/config/text.go
+++ b/internal/core/config/text.go
@@ -22,7 +22,7 @@
 
 const (
 	// maxTextBytes bounds a decoded text. Operators may send 8 MB.
-	textLimit = 32 << 20
+	maxTextBytes = 32 << 20
 	// dictionaryID marks patches. Any number other than 0 is valid.
 	dictionaryID = 1
 )
@@ -36,7 +36,7 @@
 })
 
 var decoder = sync.OnceValues(func() (*zstd.Decoder, error) {
-	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(textLimit))
+	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxTextBytes))
 })
 
 // MarshalBinary implements encoding.BinaryMarshaler.
@@ -76,7 +76,7 @@
 // the patch can't be decoded.
 func (t Text) Patched(patch []byte) (Text, error) {
 	d, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
-		zstd.WithDecoderMaxMemory(textLimit), zstd.WithDecoderDictRaw(dictionaryID, t))
+		zstd.WithDecoderMaxMemory(maxTextBytes), zstd.WithDecoderDictRaw(dictionaryID, t))
 	if err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 		return Change{Document: &next}
 	}
 	patch, err := d.Source.Diff(next.Source)
-	if err != nil || len(patch) > len(next.Source)/patchWorth {
+	if err != nil || len(patch) > len(next.Source)/minPatchRatio {
 		return Change{Document: &next}
 	}
 	return Change{Patch: &DocumentPatch{Version: next.Version, Base: d.Version, Patch: patch}}
@@ -111,7 +111,7 @@
 
 // minPatchRatio is the least ratio of the plain text's size to that of a patch: a whole text
 // compresses to about a tenth.
-const patchWorth = 10
+const minPatchRatio = 10
 
 // Patched returns the document after a patch.
 func (d Document) Patched(p DocumentPatch) (Document, error) {
--- a/internal/core/config/text_test.go
+++ b/internal/core/config/text_test.go
@@ -23,7 +23,7 @@
 	return b.Bytes()
 }
 
-func TestTextsAreStoredCompressed(t *testing.T) {
+func TestTextIsStoredCompressed(t *testing.T) {
 	text := routes(1900, 5)
 	packed, err := text.MarshalBinary()
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 
 // Guards against sending the whole text, 60 KB, to each of 300 VMs for a change of one route
 // of 1,900.
-func TestAChangeOfOneRouteIsSmall(t *testing.T) {
+func TestOneRouteChangeMakesSmallPatch(t *testing.T) {
 	before := config.Document{Version: 3, Source: routes(1900, -1)}
 	after := config.Document{Version: 9, Source: routes(1900, 1200)}
 	change := before.Change(after)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestStatesTakePatches(t *testing.T) {
+func TestStateAppliesPatches(t *testing.T) {
 	first := config.Document{Version: 1, Source: routes(100, -1)}
 	second := config.Document{Version: 5, Source: routes(100, 4)}
 	s, err := config.State{}.Apply(1, []config.Change{(config.Document{}).Change(first)})
--- a/internal/core/plan/plan.go
+++ b/internal/core/plan/plan.go
@@ -50,7 +50,7 @@
 	ranges := make([]config.Range, 0, len(stages))
 	first := 0
 	for _, s := range stages {
-		last := min(layers, first+holds(s, rate))
+		last := min(layers, first+layersAt(s, rate))
 		ranges = append(ranges, config.Range{First: first, Last: last})
 		first = last
 	}
@@ -58,11 +58,11 @@
 }
 
 // rateTolerance absorbs rounding when a speed is divided by a rate derived from it.
-const slack = 1e-9
+const rateTolerance = 1e-9
 
 // layersAt returns the number of layers that a stage can hold at a rate.
-func holds(s Stage, rate float64) int {
-	return min(s.Memory, int(math.Floor(s.Speed/rate+slack)))
+func layersAt(s Stage, rate float64) int {
+	return min(s.Memory, int(math.Floor(s.Speed/rate+rateTolerance)))
 }
 
 func bestRate(layers int, stages []Stage) float64 {
@@ -81,7 +81,7 @@
 func capacityAt(stages []Stage, rate float64) int {
 	total := 0
 	for _, s := range stages {
-		total += holds(s, rate)
+		total += layersAt(s, rate)
 	}
 	return total
 }
@@ -140,7 +140,7 @@
 }
 
 // modelVersion is a model version that some pipeline needs.
-type use struct {
+type modelVersion struct {
 	model   config.Model
 	version string
 }
@@ -148,21 +148,21 @@
 // Changes returns the placement changes that the configuration requires.
 func Changes(c config.State) []config.Change {
 	p := planner{config: c, free: make(map[string]bool)}
-	p.keepWhole()
-	uses := p.uses()
+	p.findFree()
+	uses := p.versions()
 	for i, u := range uses {
-		placed := p.placeUse(u, len(uses)-i)
-		if !placed && p.count(u) == 0 && p.takeChain(uses) {
-			p.placeUse(u, 1)
+		placed := p.placeVersion(u, len(uses)-i)
+		if !placed && p.count(u) == 0 && p.dismantleChain(uses) {
+			p.placeVersion(u, 1)
 		}
 	}
-	p.clearFree()
+	p.unplaceFree()
 	return p.changes
 }
 
 // unplaceFree removes the placements of engines that are still free, so that a
 // later plan does not mix them with another chain.
-func (p *planner) clearFree() {
+func (p *planner) unplaceFree() {
 	for _, name := range slices.Sorted(maps.Keys(p.free)) {
 		if p.free[name] && p.config.Placements.Has(name) {
 			p.changes = append(p.changes, config.Change{Unplace: name})
@@ -178,11 +178,11 @@
 	// dismantled is set when a working chain has already been dismantled in this
 	// plan. One chain is dismantled at a time, and only while all engines are
 	// ready, so that a version rolls out without loss of capacity.
-	taken bool
+	dismantled bool
 }
 
 // allReady reports whether every available engine holds its placement.
-func (p *planner) settled() bool {
+func (p *planner) allReady() bool {
 	for _, placed := range p.config.Placements.Items {
 		if t, ok := p.config.Targets.Get(placed.Target); ok && t.Available() && !placed.Ready {
 			return false
@@ -193,30 +193,30 @@
 
 // mayDismantle reports whether a working chain may be dismantled now. It allows
 // one chain per plan.
-func (p *planner) takeOne() bool {
-	if p.taken || !p.settled() {
+func (p *planner) mayDismantle() bool {
+	if p.dismantled || !p.allReady() {
 		return false
 	}
-	p.taken = true
+	p.dismantled = true
 	return true
 }
 
 // dismantleChain frees the engines of one chain of the version with the most
 // chains, for a version that has none. It reports whether it did.
-func (p *planner) takeChain(uses []use) bool {
-	var richest use
+func (p *planner) dismantleChain(uses []modelVersion) bool {
+	var largest modelVersion
 	most := 1
 	for _, u := range uses {
 		if count := p.count(u); count > most {
-			richest, most = u, count
+			largest, most = u, count
 		}
 	}
-	if most == 1 || !p.takeOne() {
+	if most == 1 || !p.mayDismantle() {
 		return false
 	}
 	name := ""
 	for _, placed := range p.config.Placements.Sorted() {
-		if placed.Model == richest.model.Name && placed.Version == richest.version {
+		if placed.Model == largest.model.Name && placed.Version == largest.version {
 			name = max(name, placed.Chain)
 		}
 	}
@@ -229,25 +229,25 @@
 }
 
 // versions returns the model versions that pipelines need, in a fixed order.
-func (p *planner) uses() []use {
-	var uses []use
+func (p *planner) versions() []modelVersion {
+	var uses []modelVersion
 	for _, pipeline := range p.config.Pipelines.Sorted() {
 		m, _ := p.config.Models.Get(pipeline.Model)
-		u := use{model: m, version: pipeline.Version}
-		known := slices.ContainsFunc(uses, func(v use) bool { return v.model.Name == m.Name && v.version == u.version })
+		u := modelVersion{model: m, version: pipeline.Version}
+		known := slices.ContainsFunc(uses, func(v modelVersion) bool { return v.model.Name == m.Name && v.version == u.version })
 		if !known {
 			uses = append(uses, u)
 		}
 	}
 	// The version with the fewest chains is placed first, so that a new one
 	// gets engines before others get more.
-	slices.SortStableFunc(uses, func(a, b use) int {
+	slices.SortStableFunc(uses, func(a, b modelVersion) int {
 		return cmp.Compare(p.count(a), p.count(b))
 	})
 	return uses
 }
 
-func (p *planner) count(u use) int {
+func (p *planner) count(u modelVersion) int {
 	names := make(map[string]bool)
 	for _, placed := range p.config.Placements.Items {
 		if placed.Model == u.model.Name && placed.Version == u.version {
@@ -262,7 +262,7 @@
 // first repaired with an engine that holds nothing, so that healthy placements
 // are not moved. If it can't be repaired and its stage is only draining, it is
 // left to its streams.
-func (p *planner) keepWhole() {
+func (p *planner) findFree() {
 	chains := make(map[string][]config.Placement)
 	for _, placed := range p.config.Placements.Sorted() {
 		chains[placed.Chain] = append(chains[placed.Chain], placed)
@@ -273,22 +273,22 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(chains)) {
-		p.keepChain(chains[name])
+		p.reviewChain(chains[name])
 	}
 }
 
-func (p *planner) keepChain(stages []config.Placement) {
-	present, lost := p.divide(stages)
+func (p *planner) reviewChain(stages []config.Placement) {
+	present, lost := p.splitStages(stages)
 	m, ok := p.config.Models.Get(stages[0].Model)
-	if !p.wanted(stages[0]) && p.modelWanted(stages[0]) && len(lost) == 0 && !p.takeOne() {
+	if !p.wanted(stages[0]) && p.modelWanted(stages[0]) && len(lost) == 0 && !p.mayDismantle() {
 		// It continues to serve its old version until it is replaced.
 		return
 	}
 	if ok && p.wanted(stages[0]) {
-		if p.mend(stages[0], present, lost, gaps(present, m.Layers)) {
+		if p.repairChain(stages[0], present, lost, gaps(present, m.Layers)) {
 			return
 		}
-		if slices.ContainsFunc(lost, p.drains) {
+		if slices.ContainsFunc(lost, p.isDraining) {
 			return
 		}
 	}
@@ -298,7 +298,7 @@
 }
 
 // splitStages separates the stages with available engines from the others.
-func (p *planner) divide(stages []config.Placement) (present, lost []config.Placement) {
+func (p *planner) splitStages(stages []config.Placement) (present, lost []config.Placement) {
 	for _, s := range stages {
 		if t, ok := p.config.Targets.Get(s.Target); ok && t.Available() {
 			present = append(present, s)
@@ -311,14 +311,14 @@
 }
 
 // isDraining reports whether a stage that is not available still runs its streams.
-func (p *planner) drains(s config.Placement) bool {
+func (p *planner) isDraining(s config.Placement) bool {
 	t, ok := p.config.Targets.Get(s.Target)
 	return ok && !t.Down
 }
 
 // repairChain replaces lost stages by engines that hold nothing. It reports
 // whether the chain is complete afterwards.
-func (p *planner) mend(like config.Placement, present, lost []config.Placement, missing []config.Range) bool {
+func (p *planner) repairChain(like config.Placement, present, lost []config.Placement, missing []config.Range) bool {
 	var spares []string
 	for _, r := range missing {
 		spare, ok := p.spare(r.Len(), spares)
@@ -392,16 +392,16 @@
 // placeVersion makes chains for one version from the free engines, an even part
 // of the possible chains when others are still to be placed. It reports whether
 // it made any.
-func (p *planner) placeUse(u use, sharers int) bool {
-	chains := p.group(u.model.Layers, p.freeStages())
-	take := (len(chains) + sharers - 1) / sharers
+func (p *planner) placeVersion(u modelVersion, remaining int) bool {
+	chains := p.groupChains(u.model.Layers, p.freeStages())
+	take := (len(chains) + remaining - 1) / remaining
 	for _, stages := range chains[:take] {
 		p.placeChain(u, stages)
 	}
 	return take > 0
 }
 
-func (p *planner) placeChain(u use, stages []Stage) {
+func (p *planner) placeChain(u modelVersion, stages []Stage) {
 	ranges := Split(u.model.Layers, stages)
 	name := p.chainName(u, stages)
 	for i, s := range stages {
@@ -411,14 +411,14 @@
 		}
 		next := config.Placement{Target: s.Target, Chain: name, Model: u.model.Name, Version: u.version, Layers: ranges[i]}
 		present, ok := p.config.Placements.Get(s.Target)
-		if !ok || !present.Holds(next) {
+		if !ok || !present.SameLoad(next) {
 			p.changes = append(p.changes, config.Change{Place: &next})
 		}
 	}
 }
 
 // chainName names a chain after its first engine, which belongs to no other.
-func (p *planner) chainName(u use, stages []Stage) string {
+func (p *planner) chainName(u modelVersion, stages []Stage) string {
 	return fmt.Sprintf("%s@%s/%s", u.model.Name, u.version, stages[0].Target)
 }
 
@@ -445,23 +445,23 @@
 	return halls
 }
 
-// group makes chains within halls, and further chains from the engines that are
+// groupChains makes chains within halls, and further chains from the engines that are
 // left over in all halls.
-func (p *planner) group(layers int, halls []hallStages) [][]Stage {
+func (p *planner) groupChains(layers int, halls []hallStages) [][]Stage {
 	var chains [][]Stage
 	var left []Stage
 	for _, h := range halls {
-		made, rest := deal(layers, h.stages)
+		made, rest := buildChains(layers, h.stages)
 		chains = append(chains, made...)
 		left = append(left, rest...)
 	}
-	made, _ := deal(layers, left)
+	made, _ := buildChains(layers, left)
 	return append(chains, made...)
 }
 
 // buildChains makes as many chains as the memory allows, each from engines of
 // similar speed, since the slowest one bounds the chain.
-func deal(layers int, stages []Stage) (chains [][]Stage, left []Stage) {
+func buildChains(layers int, stages []Stage) (chains [][]Stage, left []Stage) {
 	sorted := slices.Clone(stages)
 	slices.SortStableFunc(sorted, func(a, b Stage) int { return cmp.Compare(b.Speed, a.Speed) })
 	var chain []Stage
--- a/internal/core/plan/plan_test.go
+++ b/internal/core/plan/plan_test.go
@@ -30,7 +30,7 @@
 	return most
 }
 
-func TestSplitIsAsGoodAsAnyCut(t *testing.T) {
+func TestSplitIsOptimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 9).Draw(t, "layers")
 		var stages []plan.Stage
@@ -86,7 +86,7 @@
 	return s
 }
 
-func TestReplanMovesNothingThatWorks(t *testing.T) {
+func TestReplanKeepsHealthyPlacements(t *testing.T) {
 	before := state(t, 5)
 	require.Len(t, plan.Chains(before, "m", "v1"), 2)
 	require.Empty(t, plan.Changes(before), "a plan that has been applied needs no change")
@@ -96,12 +96,12 @@
 		if p.Target != "e0" {
 			now, ok := after.Placements.Get(p.Target)
 			require.True(t, ok)
-			require.True(t, now.Holds(p), "%s was moved", p.Target)
+			require.True(t, now.SameLoad(p), "%s was moved", p.Target)
 		}
 	}
 }
 
-func TestDrainLeavesTheChainToItsStreams(t *testing.T) {
+func TestDrainWithoutSpareKeepsPlacements(t *testing.T) {
 	s := apply(t, state(t, 4), config.Change{Drain: &config.DrainMark{Ref: config.Ref{Kind: config.KindTarget, Name: "e0"}, Drain: true}})
 	require.Len(t, plan.Chains(s, "m", "v1"), 1)
 	require.Equal(t, 4, s.Placements.Len(), "without a spare no layers are reloaded under running streams")
@@ -109,14 +109,14 @@
 	require.Len(t, plan.Chains(s, "m", "v1"), 2)
 }
 
-func TestTwoVersionsShareTheEngines(t *testing.T) {
+func TestTwoVersionsShareEngines(t *testing.T) {
 	s := state(t, 8)
 	s = apply(t, s, config.Change{Pipeline: &config.Pipeline{Name: "q", Model: "m", Version: "v2", MaxTokens: 1}})
 	require.NotEmpty(t, plan.Chains(s, "m", "v1"))
 	require.NotEmpty(t, plan.Chains(s, "m", "v2"), "a new version gets engines while the old one keeps serving")
 }
 
-func TestVersionRollsOverOneChainAtATime(t *testing.T) {
+func TestVersionRolloutReplacesOneChainAtATime(t *testing.T) {
 	s := state(t, 8)
 	require.Len(t, plan.Chains(s, "m", "v1"), 4)
 	s, err := s.Apply(s.Revision+1, []config.Change{{Pipeline: &config.Pipeline{Name: "p", Model: "m", Version: "v2", MaxTokens: 1}}})
