--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -16,7 +16,7 @@
 // within sweepEvery. A refusal here precedes every dispatch, so it says "ran: no",
 // and the request has left the queue for good.
 
-// queuedWork is work that waits for a route: a stream or a call.
+// waiting is work that waits for a route: a stream or a call.
 type waiting struct {
 	organisation string
 	class        config.Class
@@ -27,13 +27,13 @@
 	// avoid is a target that has just refused it.
 	avoid string
 	// dropped is set when it was refused or its caller has disconnected.
-	gone bool
+	dropped bool
 	// stream or call is the work itself.
 	stream *stream
 	call   *call
 }
 
-func (w *waiting) isGone() bool { return w.gone }
+func (w *waiting) isDropped() bool { return w.dropped }
 
 // rankCount is the number of priorities of a queue: two for each class.
 const rankCount = 2 * config.ClassCount
@@ -57,7 +57,7 @@
 
 // checkServing returns the refusal for new work while this VM has no lease, or is
 // about to stop, and reports whether it accepts new work.
-func (n *Node) checkTenure() (Refusal, bool) {
+func (n *Node) checkServing() (Refusal, bool) {
 	if n.stopping && !n.now.Before(n.entry.leaveAt) {
 		return refusal(RefusedLeaving, RanNo, "this entry VM is being stopped", "send the request to one of the other addresses").
 			WithRetryAt(n.now).WithOthers(n.others()), false
@@ -88,12 +88,12 @@
 	}
 	if org.Limit > 0 && n.entry.inProgress[w.organisation] >= org.Limit {
 		return refusal(RefusedLimit, RanNo, "the organisation has as many requests in progress as its limit allows", "wait for one of them, or ask the operators for a higher limit").
-			WithRetryAt(n.comeBack(p)), false
+			WithRetryAt(n.retryTime(p)), false
 	}
-	wait := p.wait(n.now, p.queue.ahead(w.rank(), w.organisation, w.weight))
+	wait := p.waitTime(n.now, p.queue.costAhead(w.rank(), w.organisation, w.weight))
 	if p.queue.length >= queueLimit || n.now.Add(wait).After(p.latest(w)) {
 		return refusal(RefusedOverload, RanNo, "it could not be served before its deadline", "come back at the given time, or give a later deadline").
-			WithRetryAt(n.comeBack(p)), false
+			WithRetryAt(n.retryTime(p)), false
 	}
 	if refusal, backoffs := n.poolBackoffs(p, w); backoffs {
 		return refusal, false
@@ -104,7 +104,7 @@
 	}
 	p.queue.push(w.rank(), w.organisation, w.weight, w.cost, w)
 	n.entry.inProgress[w.organisation]++
-	n.pump(p)
+	n.startQueued(p)
 	return Refusal{}, true
 }
 
@@ -118,7 +118,7 @@
 }
 
 // uncount removes a request that got its final answer from the requests in progress.
-func (n *Node) leave(organisation string) {
+func (n *Node) uncount(organisation string) {
 	n.entry.inProgress[organisation]--
 	if n.entry.inProgress[organisation] <= 0 {
 		delete(n.entry.inProgress, organisation)
@@ -127,13 +127,13 @@
 
 // retryTime returns a retry time after the queue is expected to be empty, with
 // jitter of the same length so that refused callers do not return together.
-func (n *Node) comeBack(p *pool) time.Time {
-	wait := max(p.wait(n.now, p.queued()), time.Second)
+func (n *Node) retryTime(p *pool) time.Time {
+	wait := max(p.waitTime(n.now, p.queued()), time.Second)
 	return n.now.Add(wait + time.Duration(n.rand.Int64N(int64(wait))))
 }
 
 // startQueued starts queued work while there are routes with free capacity.
-func (n *Node) pump(p *pool) {
+func (n *Node) startQueued(p *pool) {
 	for len(p.open) > 0 {
 		w, ok := p.queue.peek()
 		if !ok {
@@ -144,13 +144,13 @@
 			return
 		}
 		p.queue.pop()
-		n.begin(p, r, w)
+		n.startWork(p, r, w)
 	}
 }
 
-func (n *Node) begin(p *pool, r *route, w *waiting) {
+func (n *Node) startWork(p *pool, r *route, w *waiting) {
 	name, stages := r.name, r.stages
-	n.take(p.name, name, stages)
+	n.reserve(p.name, name, stages)
 	if w.stream != nil {
 		n.beginStream(w.stream, p.name, name, stages)
 		return
@@ -181,27 +181,27 @@
 			}
 		}
 	}
-	n.pump(p)
+	n.startQueued(p)
 }
 
-// latestStart returns the latest start that meets the deadline. Work started later would
+// latest returns the latest start that meets the deadline. Work started later would
 // take capacity from work that can still succeed, and then be discarded.
-func (p *pool) latest(w *waiting) time.Time { return w.deadline.Add(-p.service(w.cost)) }
+func (p *pool) latest(w *waiting) time.Time { return w.deadline.Add(-p.serviceTime(w.cost)) }
 
 func (n *Node) expire(p *pool, w *waiting) {
-	if refusal, backoffs := n.poolBackoffs(p, w); backoffs && !w.gone {
-		n.dropWaiting(w, refusal)
+	if refusal, backoffs := n.poolBackoffs(p, w); backoffs && !w.dropped {
+		n.refuseQueued(w, refusal)
 		return
 	}
-	if w.gone || n.now.Before(p.latest(w)) {
+	if w.dropped || n.now.Before(p.latest(w)) {
 		return
 	}
-	n.dropWaiting(w, refusal(RefusedDeadline, RanNo, "it waited until it could no longer be served before its deadline", "come back at the given time").WithRetryAt(n.comeBack(p)))
+	n.refuseQueued(w, refusal(RefusedDeadline, RanNo, "it waited until it could no longer be served before its deadline", "come back at the given time").WithRetryAt(n.retryTime(p)))
 }
 
 // refuseQueued refuses work that has not begun.
-func (n *Node) dropWaiting(w *waiting, r Refusal) {
-	w.gone = true
+func (n *Node) refuseQueued(w *waiting, r Refusal) {
+	w.dropped = true
 	if w.stream != nil {
 		n.failStream(w.stream, r)
 		return
@@ -213,13 +213,13 @@
 type retryBudget struct{ tokens float64 }
 
 const (
-	budgetAtMost     = 50
-	budgetPerRequest = 0.2
+	maxRetryTokens        = 50
+	retryTokensPerRequest = 0.2
 )
 
-func newRetryBudget() retryBudget { return retryBudget{tokens: budgetAtMost} }
+func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens} }
 
-func (b *retryBudget) earn() { b.tokens = min(b.tokens+budgetPerRequest, budgetAtMost) }
+func (b *retryBudget) earn() { b.tokens = min(b.tokens+retryTokensPerRequest, maxRetryTokens) }
 
 func (b *retryBudget) take() bool {
 	if b.tokens < 1 {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -399,7 +399,7 @@
 
 // TestCostPerTokenIsIndependentOfTargets checks counted costs, which don't depend on
 // the machine, against bounds. A decision must not cost more with more targets.
-func TestCostsDoNotGrow(t *testing.T) {
+func TestCostPerTokenIsIndependentOfTargets(t *testing.T) {
 	perToken := make(map[int]float64)
 	for _, targets := range benchTargets {
 		r := newEntryRig(t, targets, 10, 10)
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -29,38 +29,38 @@
 	service      config.Service
 	repeatable   bool
 	phase        phase
-	wait         *waiting
+	queued       *waiting
 	pool         string
 	route        string
 	stages       []Stage
-	holding      bool
+	reserved     bool
 	// permitted is set when a permit was used for it, where the runner has a limit.
 	permitted bool
 	beganAt   time.Time
 	// attempt numbers the claim; retryAt is when the claim is requested again, or a
 	// peek times out.
 	attempt uint64
-	claimAt time.Time
+	retryAt time.Time
 	claimed bool
 	// busy is set when another VM was seen to hold the claim.
 	busy bool
 	// refusal is sent to the caller once a peek has confirmed it.
 	refusal *Refusal
 	// disconnected is set when the caller has disconnected; the call still runs to its end.
-	left bool
+	disconnected bool
 }
 
 // pendingRecord is a record that the control VMs have not acknowledged.
 type pendingRecord struct {
 	request RecordRequest
-	againAt time.Time
+	retryAt time.Time
 }
 
 // callCost is the cost of a call in its service's queue.
 const callCost = 1
 
 // claimRetryInterval is the delay before a claim or record request is resent.
-const claimPause = 200 * time.Millisecond
+const claimRetryInterval = 200 * time.Millisecond
 
 // callAsked handles a request for a plain service.
 func (n *Node) callAsked(a CallAsked) {
@@ -73,7 +73,7 @@
 	service, ok := n.entry.config.Services.Get(a.Service)
 	p := n.entry.pools[a.Service]
 	if !ok || p == nil {
-		if r, ok := n.checkTenure(); !ok {
+		if r, ok := n.checkServing(); !ok {
 			if a.Returnable {
 				r = r.WithDoubt()
 			}
@@ -84,19 +84,19 @@
 		return
 	}
 	c := &call{asked: a, organisation: org.Name, service: service, repeatable: service.IsRepeatable(a.Method, a.Path), phase: phaseQueued}
-	if !c.repeatable && (n.joinCall(c) || n.answerPending(c)) {
+	if !c.repeatable && (n.reattachCall(c) || n.answerPending(c)) {
 		return
 	}
 	n.entry.calls[a.Conn] = c
 	if !c.repeatable {
 		n.entry.callIDs[a.ID] = a.Conn
 	}
-	if r, ok := n.checkTenure(); !ok {
+	if r, ok := n.checkServing(); !ok {
 		n.refuseCall(c, r)
 		return
 	}
 	n.entry.budget.earn()
-	c.wait = &waiting{
+	c.queued = &waiting{
 		organisation: org.Name,
 		class:        service.Class,
 		weight:       n.weightOf(org.Name),
@@ -104,14 +104,14 @@
 		deadline:     a.Deadline,
 		call:         c,
 	}
-	if r, ok := n.admit(p, c.wait); !ok {
-		c.wait = nil
+	if r, ok := n.admit(p, c.queued); !ok {
+		c.queued = nil
 		n.refuseCall(c, r)
 	}
 }
 
 // reattachCall attaches a call in progress on this VM to the caller that resends it.
-func (n *Node) joinCall(c *call) bool {
+func (n *Node) reattachCall(c *call) bool {
 	old, ok := n.entry.callIDs[c.asked.ID]
 	if !ok {
 		return false
@@ -121,11 +121,11 @@
 		n.emit(Refuse{Conn: c.asked.Conn, ID: c.asked.ID, Refusal: conflictRefusal()})
 		return true
 	}
-	if !present.left {
+	if !present.disconnected {
 		n.emit(Refuse{Conn: old, ID: c.asked.ID, Refusal: movedRefusal()})
 	}
 	delete(n.entry.calls, old)
-	present.left = false
+	present.disconnected = false
 	present.asked.Conn = c.asked.Conn
 	n.entry.calls[c.asked.Conn] = present
 	n.entry.callIDs[c.asked.ID] = c.asked.Conn
@@ -141,7 +141,7 @@
 	c.pool = poolName
 	c.route = route
 	c.stages = stages
-	c.holding = true
+	c.reserved = true
 	// The permit is used here, since it could expire while the claim is pending.
 	c.permitted = n.routePermit(stages)
 	if c.repeatable || c.claimed {
@@ -151,11 +151,11 @@
 	c.phase = phaseClaiming
 	n.entry.attempts++
 	c.attempt = n.entry.attempts
-	n.askClaim(c)
+	n.requestClaim(c)
 }
 
-func (n *Node) askClaim(c *call) {
-	c.claimAt = n.now.Add(claimPause)
+func (n *Node) requestClaim(c *call) {
+	c.retryAt = n.now.Add(claimRetryInterval)
 	leader := n.entry.tenure.leader
 	if leader == "" {
 		return
@@ -248,10 +248,10 @@
 	p := n.entry.pools[c.pool]
 	switch e.Result {
 	case ResultDone:
-		n.trust(e.Target)
+		n.clearFailures(e.Target)
 		if p != nil {
-			p.taken(c.route)
-			p.ended(callCost, callCost, n.now.Sub(c.beganAt), n.now)
+			p.recordSuccess(c.route)
+			p.recordEnd(callCost, callCost, n.now.Sub(c.beganAt), n.now)
 		}
 		if !c.repeatable {
 			n.record(RecordRequest{ID: c.asked.ID, Attempt: c.attempt, Ran: RanYes, Answer: e.Answer})
@@ -259,7 +259,7 @@
 		n.finishCall(c, e.Answer, false)
 	case ResultRefused:
 		if p != nil {
-			p.refused(c.route)
+			p.recordRefusal(c.route)
 		}
 		n.retryCall(c, e.Target)
 	default:
@@ -293,10 +293,10 @@
 		return
 	}
 	pool, route, stages := c.pool, c.route, c.stages
-	c.holding = false
+	c.reserved = false
 	c.phase = phaseQueued
-	c.wait = p.readmit(c.wait, avoid)
-	n.give(pool, route, stages)
+	c.queued = p.readmit(c.queued, avoid)
+	n.release(pool, route, stages)
 }
 
 // giveUpCall refuses a call that no runner served. A repeatable call may have
@@ -311,10 +311,10 @@
 }
 
 func (n *Node) finishCall(c *call, answer CallAnswer, recorded bool) {
-	if !c.left {
+	if !c.disconnected {
 		n.emit(Finish{Conn: c.asked.Conn, ID: c.asked.ID, Answer: answer, Recorded: recorded})
 	}
-	n.forgetCall(c)
+	n.removeCall(c)
 }
 
 // refuseCall ends a call with a refusal. The claim of a call that did not run is
@@ -325,7 +325,7 @@
 // run, so the control VMs are first asked for the state of its claim. Without
 // their answer the refusal says that the outcome is unknown.
 func (n *Node) refuseCall(c *call, r Refusal) {
-	unsettled := !c.repeatable && c.asked.Returnable && !c.claimed && !c.left
+	unsettled := !c.repeatable && c.asked.Returnable && !c.claimed && !c.disconnected
 	if unsettled && r.Ran == RanNo && r.Kind != RefusedConflict {
 		n.peek(c, r)
 		return
@@ -342,7 +342,7 @@
 	}
 	c.phase = phasePeeking
 	c.refusal = &r
-	c.claimAt = n.now.Add(n.settings.Timing.PeerReply)
+	c.retryAt = n.now.Add(n.settings.Timing.PeerReply)
 	n.deliver(leader, Message{Claim: &ClaimRequest{ID: c.asked.ID, Digest: c.asked.Digest, Peek: true}})
 }
 
@@ -363,45 +363,45 @@
 }
 
 func (n *Node) endCall(c *call, r Refusal) {
-	if !c.left {
+	if !c.disconnected {
 		n.emit(Refuse{Conn: c.asked.Conn, ID: c.asked.ID, Refusal: r})
 	}
 	if c.phase == phaseClaiming || c.claimed && r.Ran == RanNo {
 		n.record(RecordRequest{ID: c.asked.ID, Attempt: c.attempt, Ran: RanNo})
 	}
-	n.forgetCall(c)
+	n.removeCall(c)
 }
 
-func (n *Node) forgetCall(c *call) {
+func (n *Node) removeCall(c *call) {
 	delete(n.entry.calls, c.asked.Conn)
 	if n.entry.callIDs[c.asked.ID] == c.asked.Conn {
 		delete(n.entry.callIDs, c.asked.ID)
 	}
-	if c.wait != nil {
-		c.wait.gone = true
-		n.leave(c.organisation)
+	if c.queued != nil {
+		c.queued.dropped = true
+		n.uncount(c.organisation)
 	}
 	c.phase = phaseDone
-	if c.holding {
-		c.holding = false
-		n.give(c.pool, c.route, c.stages)
+	if c.reserved {
+		c.reserved = false
+		n.release(c.pool, c.route, c.stages)
 	}
 }
 
 // callDisconnected handles a caller that has closed its connection. A call that
 // has not begun is removed. One that may have begun runs to its end, so that a
 // resend gets its answer.
-func (n *Node) callLeft(c *call) {
-	c.left = true
+func (n *Node) callDisconnected(c *call) {
+	c.disconnected = true
 	if c.phase == phaseQueued && !c.claimed {
-		n.forgetCall(c)
+		n.removeCall(c)
 	}
 }
 
 func (n *Node) sweepCalls() {
 	for _, conn := range slices.Sorted(maps.Keys(n.entry.calls)) {
 		c := n.entry.calls[conn]
-		if c.phase == phasePeeking && !n.now.Before(c.claimAt) {
+		if c.phase == phasePeeking && !n.now.Before(c.retryAt) {
 			n.endCall(c, c.refusal.WithDoubt())
 			continue
 		}
@@ -412,15 +412,15 @@
 			n.refuseCall(c, refusal(RefusedControl, RanNo, "the control VMs did not decide the claim before the deadline", "send it again under the same identity").WithRetryAt(n.now.Add(time.Second)))
 			continue
 		}
-		if !n.now.Before(c.claimAt) {
-			n.askClaim(c)
+		if !n.now.Before(c.retryAt) {
+			n.requestClaim(c)
 		}
 	}
 }
 
 // record stores the outcome of a claimed call, and resends it until it is durable.
 func (n *Node) record(r RecordRequest) {
-	if len(r.Answer.Body) > recordLimit {
+	if len(r.Answer.Body) > maxRecordBytes {
 		r.Answer = CallAnswer{Status: r.Answer.Status, ContentType: "text/plain", Body: []byte("the answer was given once and was too large to be kept")}
 	}
 	n.entry.records[r.ID] = &pendingRecord{request: r}
@@ -428,10 +428,10 @@
 }
 
 // maxRecordBytes bounds the body of a recorded answer.
-const recordLimit = 64 << 10
+const maxRecordBytes = 64 << 10
 
 func (n *Node) sendRecord(p *pendingRecord) {
-	p.againAt = n.now.Add(claimPause)
+	p.retryAt = n.now.Add(claimRetryInterval)
 	if leader := n.entry.tenure.leader; leader != "" {
 		request := p.request
 		n.deliver(leader, Message{Record: &request})
@@ -446,7 +446,7 @@
 
 func (n *Node) sweepRecords() {
 	for _, id := range slices.Sorted(maps.Keys(n.entry.records)) {
-		if p := n.entry.records[id]; !n.now.Before(p.againAt) {
+		if p := n.entry.records[id]; !n.now.Before(p.retryAt) {
 			n.sendRecord(p)
 		}
 	}
--- a/internal/core/engine_fleet_test.go
+++ b/internal/core/engine_fleet_test.go
@@ -158,17 +158,17 @@
 	return slices.MaxFunc(vms, func(a, b core.VMName) int { return cmp.Compare(f.bytes[a], f.bytes[b]) })
 }
 
-// hundredsFleet has 300 VMs in three halls. With ten engines for each VM it has a tenth of
+// fleetOf300 has 300 VMs in three halls. With ten engines for each VM it has a tenth of
 // the engines per VM of the fleet size to support in two years, as in the users' sweep.
-var hundredsFleet = fleetSize{halls: 3, controls: 6, disks: 2, entries: 94}
+var fleetOf300 = fleetSize{halls: 3, controls: 6, disks: 2, entries: 94}
 
 // Guards against target updates that saturate links when all engines of a starting fleet load
 // within seconds. Each VM was sent the full state of an engine at each of its reports, again
 // while that was in flight, and all loading engines with each lease: 298 MB in 2.6 s, and
 // 9.5 MB/s at the busiest control VM, whose link carries 12.5 MB/s. With deltas it is 97 MB
 // and 3.3 MB/s.
-func TestAFleetThatLoadsLeavesLinksRoom(t *testing.T) {
-	f := newEngineFleet(t, hundredsFleet, 3000)
+func TestTargetUpdateTrafficIsBoundedWhileFleetLoads(t *testing.T) {
+	f := newEngineFleet(t, fleetOf300, 3000)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
 	f.run(time.Second)
 	f.put(1)
@@ -210,8 +210,8 @@
 // Guards against late first copies of the model when 3,000 empty engines start and the weight
 // store serves 14 loads at full speed. If all were ordered at once, no hall would have its
 // first copy before all halls have theirs, after 45 s (computed).
-func TestHallsGetTheirFirstCopiesSoon(t *testing.T) {
-	f := newEngineFleet(t, hundredsFleet, 3000)
+func TestFirstCopiesPerHallLoadFirst(t *testing.T) {
+	f := newEngineFleet(t, fleetOf300, 3000)
 	f.atOnce = 14
 	f.decode = func(text []byte) (*relay.Document, error) {
 		d, err := fullDocument(text)
@@ -232,7 +232,7 @@
 // register at 320 a second, right up to the first request. The plan was made 10.7 s after the
 // first registration, and 47 engines were ordered to load 2 s after the first request.
 func TestLoadsBeginWhileEnginesRegister(t *testing.T) {
-	f := newEngineFleet(t, hundredsFleet, 3000)
+	f := newEngineFleet(t, fleetOf300, 3000)
 	f.atOnce = 14
 	f.decode = func(text []byte) (*relay.Document, error) {
 		d, err := fullDocument(text)
@@ -255,7 +255,7 @@
 
 // A fleet with ten times the required capacity starts no further loads, since each load takes
 // a part of the store's bandwidth from others.
-func TestAFleetThatHasEnoughLoadsNoMore(t *testing.T) {
+func TestSufficientCapacityStartsNoLoads(t *testing.T) {
 	f := newEngineFleet(t, smallFleet, 900)
 	f.decode = func(text []byte) (*relay.Document, error) {
 		d, err := fullDocument(text)
@@ -282,8 +282,8 @@
 // Guards against full target updates after a failover between control VMs. When the entry VMs
 // of a hall lose its control VMs, they fail over to those of other halls, each of which sent
 // them all targets again: 21.3 MB in 4 s.
-func TestAVMThatTurnsToAnotherControlVMIsToldOfLittle(t *testing.T) {
-	f := newEngineFleet(t, hundredsFleet, 3000)
+func TestControlVMFailoverSendsDeltas(t *testing.T) {
+	f := newEngineFleet(t, fleetOf300, 3000)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
 	f.run(time.Second)
 	f.put(1)
--- a/internal/core/fair_queue.go
+++ b/internal/core/fair_queue.go
@@ -23,7 +23,7 @@
 type fairClass[T any] struct {
 	virtual float64
 	flows   map[string]*flow[T]
-	waiting flowHeap[T]
+	active  flowHeap[T]
 	// cost is the sum over all items, weight the sum over the flows with items.
 	cost   float64
 	weight float64
@@ -66,7 +66,7 @@
 		f.weight = weight
 		f.tag = max(f.tag, c.virtual)
 		c.weight += weight
-		heap.Push(&c.waiting, f)
+		heap.Push(&c.active, f)
 	}
 }
 
@@ -75,12 +75,12 @@
 func (q *fairQueue[T]) peek() (value T, ok bool) {
 	for i := range q.classes {
 		c := &q.classes[i]
-		for len(c.waiting) > 0 {
-			f := c.waiting[0]
+		for len(c.active) > 0 {
+			f := c.active[0]
 			if item := f.items[0]; !q.dropped(item.value) {
 				return item.value, true
 			}
-			q.advance(c, f)
+			q.removeHead(c, f)
 		}
 	}
 	return value, false
@@ -94,47 +94,47 @@
 	}
 	for i := range q.classes {
 		c := &q.classes[i]
-		if len(c.waiting) == 0 {
+		if len(c.active) == 0 {
 			continue
 		}
-		f := c.waiting[0]
+		f := c.active[0]
 		c.virtual = f.tag
 		f.tag += f.items[0].cost / f.weight
-		q.advance(c, f)
+		q.removeHead(c, f)
 		break
 	}
 	return value, true
 }
 
 // removeHead removes the head of the class's first flow.
-func (q *fairQueue[T]) advance(c *fairClass[T], f *flow[T]) {
+func (q *fairQueue[T]) removeHead(c *fairClass[T], f *flow[T]) {
 	f.cost -= f.items[0].cost
 	c.cost -= f.items[0].cost
 	f.items = f.items[1:]
 	q.length--
 	if len(f.items) > 0 {
-		heap.Fix(&c.waiting, 0)
+		heap.Fix(&c.active, 0)
 		return
 	}
 	f.items = nil
 	c.weight -= f.weight
-	heap.Pop(&c.waiting)
-	c.forget()
+	heap.Pop(&c.active)
+	c.evictIdle()
 }
 
 // evictAbove is the number of flows above which idle ones are removed also while
 // others wait.
-const forgetAbove = 1000
+const evictAbove = 1000
 
 // evictIdle removes flows without items whose tag has no effect any more. While
 // others wait, a flow that was served ahead of virtual time is kept, so that it
 // gains nothing by running empty and returning.
-func (c *fairClass[T]) forget() {
-	if len(c.waiting) > 0 && len(c.flows) < forgetAbove {
+func (c *fairClass[T]) evictIdle() {
+	if len(c.active) > 0 && len(c.flows) < evictAbove {
 		return
 	}
 	for name, f := range c.flows {
-		if len(f.items) == 0 && (len(c.waiting) == 0 || f.tag <= c.virtual) {
+		if len(f.items) == 0 && (len(c.active) == 0 || f.tag <= c.virtual) {
 			delete(c.flows, name)
 		}
 	}
@@ -143,7 +143,7 @@
 // costAhead returns the cost that is served before a new item of the flow: that of
 // all earlier classes, and in its own class the cost that fair sharing serves
 // until the flow's own items are done.
-func (q *fairQueue[T]) ahead(class int, name string, weight float64) float64 {
+func (q *fairQueue[T]) costAhead(class int, name string, weight float64) float64 {
 	var before float64
 	for i := range class {
 		before += q.classes[i].cost
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -100,13 +100,13 @@
 	s.keeper = n.keeperFor(s.id)
 	s.registered = true
 	if s.keeper == "" {
-		n.caughtUp(s)
+		n.acknowledgeAll(s)
 		return
 	}
-	n.keepWhole(s)
+	n.keepFullRecord(s)
 }
 
-func (n *Node) keepWhole(s *stream) {
+func (n *Node) keepFullRecord(s *stream) {
 	record := KeepRecord{
 		ID:       s.id,
 		Owner:    n.settings.Self.VM,
@@ -118,45 +118,45 @@
 		Tokens:   slices.Clone(s.tokens),
 		Finish:   s.finish,
 	}
-	n.keep(s, KeepUpdate{ID: s.id, Record: &record, Epoch: s.epoch, From: len(s.tokens), Position: s.position, Finish: s.finish})
+	n.queueKeepUpdate(s, KeepUpdate{ID: s.id, Record: &record, Epoch: s.epoch, From: len(s.tokens), Position: s.position, Finish: s.finish})
 }
 
 // keepToken sends the newest token to the keeper.
 func (n *Node) keepToken(s *stream) {
 	if s.keeper == "" {
-		n.caughtUp(s)
+		n.acknowledgeAll(s)
 		return
 	}
 	last := len(s.tokens) - 1
-	n.keep(s, KeepUpdate{ID: s.id, Epoch: s.epoch, Position: s.position, From: last, Tokens: slices.Clone(s.tokens[last:]), Finish: s.finish})
+	n.queueKeepUpdate(s, KeepUpdate{ID: s.id, Epoch: s.epoch, Position: s.position, From: last, Tokens: slices.Clone(s.tokens[last:]), Finish: s.finish})
 }
 
 // keepChain sends a new chain and epoch to the keeper.
 func (n *Node) keepChain(s *stream) {
 	if s.keeper != "" {
-		n.keep(s, KeepUpdate{ID: s.id, Epoch: s.epoch, Chain: s.chain, Position: s.position, From: len(s.tokens)})
+		n.queueKeepUpdate(s, KeepUpdate{ID: s.id, Epoch: s.epoch, Chain: s.chain, Position: s.position, From: len(s.tokens)})
 	}
 }
 
 func (n *Node) keepDrop(s *stream) {
 	if s.keeper != "" {
-		n.keep(s, KeepUpdate{ID: s.id, Epoch: s.epoch, Drop: true})
+		n.queueKeepUpdate(s, KeepUpdate{ID: s.id, Epoch: s.epoch, Drop: true})
 	}
 }
 
 // acknowledgeAll treats everything as kept, for a stream without a keeper.
-func (n *Node) caughtUp(s *stream) {
+func (n *Node) acknowledgeAll(s *stream) {
 	s.kept = len(s.tokens)
 	s.finishKept = s.finish != ""
-	n.keptMore(s)
+	n.resumeAfterKeep(s)
 }
 
 // resumeAfterKeep continues a stream after its keeper has acknowledged an update.
-func (n *Node) keptMore(s *stream) {
+func (n *Node) resumeAfterKeep(s *stream) {
 	if s.phase == phaseRegistering {
 		n.startOrResume(s)
 	}
-	n.showTokens(s)
+	n.emitTokens(s)
 }
 
 // startOrResume runs the next position. A stream that was taken over with all its
@@ -167,10 +167,10 @@
 		n.runNext(s)
 		return
 	}
-	n.endRun(s)
+	n.releaseEngines(s)
 }
 
-func (n *Node) keep(s *stream, u KeepUpdate) {
+func (n *Node) queueKeepUpdate(s *stream, u KeepUpdate) {
 	l, ok := n.entry.links[s.keeper]
 	if !ok {
 		l = &keeperLink{}
@@ -211,13 +211,13 @@
 		}
 		switch {
 		case slices.Contains(r.Refused, u.ID):
-			n.loseStream(s)
+			n.relinquishStream(s)
 		case slices.Contains(r.Missing, u.ID):
-			n.keepWhole(s)
+			n.keepFullRecord(s)
 		default:
 			s.kept = max(s.kept, u.From+len(u.Tokens))
 			s.finishKept = s.finishKept || u.Finish != ""
-			n.keptMore(s)
+			n.resumeAfterKeep(s)
 		}
 	}
 	n.flush(from.VM, l)
@@ -249,7 +249,7 @@
 func (n *Node) keepAsked(from ReplicaID, k Keep) {
 	reply := KeepReply{Number: k.Number}
 	for _, u := range k.Updates {
-		switch n.keepUpdate(from.VM, u) {
+		switch n.applyKeepUpdate(from.VM, u) {
 		case keepRefused:
 			reply.Refused = append(reply.Refused, u.ID)
 		case keepMissing:
@@ -263,23 +263,23 @@
 type keepVerdict int
 
 const (
-	keepTaken keepVerdict = iota
+	keepAccepted keepVerdict = iota
 	keepRefused
 	keepMissing
 )
 
-func (n *Node) keepUpdate(owner VMName, u KeepUpdate) keepVerdict {
+func (n *Node) applyKeepUpdate(owner VMName, u KeepUpdate) keepVerdict {
 	present, ok := n.entry.kept[u.ID]
 	if ok && (u.Epoch.Compare(present.record.Epoch) < 0 || u.Epoch.Owner == present.record.Epoch.Owner && owner != present.record.Owner) {
 		return keepRefused
 	}
 	if u.Drop {
 		delete(n.entry.kept, u.ID)
-		return keepTaken
+		return keepAccepted
 	}
 	if u.Record != nil {
 		n.entry.kept[u.ID] = &keptRecord{record: *u.Record, dropAt: n.keepUntil(*u.Record)}
-		return keepTaken
+		return keepAccepted
 	}
 	if !ok || u.From > len(present.record.Tokens) {
 		return keepMissing
@@ -294,7 +294,7 @@
 	if u.Finish != "" {
 		r.Finish = u.Finish
 	}
-	return keepTaken
+	return keepAccepted
 }
 
 func (n *Node) keepUntil(r KeepRecord) time.Time {
@@ -312,32 +312,32 @@
 // find is the search for the record of a stream that a caller may be resuming.
 type find struct {
 	// noRecord holds the VMs that have replied that they have no record.
-	none map[VMName]bool
+	noRecord map[VMName]bool
 	// retryAt is when the VMs that have not replied are asked again, expiresAt when
 	// the search ends.
-	againAt time.Time
-	endAt   time.Time
+	retryAt   time.Time
+	expiresAt time.Time
 }
 
 // startFind asks the VMs that may keep a stream before a new one is started. It
 // reports whether there are any.
-func (n *Node) findFirst(s *stream) bool {
+func (n *Node) startFind(s *stream) bool {
 	if k, ok := n.entry.kept[s.id]; ok {
-		n.adopt(s, n.handOverRecord(k, n.settings.Self))
+		n.takeOverStream(s, n.transferRecord(k, n.settings.Self))
 		return true
 	}
-	f := &find{none: make(map[VMName]bool), endAt: n.now.Add(n.settings.Timing.PeerReply)}
+	f := &find{noRecord: make(map[VMName]bool), expiresAt: n.now.Add(n.settings.Timing.PeerReply)}
 	if s.shown > 0 {
 		// Some VM has kept it. A dead VM leaves the list of entry VMs when its
 		// lease expires; a slow one answers until then.
-		f.endAt = n.now.Add(2 * n.settings.Timing.LeaseTerm)
+		f.expiresAt = n.now.Add(2 * n.settings.Timing.LeaseTerm)
 	}
-	if len(n.silentKeepers(s, f)) == 0 {
+	if len(n.pendingKeepers(s, f)) == 0 {
 		return false
 	}
 	s.phase = phaseFinding
 	n.entry.finds[s.id] = f
-	n.askKeepers(s, f)
+	n.sendFinds(s, f)
 	return true
 }
 
@@ -345,30 +345,30 @@
 // they don't. Unless a VM was suspected, the keeper is the first of its hall in
 // rendezvous order or among the first of all. When the caller has already
 // received a part of the answer, all VMs are asked.
-func (n *Node) silentKeepers(s *stream, f *find) []VMName {
+func (n *Node) pendingKeepers(s *stream, f *find) []VMName {
 	order := rendezvous(string(s.id), n.entry.view, len(n.entry.view))
 	seen := make(map[string]bool)
-	var silent []VMName
+	var pending []VMName
 	for place, vm := range order {
 		hall := n.entry.halls[vm]
 		likely := s.shown > 0 || place < rendezvousWidth || !seen[hall]
 		seen[hall] = true
-		if likely && vm != n.settings.Self.VM && !f.none[vm] {
-			silent = append(silent, vm)
+		if likely && vm != n.settings.Self.VM && !f.noRecord[vm] {
+			pending = append(pending, vm)
 		}
 	}
-	return silent
+	return pending
 }
 
-func (n *Node) askKeepers(s *stream, f *find) {
-	f.againAt = n.now.Add(n.settings.Timing.PeerReply)
-	for _, vm := range n.silentKeepers(s, f) {
+func (n *Node) sendFinds(s *stream, f *find) {
+	f.retryAt = n.now.Add(n.settings.Timing.PeerReply)
+	for _, vm := range n.pendingKeepers(s, f) {
 		n.send(vm, Message{Find: &Find{ID: s.id}})
 	}
 }
 
-func (n *Node) handOverRecord(k *keptRecord, to ReplicaID) KeepRecord {
-	k.record.Epoch = k.record.Epoch.WithNextOwner(holderOf(to))
+func (n *Node) transferRecord(k *keptRecord, to ReplicaID) KeepRecord {
+	k.record.Epoch = k.record.Epoch.WithNextOwner(holderHash(to))
 	k.record.Owner = to.VM
 	record := k.record
 	record.Tokens = slices.Clone(record.Tokens)
@@ -379,7 +379,7 @@
 func (n *Node) findAsked(from ReplicaID, f Find) {
 	reply := FindReply{ID: f.ID}
 	if k, ok := n.entry.kept[f.ID]; ok {
-		record := n.handOverRecord(k, from)
+		record := n.transferRecord(k, from)
 		reply.Record = &record
 		n.note("stream transferred to "+string(from.VM), string(f.ID))
 	}
@@ -396,11 +396,11 @@
 	}
 	if r.Record != nil {
 		delete(n.entry.finds, r.ID)
-		n.adopt(s, *r.Record)
+		n.takeOverStream(s, *r.Record)
 		return
 	}
-	f.none[from] = true
-	if len(n.silentKeepers(s, f)) == 0 {
+	f.noRecord[from] = true
+	if len(n.pendingKeepers(s, f)) == 0 {
 		delete(n.entry.finds, r.ID)
 		n.queueStream(s)
 	}
@@ -414,21 +414,21 @@
 			delete(n.entry.finds, id)
 			continue
 		}
-		switch silent := len(n.silentKeepers(s, f)) > 0; {
-		case silent && n.now.Before(f.endAt):
-			if !n.now.Before(f.againAt) {
-				n.askKeepers(s, f)
+		switch pending := len(n.pendingKeepers(s, f)) > 0; {
+		case pending && n.now.Before(f.expiresAt):
+			if !n.now.Before(f.retryAt) {
+				n.sendFinds(s, f)
 			}
 		default:
 			delete(n.entry.finds, id)
-			s.doubted = silent
+			s.mayHaveRunBefore = pending
 			n.queueStream(s)
 		}
 	}
 }
 
 // takeOverStream resumes a stream that another entry VM has begun.
-func (n *Node) adopt(s *stream, r KeepRecord) {
+func (n *Node) takeOverStream(s *stream, r KeepRecord) {
 	n.note("stream taken over", string(s.id))
 	s.request = r.Request
 	s.pipeline.Version = r.Version
@@ -438,12 +438,12 @@
 	s.tokens = r.Tokens
 	s.finish = r.Finish
 	s.pool = poolOf(s.pipeline)
-	s.wait = n.waitingStream(s)
+	s.queued = n.queuedStream(s)
 	n.entry.inProgress[s.request.Organisation]++
 	n.entry.streams[s.id] = s
 	s.phase = phaseRegistering
-	s.holding = true
+	s.reserved = true
 	s.beganAt = n.now
-	n.take(s.pool, s.route, s.chain)
+	n.reserve(s.pool, s.route, s.chain)
 	n.register(s)
 }
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -24,12 +24,12 @@
 type orderState struct {
 	fence Fence
 	// resendAt is when it is resent without an answer.
-	againAt time.Time
-	sentAt  time.Time
+	resendAt time.Time
+	sentAt   time.Time
 }
 
 // openOrdersInterval is the interval between checks while an order is open.
-const ordersPause = 50 * time.Millisecond
+const openOrdersInterval = 50 * time.Millisecond
 
 // tickPlan proposes a new plan when the configuration has changed.
 func (n *Node) tickPlan() {
@@ -39,7 +39,7 @@
 	}
 	n.leading.planned = c.Revision
 	n.leading.ordersAt = n.now
-	changes := n.numbered(plan.Changes(c))
+	changes := n.withSequences(plan.Changes(c))
 	if len(changes) > 0 {
 		n.note("placement changed", string(n.settings.Self.VM))
 		n.leading.planPending = n.propose(Entry{Changes: changes})
@@ -47,7 +47,7 @@
 }
 
 // withSequences assigns the next sequence number to each placement.
-func (n *Node) numbered(changes []config.Change) []config.Change {
+func (n *Node) withSequences(changes []config.Change) []config.Change {
 	sequence := n.machine.Sequence
 	for i := range changes {
 		if changes[i].Place != nil {
@@ -76,14 +76,14 @@
 			continue
 		}
 		if !p.Ready {
-			pause = ordersPause
+			pause = openOrdersInterval
 		}
 		state := n.leading.orders[p.Target]
 		if n.needsOrder(p, state) {
-			n.order(p, target)
+			n.sendOrder(p, target)
 			continue
 		}
-		if changed, ok := n.recheck(p, state); ok {
+		if changed, ok := n.updateReady(p, state); ok {
 			confirmed = append(confirmed, config.Change{Place: &changed})
 		}
 	}
@@ -101,13 +101,13 @@
 	if held == p.Sequence {
 		return false
 	}
-	return state == nil || state.fence.Sequence != p.Sequence || !n.now.Before(state.againAt)
+	return state == nil || state.fence.Sequence != p.Sequence || !n.now.Before(state.resendAt)
 }
 
 // updateReady returns the placement with its ready mark corrected, and reports
 // whether it changed. A watcher may have seen that the order was applied, or that
 // the engine restarted and holds nothing.
-func (n *Node) recheck(p config.Placement, state *orderState) (config.Placement, bool) {
+func (n *Node) updateReady(p config.Placement, state *orderState) (config.Placement, bool) {
 	held, at := n.holding(p.Target)
 	if at.IsZero() {
 		return p, false
@@ -124,14 +124,14 @@
 	return p, false
 }
 
-func (n *Node) order(p config.Placement, target config.Target) {
+func (n *Node) sendOrder(p config.Placement, target config.Target) {
 	t := n.settings.Timing
 	voidAt := n.replica.electedAt.Add(t.Lengthened(t.OrderLife))
 	if !target.Fence && n.now.Before(voidAt) {
 		return
 	}
 	fence := Fence{Term: n.replica.hard.Term, Sequence: p.Sequence}
-	n.leading.orders[p.Target] = &orderState{fence: fence, sentAt: n.now, againAt: n.now.Add(t.OrderLife)}
+	n.leading.orders[p.Target] = &orderState{fence: fence, sentAt: n.now, resendAt: n.now.Add(t.OrderLife)}
 	notAfter := n.now.Add(t.Shortened(t.OrderLife))
 	if n.replica.leaseUntil.Before(notAfter) {
 		notAfter = n.replica.leaseUntil
@@ -151,7 +151,7 @@
 	}
 	if !o.Done {
 		if state := n.leading.orders[o.Target]; state != nil {
-			state.againAt = n.now.Add(n.settings.Timing.WatchEvery)
+			state.resendAt = n.now.Add(n.settings.Timing.WatchEvery)
 		}
 		return
 	}
--- a/internal/core/orders_flood_test.go
+++ b/internal/core/orders_flood_test.go
@@ -12,14 +12,14 @@
 
 // Guards against the leader ordering thousands of empty engines in one step when a fleet
 // starts: its heartbeats and leases then waited behind as many calls.
-func TestAFleetThatStartsIsOrderedAFewEnginesAtATime(t *testing.T) {
-	const engines, atATime = 600, 64
+func TestLayerOrdersInFlightAreBoundedAtFleetStart(t *testing.T) {
+	const engines, maxInFlight = 600, 64
 	f := newEngineFleet(t, smallFleet, engines)
 	f.pass = f.hallFleet.run
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
 	f.hallFleet.run(time.Second)
 	f.put(1)
-	speak := func() {
+	heartbeat := func() {
 		for _, id := range f.ids {
 			e := f.engines[id]
 			e.target.Call++
@@ -27,10 +27,10 @@
 		}
 	}
 	for range 5 {
-		speak()
+		heartbeat()
 		f.hallFleet.run(time.Second)
 	}
-	require.Len(t, f.orders, atATime, "no order has an outcome yet")
+	require.Len(t, f.orders, maxInFlight, "no order has an outcome yet")
 
 	ordered := make(map[relay.TargetID]bool)
 	for len(f.orders) > 0 {
@@ -40,7 +40,7 @@
 		ordered[next.Target] = true
 		f.engines[next.Target].target.Layers = next.Layers
 		f.step(next.by, core.LayersOrdered{Target: next.Target, Outcome: core.OrderBegun})
-		require.LessOrEqual(t, len(f.orders), atATime)
+		require.LessOrEqual(t, len(f.orders), maxInFlight)
 	}
 	require.Len(t, ordered, engines, "each outcome triggers the next order without delay")
 }
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -55,23 +55,23 @@
 
 const (
 	// placeInterval is the interval between checks of the layers that engines hold.
-	placeEvery = 250 * time.Millisecond
+	placeInterval = 250 * time.Millisecond
 	// placeSettleTime is the time without a new engine before the first plan is made:
 	// engines register within one heartbeat of 1.2 s.
-	placeSettle = 1300 * time.Millisecond
+	placeSettleTime = 1300 * time.Millisecond
 	// layerOrderLifetime is how long an order may take to be delivered.
-	placeLife = 2 * time.Second
+	layerOrderLifetime = 2 * time.Second
 	// refusedOrderDelay is the delay after an order that was refused.
-	placeAgain = 2 * time.Second
+	refusedOrderDelay = 2 * time.Second
 	// unknownOrderTimeout is the wait for an order without an answer: a late one is
 	// applied within 12 s.
-	placeUnknown = 13 * time.Second
+	unknownOrderTimeout = 13 * time.Second
 )
 
 // placing is the leader's state of its orders. It is lost when leadership ends.
 type placing struct {
-	decoded decoded
-	lookAt  time.Time
+	decoded     decoded
+	nextCheckAt time.Time
 	// queued holds the assignments of an initial plan that have not been ordered yet, by
 	// service. An initial plan is one for a fleet that holds nothing.
 	queued map[string][]relay.Assignment
@@ -81,8 +81,8 @@
 	underWay map[relay.TargetID]bool
 	// enginesSeen is the highest number of engines seen, and settledAt when the first plan may
 	// be made.
-	known     int
-	settledAt time.Time
+	enginesSeen int
+	settledAt   time.Time
 	// By service, noted holds what was last logged of the plan and its faults, holds the
 	// capacity of the layers that engines hold, and holdsAt when that is updated next.
 	noted   map[string]planNotes
@@ -95,7 +95,7 @@
 
 // capacityInterval is the interval at which the capacity of the held layers is computed. The
 // figure is for operators, who read it every few seconds.
-const holdsEvery = time.Second
+const capacityInterval = time.Second
 
 type layerOrder struct {
 	layers config.Range
@@ -106,10 +106,10 @@
 // tickPlacing compares what engines hold with the plan.
 func (n *Node) tickPlacing() {
 	p := &n.leading.placing
-	if !n.followsTargets() || n.now.Before(p.lookAt) || n.now.Before(n.registry.completeAt) {
+	if !n.followsTargets() || n.now.Before(p.nextCheckAt) || n.now.Before(n.registry.completeAt) {
 		return
 	}
-	p.lookAt = n.now.Add(placeEvery)
+	p.nextCheckAt = n.now.Add(placeInterval)
 	document := p.decoded.read(n, n.machine.Config.Document)
 	if document == nil {
 		return
@@ -124,16 +124,16 @@
 func (n *Node) placeService(s *relay.Service) {
 	p := &n.leading.placing
 	engines, holding := n.enginesOf(s.Name)
-	if len(engines) > p.known {
-		p.settledAt = n.now.Add(placeSettle)
+	if len(engines) > p.enginesSeen {
+		p.settledAt = n.now.Add(placeSettleTime)
 	}
-	p.known = max(p.known, len(engines))
-	n.lookAtHolds(s, engines)
+	p.enginesSeen = max(p.enginesSeen, len(engines))
+	n.updateCapacity(s, engines)
 	if !holding && n.now.Before(p.settledAt) && !s.Engine.MayBegin(engines) {
 		return
 	}
-	n.noteFaults(s, engines)
-	n.orderSome(s, n.assignments(s, engines, holding))
+	n.logFaults(s, engines)
+	n.sendOrders(s, n.assignments(s, engines, holding))
 }
 
 // assignments returns the next orders, the most urgent first. An initial plan is kept until
@@ -142,7 +142,7 @@
 	p := &n.leading.placing
 	if !holding {
 		p.queued[s.Name] = n.settings.Policy.Plan(s.Engine, engines)
-		n.notePlan(s, engines, p.queued[s.Name])
+		n.logPlan(s, engines, p.queued[s.Name])
 	}
 	empty := make(map[relay.TargetID]bool)
 	for _, t := range engines {
@@ -181,11 +181,11 @@
 
 // maxOrdersInFlight bounds the orders in flight. Each is a connection and a call of the
 // runtime, and the leader's heartbeats and leases would wait behind all of them.
-const ordersAtOnce = 64
+const maxOrdersInFlight = 64
 
 // sendOrders orders no more engines than may load concurrently. All loads share a store, and
 // with thousands in parallel none would finish for a long time.
-func (n *Node) orderSome(s *relay.Service, assignments []relay.Assignment) {
+func (n *Node) sendOrders(s *relay.Service, assignments []relay.Assignment) {
 	p := &n.leading.placing
 	for _, a := range assignments {
 		if !p.mayOrder(s.Engine) {
@@ -197,7 +197,7 @@
 
 // mayOrder reports whether another engine may be ordered now.
 func (p *placing) mayOrder(e *relay.Engine) bool {
-	if len(p.underWay) >= ordersAtOnce {
+	if len(p.underWay) >= maxOrdersInFlight {
 		return false
 	}
 	return e.LoadsAtOnce <= 0 || len(p.orders) < loadsAhead*e.LoadsAtOnce
@@ -249,16 +249,16 @@
 		return
 	}
 	share := float64(a.Layers.Len()) / float64(e.Layers)
-	load := time.Duration(float64(e.Load) * share * loadCaution)
-	n.leading.placing.orders[a.Target] = layerOrder{layers: a.Layers, until: n.now.Add(load + placeUnknown)}
+	load := time.Duration(float64(e.Load) * share * loadTimeFactor)
+	n.leading.placing.orders[a.Target] = layerOrder{layers: a.Layers, until: n.now.Add(load + unknownOrderTimeout)}
 	n.leading.placing.underWay[a.Target] = true
 	n.note("engine ordered to hold layers "+a.Layers.String(), string(a.Target))
 	n.leading.lender.Charge(a.Target.Key())
-	n.emit(OrderLayers{Target: a.Target, Address: t.Address, Layers: a.Layers, NotAfter: n.now.Add(placeLife)})
+	n.emit(OrderLayers{Target: a.Target, Address: t.Address, Layers: a.Layers, NotAfter: n.now.Add(layerOrderLifetime)})
 }
 
 // loadTimeFactor extends the expected time of a load, since loads share a store.
-const loadCaution = 4
+const loadTimeFactor = 4
 
 func (n *Node) layersOrdered(o LayersOrdered) {
 	p := &n.leading.placing
@@ -266,7 +266,7 @@
 	if order, ok := p.orders[o.Target]; ok {
 		n.note("order of layers "+order.layers.String()+" "+o.Outcome.String(), string(o.Target))
 		if o.Outcome == OrderRefused {
-			order.until = n.now.Add(placeAgain)
+			order.until = n.now.Add(refusedOrderDelay)
 			p.orders[o.Target] = order
 		}
 	}
--- a/internal/core/placing_notes.go
+++ b/internal/core/placing_notes.go
@@ -15,7 +15,7 @@
 
 // logFaults logs the faults that prevent a plan for a service, or a good one, when they
 // change. The layers that engines hold are left as they are.
-func (n *Node) noteFaults(s *relay.Service, engines []relay.Target) {
+func (n *Node) logFaults(s *relay.Service, engines []relay.Target) {
 	text := ""
 	if err := errors.Join(s.Engine.Faults(engines)...); err != nil {
 		text = strings.ReplaceAll(err.Error(), "\n", "; ")
@@ -32,11 +32,11 @@
 }
 
 // logPlan logs a plan with its inputs.
-func (n *Node) notePlan(s *relay.Service, engines []relay.Target, plan []relay.Assignment) {
+func (n *Node) logPlan(s *relay.Service, engines []relay.Target, plan []relay.Assignment) {
 	held := withLayers(engines, plan)
-	whole, left := s.Engine.Hold(held), s.Engine.HoldAfter(held, lossesNoted)
+	whole, left := s.Engine.Hold(held), s.Engine.HoldAfter(held, loggedLosses)
 	text := fmt.Sprintf("plan for %s: %d of them hold layers, the least held layer %d times in a hall; bears %.0f answers in progress and %.0f a second, each %s, of %d and %d tokens; %.0f a second without the %d engines whose loss costs most",
-		kindsOf(engines), len(plan), whole.Copies, whole.Answers, whole.Rate, whole.Time.Round(roundedTo), s.Engine.UsualPrompt, s.Engine.UsualAnswer, left.Rate, lossesNoted)
+		countKinds(engines), len(plan), whole.Copies, whole.Answers, whole.Rate, whole.Time.Round(timeUnit), s.Engine.UsualPrompt, s.Engine.UsualAnswer, left.Rate, loggedLosses)
 	noted := n.leading.placing.noted[s.Name]
 	if text == noted.plan {
 		return
@@ -48,9 +48,9 @@
 
 const (
 	// loggedLosses is the number of lost engines for which a logged plan states the rate.
-	lossesNoted = 3
+	loggedLosses = 3
 	// timeUnit is the unit to which logged times are rounded.
-	roundedTo = 10 * time.Millisecond
+	timeUnit = 10 * time.Millisecond
 )
 
 // withLayers returns engines with the layers that a plan assigns to them.
@@ -69,7 +69,7 @@
 }
 
 // countKinds lists the number of engines of each accelerator kind.
-func kindsOf(engines []relay.Target) string {
+func countKinds(engines []relay.Target) string {
 	counts := make(map[string]int)
 	for _, t := range engines {
 		counts[t.Accelerator]++
@@ -82,12 +82,12 @@
 }
 
 // updateCapacity computes the capacity of the layers that engines hold, for Status.
-func (n *Node) lookAtHolds(s *relay.Service, engines []relay.Target) {
+func (n *Node) updateCapacity(s *relay.Service, engines []relay.Target) {
 	p := &n.leading.placing
 	if n.now.Before(p.holdsAt[s.Name]) {
 		return
 	}
-	p.holdsAt[s.Name] = n.now.Add(holdsEvery)
+	p.holdsAt[s.Name] = n.now.Add(capacityInterval)
 	p.holds[s.Name] = s.Engine.Hold(engines)
 }
 
--- a/internal/core/repair.go
+++ b/internal/core/repair.go
@@ -22,7 +22,7 @@
 // feed the next stage, so rebuilds run one after another from the front.
 
 // repairRetryDelay is the delay before a repair that found no engine is retried.
-const repairPause = 100 * time.Millisecond
+const repairRetryDelay = 100 * time.Millisecond
 
 // repair replaces the stage that target held.
 func (n *Node) repair(s *stream, target string) {
@@ -38,13 +38,13 @@
 	chain := make([]Stage, 0, len(s.chain)+1)
 	var rebuild []int
 	for _, stage := range s.chain {
-		if !n.isSuspect(stage.Target) && !n.isGone(stage.Target) {
+		if !n.isSuspect(stage.Target) && !n.isRemovedOrDown(stage.Target) {
 			chain = append(chain, stage)
 			continue
 		}
 		cover := n.cover(s, stage.Layers)
 		if cover == nil {
-			s.repairAt = n.now.Add(repairPause)
+			s.repairAt = n.now.Add(repairRetryDelay)
 			return
 		}
 		for _, c := range cover {
@@ -52,7 +52,7 @@
 			chain = append(chain, c)
 		}
 	}
-	n.swapChain(s, chain)
+	n.replaceChain(s, chain)
 	s.rebuild = rebuild
 	if s.position == 0 {
 		// Nothing is committed yet, so there is no state to rebuild.
@@ -62,14 +62,14 @@
 	n.rebuildNext(s)
 }
 
-func (n *Node) isGone(target string) bool {
+func (n *Node) isRemovedOrDown(target string) bool {
 	t, ok := n.entry.config.Targets.Get(target)
 	return !ok || t.Down
 }
 
 // replaceChain counts the stream against the targets of its new chain and
 // releases those that it no longer uses.
-func (n *Node) swapChain(s *stream, chain []Stage) {
+func (n *Node) replaceChain(s *stream, chain []Stage) {
 	var dropped []Stage
 	for _, stage := range s.chain {
 		n.target(stage.Target).used--
@@ -93,7 +93,7 @@
 	var cover []Stage
 	next := layers.First
 	for next < layers.Last {
-		stage, ok := n.reach(s, next, layers.Last, cover)
+		stage, ok := n.nextStage(s, next, layers.Last, cover)
 		if !ok {
 			return nil
 		}
@@ -103,7 +103,7 @@
 	return cover
 }
 
-func (n *Node) reach(s *stream, first, last int, cover []Stage) (Stage, bool) {
+func (n *Node) nextStage(s *stream, first, last int, cover []Stage) (Stage, bool) {
 	var best Stage
 	bestUse := 0.0
 	for _, p := range n.entry.config.Placements.Sorted() {
@@ -170,9 +170,9 @@
 			n.rebuildNext(s)
 		}
 	case ResultGap:
-		n.refill(s, e.Target)
+		n.rebuildStage(s, e.Target)
 	case ResultStale:
-		n.loseStream(s)
+		n.relinquishStream(s)
 	default:
 		n.suspect(e.Target)
 		n.repair(s, e.Target)
@@ -181,7 +181,7 @@
 
 // rebuildStage has a live stage that lacks the stream's state rebuild it, together
 // with the rebuilds that are still pending.
-func (n *Node) refill(s *stream, target string) {
+func (n *Node) rebuildStage(s *stream, target string) {
 	i := slices.IndexFunc(s.chain, func(stage Stage) bool { return stage.Target == target })
 	if i < 0 || s.position == 0 {
 		n.suspect(target)
@@ -203,7 +203,7 @@
 // for another route if the retry budget allows. Otherwise earlier stages or
 // positions have run, and only the stage that refused is replaced.
 func (n *Node) stageRefused(s *stream, target string) {
-	n.poolOfStream(s).refused(s.route)
+	n.poolOfStream(s).recordRefusal(s.route)
 	if s.position > 0 || target != s.chain[0].Target {
 		n.suspect(target)
 		n.repair(s, target)
@@ -212,7 +212,7 @@
 	s.dispatched = false
 	if !n.entry.budget.take() {
 		r := refusal(RefusedOverload, RanNo, "the engines have no room", "come back at the given time")
-		n.failStream(s, r.WithRetryAt(n.comeBack(n.poolOfStream(s))))
+		n.failStream(s, r.WithRetryAt(n.retryTime(n.poolOfStream(s))))
 		return
 	}
 	n.requeue(s, target)
@@ -223,7 +223,7 @@
 	pool, route, chain := s.pool, s.route, s.chain
 	s.epoch = s.epoch.WithNextAttempt()
 	n.emit(Release{Stream: s.id, Epoch: s.epoch, Chain: chain})
-	s.holding = false
+	s.reserved = false
 	s.chain = nil
 	s.phase = phaseQueued
 	p := n.entry.pools[pool]
@@ -231,6 +231,6 @@
 		n.failStream(s, refusal(RefusedNoTarget, RanNo, "no engine holds the model any more", "come back later").WithRetryAt(n.now.Add(time.Second)))
 		return
 	}
-	s.wait = p.readmit(s.wait, avoid)
-	n.give(pool, route, chain)
+	s.queued = p.readmit(s.queued, avoid)
+	n.release(pool, route, chain)
 }
--- a/internal/core/routing.go
+++ b/internal/core/routing.go
@@ -32,10 +32,10 @@
 	servedAt time.Time
 	// unitTime is the time per unit of cost once work has begun, and costRatio the
 	// ratio of actual to requested cost. Both are running means.
-	unitTime time.Duration
-	usedPart float64
+	unitTime  time.Duration
+	costRatio float64
 	// vmsPerRoute is the estimated number of entry VMs that use each route.
-	sharers float64
+	vmsPerRoute float64
 }
 
 // route is one chain or runner of a pool.
@@ -64,8 +64,8 @@
 
 // suspectInitial is the first pause after a failure. It doubles up to suspectMax.
 const (
-	suspectFor     = 500 * time.Millisecond
-	suspectAtMost  = 8 * time.Second
+	suspectInitial = 500 * time.Millisecond
+	suspectMax     = 8 * time.Second
 	servedHalfLife = 2 * time.Second
 )
 
@@ -86,13 +86,13 @@
 // suspect withholds new work from a target that has just failed.
 func (n *Node) suspect(name string) {
 	t := n.target(name)
-	pause := min(suspectFor<<min(t.failures, 8), suspectAtMost)
+	pause := min(suspectInitial<<min(t.failures, 8), suspectMax)
 	t.failures++
 	t.suspectUntil = n.now.Add(pause)
 	n.note("target suspected", name)
 }
 
-func (n *Node) trust(name string) {
+func (n *Node) clearFailures(name string) {
 	if t, ok := n.entry.targets[name]; ok {
 		t.failures = 0
 	}
@@ -124,7 +124,7 @@
 		}
 	}
 	for _, name := range n.poolNames() {
-		n.pump(n.entry.pools[name])
+		n.startQueued(n.entry.pools[name])
 	}
 }
 
@@ -180,13 +180,13 @@
 	routes := n.subset(all)
 	p, ok := n.entry.pools[name]
 	if !ok {
-		p = &pool{name: name, used: make(map[string]int), queue: newFairQueue(rankCount, (*waiting).isGone), servedAt: n.now}
+		p = &pool{name: name, used: make(map[string]int), queue: newFairQueue(rankCount, (*waiting).isDropped), servedAt: n.now}
 		n.entry.pools[name] = p
 	}
-	p.sharers = n.sharers(len(all), len(routes))
+	p.vmsPerRoute = n.vmsPerRoute(len(all), len(routes))
 	byName := make(map[string]*route, len(routes))
 	for _, r := range routes {
-		r.window = p.firstWindow(r)
+		r.window = p.initialWindow(r)
 		if old := p.byName[r.name]; old != nil {
 			r.window = min(old.window, float64(r.slots))
 			r.delay = old.delay
@@ -196,7 +196,7 @@
 	p.routes, p.byName, p.open = routes, byName, nil
 	for _, r := range routes {
 		r.openAt = -1
-		p.reopen(r)
+		p.updateOpen(r)
 	}
 }
 
@@ -217,7 +217,7 @@
 }
 
 // vmsPerRoute estimates the number of entry VMs that use each route.
-func (n *Node) sharers(all, used int) float64 {
+func (n *Node) vmsPerRoute(all, used int) float64 {
 	if all == 0 {
 		return 1
 	}
@@ -225,7 +225,7 @@
 }
 
 // maxDraws bounds the random draws before all open routes are scanned.
-const drawLimit = 4
+const maxDraws = 4
 
 // choose returns the better of two routes drawn at random among those with free
 // capacity. With two random choices, entry VMs don't all pick the route that was
@@ -244,7 +244,7 @@
 }
 
 func (n *Node) draw(p *pool, w *waiting) *route {
-	for range min(drawLimit, len(p.open)) {
+	for range min(maxDraws, len(p.open)) {
 		if r := p.open[n.rand.IntN(len(p.open))]; n.usable(p, r, w) && !r.uses(w.avoid) {
 			return r
 		}
@@ -272,7 +272,7 @@
 }
 
 // updateOpen updates the list of routes with free capacity after a change of r.
-func (p *pool) reopen(r *route) {
+func (p *pool) updateOpen(r *route) {
 	room := float64(p.used[r.name]) < r.window
 	switch {
 	case room && r.openAt < 0:
@@ -301,16 +301,16 @@
 	cost := float64(p.used[r.name]+1) / float64(max(r.slots, 1))
 	for _, s := range r.stages {
 		if t, ok := n.entry.config.Targets.Get(s.Target); ok && t.Hall != n.settings.Address.Hall {
-			cost += awayCost
+			cost += otherHallCost
 		}
 	}
 	return cost
 }
 
-const awayCost = 0.01
+const otherHallCost = 0.01
 
 // reserve counts one unit of work on a route and its targets.
-func (n *Node) take(poolName, name string, stages []Stage) {
+func (n *Node) reserve(poolName, name string, stages []Stage) {
 	if p, ok := n.entry.pools[poolName]; ok {
 		p.use(name, 1)
 	}
@@ -319,7 +319,7 @@
 	}
 }
 
-func (n *Node) give(poolName, name string, stages []Stage) {
+func (n *Node) release(poolName, name string, stages []Stage) {
 	for _, s := range stages {
 		n.target(s.Target).used--
 	}
@@ -328,7 +328,7 @@
 		return
 	}
 	p.use(name, -1)
-	n.pump(p)
+	n.startQueued(p)
 }
 
 // use changes the count of work in progress on a route.
@@ -338,16 +338,16 @@
 		delete(p.used, name)
 	}
 	if r := p.byName[name]; r != nil {
-		p.reopen(r)
+		p.updateOpen(r)
 	}
 }
 
 // meanWeight is the weight of a new sample in a running mean.
-const meanPart = 0.05
+const meanWeight = 0.05
 
-// recordEnd updates the time estimates with work that has ended: its requested
+// recordEnd updates the time estimates with work that has recordEnd: its requested
 // cost, its actual cost and its duration.
-func (p *pool) ended(asked, cost float64, took time.Duration, now time.Time) {
+func (p *pool) recordEnd(asked, cost float64, took time.Duration, now time.Time) {
 	elapsed := now.Sub(p.servedAt)
 	p.served = p.served*decay(elapsed) + cost/servedHalfLife.Seconds()*math.Ln2
 	p.servedAt = now
@@ -356,16 +356,16 @@
 	}
 	unit := time.Duration(float64(took) / cost)
 	if p.unitTime == 0 {
-		p.unitTime, p.usedPart = unit, cost/asked
+		p.unitTime, p.costRatio = unit, cost/asked
 		return
 	}
-	p.unitTime += time.Duration(meanPart * float64(unit-p.unitTime))
-	p.usedPart += meanPart * (cost/asked - p.usedPart)
+	p.unitTime += time.Duration(meanWeight * float64(unit-p.unitTime))
+	p.costRatio += meanWeight * (cost/asked - p.costRatio)
 }
 
 // serviceTime estimates how long work of the given cost takes once it has begun.
-func (p *pool) service(cost float64) time.Duration {
-	return time.Duration(cost * p.usedPart * float64(p.unitTime))
+func (p *pool) serviceTime(cost float64) time.Duration {
+	return time.Duration(cost * p.costRatio * float64(p.unitTime))
 }
 
 func decay(elapsed time.Duration) float64 {
@@ -374,12 +374,12 @@
 
 // waitTime estimates how long it takes to serve the cost ahead. It is 0 while
 // the service rate is unknown.
-func (p *pool) wait(now time.Time, ahead float64) time.Duration {
+func (p *pool) waitTime(now time.Time, ahead float64) time.Duration {
 	rate := p.served * decay(now.Sub(p.servedAt))
 	if rate <= 0 || ahead <= 0 {
 		return 0
 	}
-	return time.Duration(ahead * p.usedPart / rate * float64(time.Second))
+	return time.Duration(ahead * p.costRatio / rate * float64(time.Second))
 }
 
 // queued returns the total cost of the queued work.
@@ -432,7 +432,7 @@
 	return names
 }
 
-func holderOf(id ReplicaID) uint32 {
+func holderHash(id ReplicaID) uint32 {
 	return uint32(xxhash.Sum64String(id.String()))
 }
 
--- a/internal/core/shortlist.go
+++ b/internal/core/shortlist.go
@@ -14,18 +14,18 @@
 
 // shortlistInterval is the least time between checks of the shortlists. A check scans all
 // engines, and those listed can take a load that doubles within the interval.
-const listEvery = 250 * time.Millisecond
+const shortlistInterval = 250 * time.Millisecond
 
 // shortlist holds the time of the next check of the shortlists.
-type shortlist struct{ lookAt time.Time }
+type shortlist struct{ nextCheckAt time.Time }
 
 // listEngines lists the engines that the load requires, when a check is due.
 func (n *Node) listEngines() {
 	s := &n.registry.shortlist
-	if n.now.Before(s.lookAt) {
+	if n.now.Before(s.nextCheckAt) {
 		return
 	}
-	s.lookAt = n.now.Add(listEvery)
+	s.nextCheckAt = n.now.Add(shortlistInterval)
 	if n.registry.unnamed.decoded.document == nil || !n.registry.targets.Withheld() {
 		return
 	}
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -48,14 +48,14 @@
 	phase    phase
 	conn     ConnID
 	// disconnectedAt is when the caller disconnected, zero while it is connected.
-	goneAt time.Time
-	wait   *waiting
-	epoch  Epoch
-	pool   string
-	route  string
-	chain  []Stage
+	disconnectedAt time.Time
+	queued         *waiting
+	epoch          Epoch
+	pool           string
+	route          string
+	chain          []Stage
 	// reserved is set while the chain is counted against its targets.
-	holding  bool
+	reserved bool
 	position int
 	inFlight bool
 	// beganAt is when the stream was assigned its route.
@@ -73,8 +73,8 @@
 	finishKept  bool
 	finishShown bool
 	// mayHaveRunBefore is set when an earlier attempt could not be ruled out.
-	doubted bool
-	keeper  VMName
+	mayHaveRunBefore bool
+	keeper           VMName
 	// registered is set once the request has been sent to a keeper, where there is one.
 	registered bool
 	// rebuild lists the stages that must rebuild their KV cache, in order.
@@ -98,7 +98,7 @@
 		n.reattach(s, a.Conn, a.After)
 		return
 	}
-	if r, ok := n.checkTenure(); !ok {
+	if r, ok := n.checkServing(); !ok {
 		if a.Request.Returnable {
 			r = r.WithDoubt()
 		}
@@ -110,19 +110,19 @@
 		n.emit(Refuse{Conn: a.Conn, ID: id, Refusal: refusal(RefusedPipeline, RanNo, "there is no pipeline of that name", "name one that the operators have declared")})
 		return
 	}
-	s := &stream{id: id, request: a.Request, pipeline: pipeline, conn: a.Conn, shown: a.After, epoch: Epoch{Holder: holderOf(n.settings.Self)}}
+	s := &stream{id: id, request: a.Request, pipeline: pipeline, conn: a.Conn, shown: a.After, epoch: Epoch{Holder: holderHash(n.settings.Self)}}
 	s.request.MaxTokens = min(max(a.Request.MaxTokens, 1), pipeline.MaxTokens)
 	n.entry.streams[id] = s
 	n.entry.attached[a.Conn] = id
 	n.entry.budget.earn()
-	if a.Request.Returnable && n.findFirst(s) {
+	if a.Request.Returnable && n.startFind(s) {
 		return
 	}
 	n.queueStream(s)
 }
 
 func (n *Node) refuseKey(conn ConnID, id RequestID) {
-	if r, ok := n.checkTenure(); !ok {
+	if r, ok := n.checkServing(); !ok {
 		n.emit(Refuse{Conn: conn, ID: id, Refusal: r})
 		return
 	}
@@ -143,16 +143,16 @@
 		return
 	}
 	s.phase = phaseQueued
-	s.wait = n.waitingStream(s)
-	if r, ok := n.admit(p, s.wait); !ok {
+	s.queued = n.queuedStream(s)
+	if r, ok := n.admit(p, s.queued); !ok {
 		// It was not added to the requests in progress, so it must not be subtracted.
-		s.wait = nil
+		s.queued = nil
 		n.failStream(s, r)
 	}
 }
 
 // queuedStream returns the queue entry of a stream.
-func (n *Node) waitingStream(s *stream) *waiting {
+func (n *Node) queuedStream(s *stream) *waiting {
 	return &waiting{
 		organisation: s.request.Organisation,
 		class:        s.pipeline.Class,
@@ -169,7 +169,7 @@
 	s.pool = poolName
 	s.route = route
 	s.chain = stages
-	s.holding = true
+	s.reserved = true
 	s.beganAt = n.now
 	if s.registered {
 		n.runNext(s)
@@ -227,17 +227,17 @@
 		n.suspect(e.Target)
 		n.repair(s, e.Target)
 	case ResultGap:
-		n.refill(s, e.Target)
+		n.rebuildStage(s, e.Target)
 	case ResultStale:
-		n.loseStream(s)
+		n.relinquishStream(s)
 	}
 }
 
 func (n *Node) commitToken(s *stream, e RunEnded) {
 	if s.position > 0 {
 		p := n.poolOfStream(s)
-		p.ran(s.route, n.now.Sub(s.sentAt), n.now)
-		n.pump(p)
+		p.recordRun(s.route, n.now.Sub(s.sentAt), n.now)
+		n.startQueued(p)
 	}
 	s.tokens = append(s.tokens, e.Token)
 	s.position = e.Next
@@ -250,7 +250,7 @@
 		n.runNext(s)
 		return
 	}
-	n.endRun(s)
+	n.releaseEngines(s)
 }
 
 // FinishStop and FinishLength say why an answer ended.
@@ -268,21 +268,21 @@
 }
 
 // releaseEngines releases the engines of a stream.
-func (n *Node) endRun(s *stream) {
-	if !s.holding {
+func (n *Node) releaseEngines(s *stream) {
+	if !s.reserved {
 		return
 	}
-	s.holding = false
+	s.reserved = false
 	n.emit(Release{Stream: s.id, Epoch: s.epoch, Chain: s.chain})
-	n.poolOfStream(s).ended(float64(s.request.MaxTokens), float64(len(s.tokens)), n.now.Sub(s.beganAt), n.now)
+	n.poolOfStream(s).recordEnd(float64(s.request.MaxTokens), float64(len(s.tokens)), n.now.Sub(s.beganAt), n.now)
 	for _, stage := range s.chain {
-		n.trust(stage.Target)
+		n.clearFailures(stage.Target)
 	}
-	n.give(s.pool, s.route, s.chain)
+	n.release(s.pool, s.route, s.chain)
 }
 
 // emitTokens sends the caller the tokens that the keeper has and the caller lacks.
-func (n *Node) showTokens(s *stream) {
+func (n *Node) emitTokens(s *stream) {
 	finish := ""
 	if s.finishKept {
 		finish = s.finish
@@ -305,7 +305,7 @@
 	s.phase = phaseDone
 	s.dropAt = n.now.Add(n.settings.Timing.KeepAnswer)
 	n.detach(s)
-	n.leave(s.request.Organisation)
+	n.uncount(s.request.Organisation)
 }
 
 func (n *Node) detach(s *stream) {
@@ -320,14 +320,14 @@
 		n.detach(s)
 	}
 	s.conn = conn
-	s.goneAt = time.Time{}
+	s.disconnectedAt = time.Time{}
 	n.entry.attached[conn] = s.id
 	s.shown = after
 	if s.phase == phaseDone {
 		n.replay(s)
 		return
 	}
-	n.showTokens(s)
+	n.emitTokens(s)
 }
 
 // replay sends the rest of a finished answer.
@@ -343,26 +343,26 @@
 
 // failStream sends a stream's caller the final refusal and removes the stream.
 func (n *Node) failStream(s *stream, r Refusal) {
-	if s.doubted {
+	if s.mayHaveRunBefore {
 		r = r.WithDoubt()
 	}
 	if s.conn != 0 {
 		n.emit(Refuse{Conn: s.conn, ID: s.id, Refusal: r})
 	}
-	n.forgetStream(s)
+	n.removeStream(s)
 }
 
 // removeStream removes a stream and releases all that is held for it.
-func (n *Node) forgetStream(s *stream) {
+func (n *Node) removeStream(s *stream) {
 	n.detach(s)
-	if s.wait != nil {
-		s.wait.gone = true
+	if s.queued != nil {
+		s.queued.dropped = true
 		if s.phase != phaseDone {
-			n.leave(s.request.Organisation)
+			n.uncount(s.request.Organisation)
 		}
 	}
 	delete(n.entry.streams, s.id)
-	n.endRun(s)
+	n.releaseEngines(s)
 	if s.registered {
 		n.keepDrop(s)
 	}
@@ -370,17 +370,17 @@
 
 // relinquishStream ends a stream that another entry VM has taken over. Its
 // engines now belong to that VM, so no release is sent.
-func (n *Node) loseStream(s *stream) {
+func (n *Node) relinquishStream(s *stream) {
 	n.note("stream taken over by another entry VM", string(s.id))
 	if s.conn != 0 {
 		n.emit(Refuse{Conn: s.conn, ID: s.id, Refusal: movedRefusal()})
 	}
-	holding := s.holding
-	s.holding = false
+	holding := s.reserved
+	s.reserved = false
 	s.registered = false
-	n.forgetStream(s)
+	n.removeStream(s)
 	if holding {
-		n.give(s.pool, s.route, s.chain)
+		n.release(s.pool, s.route, s.chain)
 	}
 }
 
@@ -388,7 +388,7 @@
 // a time, since its caller may reconnect for the rest.
 func (n *Node) callerGone(conn ConnID) {
 	if c, ok := n.entry.calls[conn]; ok {
-		n.callLeft(c)
+		n.callDisconnected(c)
 		return
 	}
 	id, ok := n.entry.attached[conn]
@@ -397,15 +397,15 @@
 	}
 	s := n.entry.streams[id]
 	n.detach(s)
-	s.goneAt = n.now
+	s.disconnectedAt = n.now
 	if s.phase == phaseQueued || s.phase == phaseFinding {
-		n.forgetStream(s)
+		n.removeStream(s)
 	}
 }
 
 // reattachTimeout is how long a stream waits for its caller. A caller that never
 // named its request is unlikely to reconnect.
-func (n *Node) reattachFor(s *stream) time.Duration {
+func (n *Node) reattachTimeout(s *stream) time.Duration {
 	if s.request.Returnable {
 		return n.settings.Timing.Reattach
 	}
@@ -422,11 +422,11 @@
 	switch {
 	case s.phase == phaseDone:
 		if !n.now.Before(s.dropAt) {
-			n.forgetStream(s)
+			n.removeStream(s)
 		}
-	case !s.goneAt.IsZero() && !n.now.Before(s.goneAt.Add(n.reattachFor(s))):
+	case !s.disconnectedAt.IsZero() && !n.now.Before(s.disconnectedAt.Add(n.reattachTimeout(s))):
 		n.note("stream dropped: its caller disconnected and did not return in time", string(s.id))
-		n.forgetStream(s)
+		n.removeStream(s)
 	case s.phase != phaseQueued && s.phase != phaseFinding && !n.now.Before(s.request.Deadline):
 		n.failStream(s, refusal(RefusedDeadline, s.ran(), "its deadline passed", "send it again with a later deadline"))
 	case s.phase == phaseRepairing && !s.repairAt.IsZero() && !n.now.Before(s.repairAt):
--- a/internal/core/window.go
+++ b/internal/core/window.go
@@ -27,65 +27,65 @@
 const (
 	// growBelow and shrinkAbove are the ratios of the mean run latency to the
 	// minimum below which a window grows and above which it shrinks.
-	delayMore = 1.15
-	delayMost = 1.3
+	growBelow   = 1.15
+	shrinkAbove = 1.3
 	// delaySlack is added to the minimum to tolerate the jitter of a busy machine.
 	// It is small compared to the time allowed between tokens.
 	delaySlack = 2 * time.Millisecond
 	// minDelayLifetime is how long the minimum is kept: at least once, at most twice
 	// this time.
-	delayMemory = 2 * time.Minute
+	minDelayLifetime = 2 * time.Minute
 	// delayFactor scales a window after a delay, refusalFactor after a refusal.
-	windowShrink = 0.9
-	windowHalve  = 0.5
+	delayFactor   = 0.9
+	refusalFactor = 0.5
 	// initialShare is the fraction of an even share that a window starts with.
-	firstPart = 0.125
+	initialShare = 0.125
 	// delayWeight is the weight of a new sample in the mean latency.
-	delayPart = 0.125
+	delayWeight = 0.125
 )
 
 // delayMeter tracks the latencies of a route's runs.
 type delayMeter struct {
-	least    time.Duration
-	leastNow time.Duration
-	leastAt  time.Time
-	mean     float64
+	previousMin  time.Duration
+	currentMin   time.Duration
+	currentSince time.Time
+	mean         float64
 	// count is the number of runs since the window was last adjusted.
 	count int
 }
 
 // add records the latency of one run and returns the ratio of the mean to the minimum.
 func (d *delayMeter) add(took time.Duration, now time.Time) float64 {
-	if d.leastAt.IsZero() || now.Sub(d.leastAt) > delayMemory {
-		d.least = d.leastNow
-		d.leastNow = took
-		d.leastAt = now
+	if d.currentSince.IsZero() || now.Sub(d.currentSince) > minDelayLifetime {
+		d.previousMin = d.currentMin
+		d.currentMin = took
+		d.currentSince = now
 	}
-	d.leastNow = min(d.leastNow, took)
+	d.currentMin = min(d.currentMin, took)
 	if d.mean == 0 {
 		d.mean = float64(took)
 	}
-	d.mean += delayPart * (float64(took) - d.mean)
+	d.mean += delayWeight * (float64(took) - d.mean)
 	d.count++
-	least := d.leastNow
-	if d.least > 0 {
-		least = min(least, d.least)
+	lowest := d.currentMin
+	if d.previousMin > 0 {
+		lowest = min(lowest, d.previousMin)
 	}
-	return d.mean / float64(least+delaySlack)
+	return d.mean / float64(lowest+delaySlack)
 }
 
 // initialWindow returns the starting size of a window. For a chain it is a small
 // fraction of an even share of the route's slots.
-func (p *pool) firstWindow(r *route) float64 {
+func (p *pool) initialWindow(r *route) float64 {
 	if len(r.stages) == 1 && r.stages[0].Layers.Len() == 0 {
 		// A runner of a plain service refuses work itself when it is full.
-		return math.Max(1, math.Ceil(float64(r.slots)/max(p.sharers, 1)))
+		return math.Max(1, math.Ceil(float64(r.slots)/max(p.vmsPerRoute, 1)))
 	}
-	return math.Max(1, math.Ceil(firstPart*float64(r.slots)/max(p.sharers, 1)))
+	return math.Max(1, math.Ceil(initialShare*float64(r.slots)/max(p.vmsPerRoute, 1)))
 }
 
 // recordRun adjusts a route's window by the latency of a run.
-func (p *pool) ran(name string, took time.Duration, now time.Time) {
+func (p *pool) recordRun(name string, took time.Duration, now time.Time) {
 	r := p.byName[name]
 	if r == nil {
 		return
@@ -94,35 +94,35 @@
 	full := float64(p.used[name]) >= r.window-1
 	due := r.delay.count >= int(r.window)
 	switch {
-	case ratio < delayMore && full && due:
+	case ratio < growBelow && full && due:
 		r.window++
 		r.delay.count = 0
-	case ratio > delayMost && due:
-		r.window *= windowShrink
+	case ratio > shrinkAbove && due:
+		r.window *= delayFactor
 		r.delay.count = 0
 	case due:
 		r.delay.count = 0
 	}
-	r.window = min(max(r.window, p.firstWindow(r)), float64(r.slots))
-	p.reopen(r)
+	r.window = min(max(r.window, p.initialWindow(r)), float64(r.slots))
+	p.updateOpen(r)
 }
 
 // recordRefusal halves a route's window.
-func (p *pool) refused(name string) {
+func (p *pool) recordRefusal(name string) {
 	r := p.byName[name]
 	if r == nil {
 		return
 	}
-	r.window = max(r.window*windowHalve, 1)
-	p.reopen(r)
+	r.window = max(r.window*refusalFactor, 1)
+	p.updateOpen(r)
 }
 
 // recordSuccess lets the window of a plain service's runner grow again after refusals.
-func (p *pool) taken(name string) {
+func (p *pool) recordSuccess(name string) {
 	r := p.byName[name]
 	if r == nil {
 		return
 	}
 	r.window = min(r.window+1/r.window, float64(r.slots))
-	p.reopen(r)
+	p.updateOpen(r)
 }
