--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -16,7 +16,7 @@
 // within sweepEvery. A refusal here precedes every dispatch, so it says "ran: no",
 // and the request has left the queue for good.
 
-// waiting is work that waits for a route: a stream or a call.
+// waiting is work queued for a route: a stream or a call.
 type waiting struct {
 	organisation string
 	class        config.Class
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -191,7 +191,7 @@
 		return
 	}
 	if c.phase == phasePeeking {
-		n.peeked(c, r)
+		n.claimPeeked(c, r)
 		return
 	}
 	if c.phase != phaseClaiming || c.attempt != r.Attempt {
@@ -289,7 +289,7 @@
 func (n *Node) retryCall(c *call, avoid string) {
 	p := n.entry.pools[c.pool]
 	if p == nil || !n.entry.budget.take() || !n.now.Before(c.asked.Deadline) {
-		n.giveUpCall(c)
+		n.failCall(c)
 		return
 	}
 	pool, route, stages := c.pool, c.route, c.stages
@@ -299,9 +299,9 @@
 	n.release(pool, route, stages)
 }
 
-// giveUpCall refuses a call that no runner served. A repeatable call may have
+// failCall refuses a call that no runner served. A repeatable call may have
 // run on a runner that failed, but may be sent again.
-func (n *Node) giveUpCall(c *call) {
+func (n *Node) failCall(c *call) {
 	ran := RanNo
 	if c.repeatable {
 		ran = RanUnknown
@@ -346,8 +346,8 @@
 	n.deliver(leader, Message{Claim: &ClaimRequest{ID: c.asked.ID, Digest: c.asked.Digest, Peek: true}})
 }
 
-// peeked sends the refusal, or the result of an earlier attempt.
-func (n *Node) peeked(c *call, r ClaimReply) {
+// claimPeeked sends the refusal, or the result of an earlier attempt.
+func (n *Node) claimPeeked(c *call, r ClaimReply) {
 	switch r.Outcome {
 	case ClaimNone:
 		n.endCall(c, *c.refusal)
--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -46,7 +46,7 @@
 	Service string `json:"service,omitempty" cbor:"service,omitempty"`
 	// Accelerator is the kind of accelerator of an engine.
 	Accelerator string `json:"accelerator,omitempty" cbor:"accelerator,omitempty"`
-	// Speed is in layers times tokens a second, all slots together.
+	// Speed is in layers times tokens per second over all slots.
 	Speed float64 `json:"speed,omitempty" cbor:"speed,omitempty"`
 	// Memory is the number of layers that fit beside the KV cache.
 	Memory int `json:"memory,omitempty" cbor:"memory,omitempty"`
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -438,7 +438,7 @@
 	s.tokens = r.Tokens
 	s.finish = r.Finish
 	s.pool = poolOf(s.pipeline)
-	s.queued = n.queuedStream(s)
+	s.queued = n.streamQueueEntry(s)
 	n.entry.inProgress[s.request.Organisation]++
 	n.entry.streams[s.id] = s
 	s.phase = phaseRegistering
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -499,7 +499,7 @@
 	Record *KeepRecord `cbor:"record,omitempty"`
 }
 
-// StreamRequest is what a caller asked of a model pipeline.
+// StreamRequest is a caller's request to a model pipeline.
 type StreamRequest struct {
 	Organisation string    `cbor:"organisation"`
 	Pipeline     string    `cbor:"pipeline"`
--- a/internal/core/plan/plan.go
+++ b/internal/core/plan/plan.go
@@ -318,7 +318,7 @@
 
 // repairChain replaces lost stages by engines that hold nothing. It reports
 // whether the chain is complete afterwards.
-func (p *planner) repairChain(like config.Placement, present, lost []config.Placement, missing []config.Range) bool {
+func (p *planner) repairChain(template config.Placement, present, lost []config.Placement, missing []config.Range) bool {
 	var spares []string
 	for _, r := range missing {
 		spare, ok := p.spare(r.Len(), spares)
@@ -335,7 +335,7 @@
 	}
 	for i, r := range missing {
 		p.free[spares[i]] = false
-		next := config.Placement{Target: spares[i], Chain: like.Chain, Model: like.Model, Version: like.Version, Layers: r}
+		next := config.Placement{Target: spares[i], Chain: template.Chain, Model: template.Model, Version: template.Version, Layers: r}
 		p.changes = append(p.changes, config.Change{Place: &next})
 	}
 	return true
--- a/internal/core/routing.go
+++ b/internal/core/routing.go
@@ -345,7 +345,7 @@
 // meanWeight is the weight of a new sample in a running mean.
 const meanWeight = 0.05
 
-// recordEnd updates the time estimates with work that has recordEnd: its requested
+// recordEnd updates the time estimates with work that has ended: its requested
 // cost, its actual cost and its duration.
 func (p *pool) recordEnd(asked, cost float64, took time.Duration, now time.Time) {
 	elapsed := now.Sub(p.servedAt)
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -143,7 +143,7 @@
 		return
 	}
 	s.phase = phaseQueued
-	s.queued = n.queuedStream(s)
+	s.queued = n.streamQueueEntry(s)
 	if r, ok := n.admit(p, s.queued); !ok {
 		// It was not added to the requests in progress, so it must not be subtracted.
 		s.queued = nil
@@ -151,8 +151,8 @@
 	}
 }
 
-// queuedStream returns the queue entry of a stream.
-func (n *Node) queuedStream(s *stream) *waiting {
+// streamQueueEntry returns the queue entry of a stream.
+func (n *Node) streamQueueEntry(s *stream) *waiting {
 	return &waiting{
 		organisation: s.request.Organisation,
 		class:        s.pipeline.Class,
