--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -10,17 +10,17 @@
 
 // This file routes calls to plain services.
 //
-// A call that may be repeated is dispatched to a runner and, when that breaks,
-// to another one. Any other call runs at most once: before its dispatch the
-// entry VM gets a claim that is durable on a quorum of control VMs, and only
-// its holder may dispatch it, once. A resend, to whichever entry VM, finds the
-// claim: it gets the recorded answer, or waits for the holder, or, when the
-// holder is gone, learns that the outcome is unknown. Nobody runs it again.
+// A repeatable call is dispatched to a runner and, when that fails, to another
+// one. Any other call runs at most once: before the dispatch the entry VM
+// obtains a claim that is durable on a quorum of control VMs, and only its
+// holder may dispatch the call, once. A resend to any entry VM finds the claim.
+// It gets the recorded answer, waits for the holder, or, when the holder is
+// lost, gets a refusal that says that the outcome is unknown. No VM runs it again.
 //
 // Invariants: a claimed call is dispatched again only after a target has
-// provably not run it; a call that was told ran: no has no claim, or gives it
-// back before any other VM can learn of it; the digest of the content binds a
-// claim, so that an identity can't be used for two different calls.
+// provably not run it. A call that was refused with "ran: no" has no claim, or
+// its claim is returned before any other VM can see it. A claim is bound to the
+// digest of the content, so an identity can't be used for two different calls.
 
 // call is one request for a plain service.
 type call struct {
@@ -29,39 +29,40 @@
 	service      config.Service
 	repeatable   bool
 	phase        phase
-	wait         *waiting
+	queued       *waiting
 	pool         string
 	route        string
 	stages       []Stage
-	holding      bool
-	// permitted says that a permit of the runner was taken for it, where that has a limit.
+	reserved     bool
+	// permitted is set when a permit was used for it, where the runner has a limit.
 	permitted bool
 	beganAt   time.Time
-	// attempt numbers the claim; claimAt is when it is asked for again.
+	// attempt numbers the claim; retryAt is when the claim is requested again, or a
+	// peek times out.
 	attempt uint64
-	claimAt time.Time
+	retryAt time.Time
 	claimed bool
-	// busy says that another VM was seen to hold the claim.
+	// busy is set when another VM was seen to hold the claim.
 	busy bool
-	// refusal is what the caller gets once a peek has shown that it is true.
+	// refusal is sent to the caller once a peek has confirmed it.
 	refusal *Refusal
-	// left says that the caller has gone; the call is seen through.
-	left bool
+	// disconnected is set when the caller has disconnected; the call still runs to its end.
+	disconnected bool
 }
 
-// pendingRecord is a record that the control VMs have not confirmed.
+// pendingRecord is a record that the control VMs have not acknowledged.
 type pendingRecord struct {
 	request RecordRequest
-	againAt time.Time
+	retryAt time.Time
 }
 
-// callCost is what a call counts in its service's queue.
+// callCost is the cost of a call in its service's queue.
 const callCost = 1
 
-// claimPause is the wait before a claim is asked for again.
-const claimPause = 200 * time.Millisecond
+// claimRetryInterval is the delay before a claim or record request is resent.
+const claimRetryInterval = 200 * time.Millisecond
 
-// callAsked takes a request for a plain service.
+// callAsked handles a request for a plain service.
 func (n *Node) callAsked(a CallAsked) {
 	org, ok := n.organisationOf(a.Key)
 	if !ok {
@@ -72,7 +73,7 @@
 	service, ok := n.entry.config.Services.Get(a.Service)
 	p := n.entry.pools[a.Service]
 	if !ok || p == nil {
-		if r, ok := n.checkTenure(); !ok {
+		if r, ok := n.checkServing(); !ok {
 			if a.Returnable {
 				r = r.WithDoubt()
 			}
@@ -83,19 +84,19 @@
 		return
 	}
 	c := &call{asked: a, organisation: org.Name, service: service, repeatable: service.IsRepeatable(a.Method, a.Path), phase: phaseQueued}
-	if !c.repeatable && (n.joinCall(c) || n.answerPending(c)) {
+	if !c.repeatable && (n.reattachCall(c) || n.answerPending(c)) {
 		return
 	}
 	n.entry.calls[a.Conn] = c
 	if !c.repeatable {
 		n.entry.callIDs[a.ID] = a.Conn
 	}
-	if r, ok := n.checkTenure(); !ok {
+	if r, ok := n.checkServing(); !ok {
 		n.refuseCall(c, r)
 		return
 	}
 	n.entry.budget.earn()
-	c.wait = &waiting{
+	c.queued = &waiting{
 		organisation: org.Name,
 		class:        service.Class,
 		weight:       n.weightOf(org.Name),
@@ -103,14 +104,14 @@
 		deadline:     a.Deadline,
 		call:         c,
 	}
-	if r, ok := n.admit(p, c.wait); !ok {
-		c.wait = nil
+	if r, ok := n.admit(p, c.queued); !ok {
+		c.queued = nil
 		n.refuseCall(c, r)
 	}
 }
 
-// joinCall gives a call that is under way here to the caller that resends it.
-func (n *Node) joinCall(c *call) bool {
+// reattachCall attaches a call in progress on this VM to the caller that resends it.
+func (n *Node) reattachCall(c *call) bool {
 	old, ok := n.entry.callIDs[c.asked.ID]
 	if !ok {
 		return false
@@ -120,11 +121,11 @@
 		n.emit(Refuse{Conn: c.asked.Conn, ID: c.asked.ID, Refusal: conflictRefusal()})
 		return true
 	}
-	if !present.left {
+	if !present.disconnected {
 		n.emit(Refuse{Conn: old, ID: c.asked.ID, Refusal: movedRefusal()})
 	}
 	delete(n.entry.calls, old)
-	present.left = false
+	present.disconnected = false
 	present.asked.Conn = c.asked.Conn
 	n.entry.calls[c.asked.Conn] = present
 	n.entry.callIDs[c.asked.ID] = c.asked.Conn
@@ -135,13 +136,13 @@
 	return refusal(RefusedConflict, RanNo, "the identity was used for a request with other content", "give each request an identity of its own")
 }
 
-// beginCall starts a call on a runner that has room.
+// beginCall starts a call on a runner with free capacity.
 func (n *Node) beginCall(c *call, poolName, route string, stages []Stage) {
 	c.pool = poolName
 	c.route = route
 	c.stages = stages
-	c.holding = true
-	// It is used here: a claim that takes longer than a permit lasts would have it void.
+	c.reserved = true
+	// The permit is used here, since it could expire while the claim is pending.
 	c.permitted = n.routePermit(stages)
 	if c.repeatable || c.claimed {
 		n.dispatchCall(c)
@@ -150,11 +151,11 @@
 	c.phase = phaseClaiming
 	n.entry.attempts++
 	c.attempt = n.entry.attempts
-	n.askClaim(c)
+	n.requestClaim(c)
 }
 
-func (n *Node) askClaim(c *call) {
-	c.claimAt = n.now.Add(claimPause)
+func (n *Node) requestClaim(c *call) {
+	c.retryAt = n.now.Add(claimRetryInterval)
 	leader := n.entry.tenure.leader
 	if leader == "" {
 		return
@@ -162,8 +163,8 @@
 	n.deliver(leader, Message{Claim: &ClaimRequest{ID: c.asked.ID, Attempt: c.attempt, Digest: c.asked.Digest}})
 }
 
-// answerPending answers a resend from a record that is not yet durable. Until
-// it is, no new attempt may begin here, unless the record says ran: no.
+// answerPending answers a resend from a record that is not durable yet. Until
+// it is durable, no new attempt may begin here, unless the record says "ran: no".
 func (n *Node) answerPending(c *call) bool {
 	p, ok := n.entry.records[c.asked.ID]
 	if !ok || p.request.Ran == RanNo {
@@ -177,9 +178,9 @@
 	return true
 }
 
-// claimReplied goes on with a call whose claim was decided. A claim that comes
-// after its call was refused is given back. That is safe, since the record of
-// an attempt that was dispatched is pending here or durable already.
+// claimReplied continues a call whose claim was decided. A claim that arrives
+// after its call was refused is returned. That is safe, since the record of an
+// attempt that was dispatched is either pending here or already durable.
 func (n *Node) claimReplied(r ClaimReply) {
 	conn, ok := n.entry.callIDs[r.ID]
 	c := n.entry.calls[conn]
@@ -190,7 +191,7 @@
 		return
 	}
 	if c.phase == phasePeeking {
-		n.peeked(c, r)
+		n.claimPeeked(c, r)
 		return
 	}
 	if c.phase != phaseClaiming || c.attempt != r.Attempt {
@@ -207,7 +208,7 @@
 	case ClaimConflict:
 		n.refuseCall(c, conflictRefusal())
 	case ClaimBusy:
-		// Another entry VM is at it; ask again until its record is there.
+		// Another entry VM holds the claim; retry until its record is durable.
 		c.busy = true
 	}
 }
@@ -216,8 +217,8 @@
 	return refusal(RefusedUnknown, RanUnknown, "it may have run, and its answer is not known", "look it up at the service before sending it under a new identity")
 }
 
-// dispatchCall sends a call to its runner. One that has asked to back off since it was picked is
-// left alone, and so is one that has named a limit since, where this VM has no permit for it.
+// dispatchCall sends a call to its runner. The call goes to another runner when this one has
+// asked to back off since it was picked, or has set a limit since and this VM has no permit.
 func (n *Node) dispatchCall(c *call) {
 	runner := c.stages[0].Target
 	if n.backoffs(runner) || !c.permitted && !n.entry.limits.Take(runnerID(runner), n.now) {
@@ -236,7 +237,7 @@
 	})
 }
 
-// dispatchEnded takes a runner's answer.
+// dispatchEnded handles the result of a dispatch to a runner.
 func (n *Node) dispatchEnded(e DispatchEnded) {
 	c := n.callOf(e)
 	if c == nil || c.phase != phaseDispatched {
@@ -247,10 +248,10 @@
 	p := n.entry.pools[c.pool]
 	switch e.Result {
 	case ResultDone:
-		n.trust(e.Target)
+		n.clearFailures(e.Target)
 		if p != nil {
-			p.taken(c.route)
-			p.ended(callCost, callCost, n.now.Sub(c.beganAt), n.now)
+			p.recordSuccess(c.route)
+			p.recordEnd(callCost, callCost, n.now.Sub(c.beganAt), n.now)
 		}
 		if !c.repeatable {
 			n.record(RecordRequest{ID: c.asked.ID, Attempt: c.attempt, Ran: RanYes, Answer: e.Answer})
@@ -258,7 +259,7 @@
 		n.finishCall(c, e.Answer, false)
 	case ResultRefused:
 		if p != nil {
-			p.refused(c.route)
+			p.recordRefusal(c.route)
 		}
 		n.retryCall(c, e.Target)
 	default:
@@ -272,8 +273,8 @@
 	}
 }
 
-// callOf finds the call that a dispatch was for: its caller may have come back
-// on another connection meanwhile.
+// callOf returns the call of a dispatch. Its caller may have reconnected on
+// another connection since.
 func (n *Node) callOf(e DispatchEnded) *call {
 	if c, ok := n.entry.calls[e.Conn]; ok {
 		return c
@@ -284,24 +285,23 @@
 	return nil
 }
 
-// retryCall sends a call that did not run, or that may run twice, to another
-// runner.
+// retryCall sends a call that did not run, or is repeatable, to another runner.
 func (n *Node) retryCall(c *call, avoid string) {
 	p := n.entry.pools[c.pool]
 	if p == nil || !n.entry.budget.take() || !n.now.Before(c.asked.Deadline) {
-		n.giveUpCall(c)
+		n.failCall(c)
 		return
 	}
 	pool, route, stages := c.pool, c.route, c.stages
-	c.holding = false
+	c.reserved = false
 	c.phase = phaseQueued
-	c.wait = p.readmit(c.wait, avoid)
-	n.give(pool, route, stages)
+	c.queued = p.readmit(c.queued, avoid)
+	n.release(pool, route, stages)
 }
 
-// giveUpCall refuses a call that no runner took. Of one that broke it is not
-// known whether it ran, but it may be sent again.
-func (n *Node) giveUpCall(c *call) {
+// failCall refuses a call that no runner served. A repeatable call may have
+// run on a runner that failed, but may be sent again.
+func (n *Node) failCall(c *call) {
 	ran := RanNo
 	if c.repeatable {
 		ran = RanUnknown
@@ -311,21 +311,21 @@
 }
 
 func (n *Node) finishCall(c *call, answer CallAnswer, recorded bool) {
-	if !c.left {
+	if !c.disconnected {
 		n.emit(Finish{Conn: c.asked.Conn, ID: c.asked.ID, Answer: answer, Recorded: recorded})
 	}
-	n.forgetCall(c)
+	n.removeCall(c)
 }
 
-// refuseCall gives a call its final refusal. A claim of a call that did not
-// run is given back.
+// refuseCall ends a call with a refusal. The claim of a call that did not run is
+// returned.
 //
-// An identity that the caller gave may have been sent to another entry VM
-// before. To be told ran: no under it means that no attempt has run, so the
-// control VMs are asked how its claim stands first; without their answer the
-// caller is told that it is not known.
+// An identity chosen by the caller may have been sent to another entry VM
+// before. A refusal with "ran: no" states that no attempt under the identity has
+// run, so the control VMs are first asked for the state of its claim. Without
+// their answer the refusal says that the outcome is unknown.
 func (n *Node) refuseCall(c *call, r Refusal) {
-	unsettled := !c.repeatable && c.asked.Returnable && !c.claimed && !c.left
+	unsettled := !c.repeatable && c.asked.Returnable && !c.claimed && !c.disconnected
 	if unsettled && r.Ran == RanNo && r.Kind != RefusedConflict {
 		n.peek(c, r)
 		return
@@ -333,7 +333,7 @@
 	n.endCall(c, r)
 }
 
-// peek asks how a claim stands before a refusal is given.
+// peek queries the state of a claim before a refusal is sent.
 func (n *Node) peek(c *call, r Refusal) {
 	leader := n.entry.tenure.leader
 	if leader == "" || c.busy || c.phase == phaseClaiming {
@@ -342,12 +342,12 @@
 	}
 	c.phase = phasePeeking
 	c.refusal = &r
-	c.claimAt = n.now.Add(n.settings.Timing.PeerReply)
+	c.retryAt = n.now.Add(n.settings.Timing.PeerReply)
 	n.deliver(leader, Message{Claim: &ClaimRequest{ID: c.asked.ID, Digest: c.asked.Digest, Peek: true}})
 }
 
-// peeked gives the refusal, or what an earlier attempt has brought.
-func (n *Node) peeked(c *call, r ClaimReply) {
+// claimPeeked sends the refusal, or the result of an earlier attempt.
+func (n *Node) claimPeeked(c *call, r ClaimReply) {
 	switch r.Outcome {
 	case ClaimNone:
 		n.endCall(c, *c.refusal)
@@ -363,45 +363,45 @@
 }
 
 func (n *Node) endCall(c *call, r Refusal) {
-	if !c.left {
+	if !c.disconnected {
 		n.emit(Refuse{Conn: c.asked.Conn, ID: c.asked.ID, Refusal: r})
 	}
 	if c.phase == phaseClaiming || c.claimed && r.Ran == RanNo {
 		n.record(RecordRequest{ID: c.asked.ID, Attempt: c.attempt, Ran: RanNo})
 	}
-	n.forgetCall(c)
+	n.removeCall(c)
 }
 
-func (n *Node) forgetCall(c *call) {
+func (n *Node) removeCall(c *call) {
 	delete(n.entry.calls, c.asked.Conn)
 	if n.entry.callIDs[c.asked.ID] == c.asked.Conn {
 		delete(n.entry.callIDs, c.asked.ID)
 	}
-	if c.wait != nil {
-		c.wait.gone = true
-		n.leave(c.organisation)
+	if c.queued != nil {
+		c.queued.dropped = true
+		n.uncount(c.organisation)
 	}
 	c.phase = phaseDone
-	if c.holding {
-		c.holding = false
-		n.give(c.pool, c.route, c.stages)
+	if c.reserved {
+		c.reserved = false
+		n.release(c.pool, c.route, c.stages)
 	}
 }
 
-// callLeft follows a caller that has closed its connection. What has not begun
-// is dropped; what may have begun is seen through, so that a resend gets its
-// answer.
-func (n *Node) callLeft(c *call) {
-	c.left = true
+// callDisconnected handles a caller that has closed its connection. A call that
+// has not begun is removed. One that may have begun runs to its end, so that a
+// resend gets its answer.
+func (n *Node) callDisconnected(c *call) {
+	c.disconnected = true
 	if c.phase == phaseQueued && !c.claimed {
-		n.forgetCall(c)
+		n.removeCall(c)
 	}
 }
 
 func (n *Node) sweepCalls() {
 	for _, conn := range slices.Sorted(maps.Keys(n.entry.calls)) {
 		c := n.entry.calls[conn]
-		if c.phase == phasePeeking && !n.now.Before(c.claimAt) {
+		if c.phase == phasePeeking && !n.now.Before(c.retryAt) {
 			n.endCall(c, c.refusal.WithDoubt())
 			continue
 		}
@@ -412,26 +412,26 @@
 			n.refuseCall(c, refusal(RefusedControl, RanNo, "the control VMs did not decide the claim before the deadline", "send it again under the same identity").WithRetryAt(n.now.Add(time.Second)))
 			continue
 		}
-		if !n.now.Before(c.claimAt) {
-			n.askClaim(c)
+		if !n.now.Before(c.retryAt) {
+			n.requestClaim(c)
 		}
 	}
 }
 
-// record stores how a claimed call ended, and goes on until that is durable.
+// record stores the outcome of a claimed call, and resends it until it is durable.
 func (n *Node) record(r RecordRequest) {
-	if len(r.Answer.Body) > recordLimit {
+	if len(r.Answer.Body) > maxRecordBytes {
 		r.Answer = CallAnswer{Status: r.Answer.Status, ContentType: "text/plain", Body: []byte("the answer was given once and was too large to be kept")}
 	}
 	n.entry.records[r.ID] = &pendingRecord{request: r}
 	n.sendRecord(n.entry.records[r.ID])
 }
 
-// recordLimit bounds the answers that are kept, in bytes.
-const recordLimit = 64 << 10
+// maxRecordBytes bounds the body of a recorded answer.
+const maxRecordBytes = 64 << 10
 
 func (n *Node) sendRecord(p *pendingRecord) {
-	p.againAt = n.now.Add(claimPause)
+	p.retryAt = n.now.Add(claimRetryInterval)
 	if leader := n.entry.tenure.leader; leader != "" {
 		request := p.request
 		n.deliver(leader, Message{Record: &request})
@@ -446,7 +446,7 @@
 
 func (n *Node) sweepRecords() {
 	for _, id := range slices.Sorted(maps.Keys(n.entry.records)) {
-		if p := n.entry.records[id]; !n.now.Before(p.againAt) {
+		if p := n.entry.records[id]; !n.now.Before(p.retryAt) {
 			n.sendRecord(p)
 		}
 	}
--- a/internal/core/placing_notes.go
+++ b/internal/core/placing_notes.go
@@ -11,11 +11,11 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file tells operators what the leader plans with, and what the plan bears.
+// This file logs the leader's plans for operators, with their inputs and capacity.
 
-// noteFaults notes what keeps a service from a plan, or from a good one, when it changes.
-// What engines hold stands.
-func (n *Node) noteFaults(s *relay.Service, engines []relay.Target) {
+// logFaults logs the faults that prevent a plan for a service, or a good one, when they
+// change. The layers that engines hold are left as they are.
+func (n *Node) logFaults(s *relay.Service, engines []relay.Target) {
 	text := ""
 	if err := errors.Join(s.Engine.Faults(engines)...); err != nil {
 		text = strings.ReplaceAll(err.Error(), "\n", "; ")
@@ -31,12 +31,12 @@
 	}
 }
 
-// notePlan notes a plan with its inputs.
-func (n *Node) notePlan(s *relay.Service, engines []relay.Target, plan []relay.Assignment) {
+// logPlan logs a plan with its inputs.
+func (n *Node) logPlan(s *relay.Service, engines []relay.Target, plan []relay.Assignment) {
 	held := withLayers(engines, plan)
-	whole, left := s.Engine.Hold(held), s.Engine.HoldAfter(held, lossesNoted)
+	whole, left := s.Engine.Hold(held), s.Engine.HoldAfter(held, loggedLosses)
 	text := fmt.Sprintf("plan for %s: %d of them hold layers, the least held layer %d times in a hall; bears %.0f answers in progress and %.0f a second, each %s, of %d and %d tokens; %.0f a second without the %d engines whose loss costs most",
-		kindsOf(engines), len(plan), whole.Copies, whole.Answers, whole.Rate, whole.Time.Round(roundedTo), s.Engine.UsualPrompt, s.Engine.UsualAnswer, left.Rate, lossesNoted)
+		countKinds(engines), len(plan), whole.Copies, whole.Answers, whole.Rate, whole.Time.Round(timeUnit), s.Engine.UsualPrompt, s.Engine.UsualAnswer, left.Rate, loggedLosses)
 	noted := n.leading.placing.noted[s.Name]
 	if text == noted.plan {
 		return
@@ -47,13 +47,13 @@
 }
 
 const (
-	// lossesNoted is the number of lost engines that a noted plan gives the rate after.
-	lossesNoted = 3
-	// roundedTo is the unit of the times in a note: people need no more.
-	roundedTo = 10 * time.Millisecond
+	// loggedLosses is the number of lost engines for which a logged plan states the rate.
+	loggedLosses = 3
+	// timeUnit is the unit to which logged times are rounded.
+	timeUnit = 10 * time.Millisecond
 )
 
-// withLayers returns engines with the layers that a plan gives them.
+// withLayers returns engines with the layers that a plan assigns to them.
 func withLayers(engines []relay.Target, plan []relay.Assignment) []relay.Target {
 	given := make(map[relay.TargetID]relay.Assignment, len(plan))
 	for _, a := range plan {
@@ -68,8 +68,8 @@
 	return held
 }
 
-// kindsOf counts engines by kind.
-func kindsOf(engines []relay.Target) string {
+// countKinds lists the number of engines of each accelerator kind.
+func countKinds(engines []relay.Target) string {
 	counts := make(map[string]int)
 	for _, t := range engines {
 		counts[t.Accelerator]++
@@ -81,17 +81,17 @@
 	return strings.Join(parts, ", ")
 }
 
-// lookAtHolds works out what the layers that engines hold bear, for Status.
-func (n *Node) lookAtHolds(s *relay.Service, engines []relay.Target) {
+// updateCapacity computes the capacity of the layers that engines hold, for Status.
+func (n *Node) updateCapacity(s *relay.Service, engines []relay.Target) {
 	p := &n.leading.placing
 	if n.now.Before(p.holdsAt[s.Name]) {
 		return
 	}
-	p.holdsAt[s.Name] = n.now.Add(holdsEvery)
+	p.holdsAt[s.Name] = n.now.Add(capacityInterval)
 	p.holds[s.Name] = s.Engine.Hold(engines)
 }
 
-// planHolds returns what the layers that engines hold bear, over all services.
+// planHolds returns the capacity of the layers that engines hold, over all services.
 func (n *Node) planHolds() (answers, rate float64) {
 	for _, c := range n.leading.placing.holds {
 		answers += c.Answers
--- a/internal/core/repair.go
+++ b/internal/core/repair.go
@@ -7,22 +7,22 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// This file replaces a stage of a stream that has died, slowed to a halt or
-// forgotten its state.
+// This file replaces a stage of a stream that has failed, stalled or lost its
+// state.
 //
-// Only the lost range of layers is made anew. Any engines that hold its layers
-// can take it, also several in a row, also from other chains. Each of them
-// rebuilds its KV cache from what the stage before it has kept of its
-// activations, or, for the first layers, from the prompt and the tokens. The
-// surviving stages run no committed position again: they are asked for the
-// same position under the next epoch and repeat what they kept of it. The ways
-// that were weighed are in docs/DESIGN.md.
+// Only the lost range of layers is rebuilt. Any engines that hold its layers
+// can take it over, also several in a row and from other chains. Each of them
+// rebuilds its KV cache from the activations kept by the stage before it, or,
+// for the first layers, from the prompt and the tokens. The surviving stages
+// run no committed position again: they are asked for the same position under
+// the next epoch and return the stored result. docs/DESIGN.md compares the
+// alternatives.
 //
-// The order of a repair matters: a source must have its own state before it
-// can feed the next, so rebuilds run one after another from the front.
+// The order of a repair matters: a source needs its own state before it can
+// feed the next stage, so rebuilds run one after another from the front.
 
-// repairPause is the wait before a repair that found no engine is tried again.
-const repairPause = 100 * time.Millisecond
+// repairRetryDelay is the delay before a repair that found no engine is retried.
+const repairRetryDelay = 100 * time.Millisecond
 
 // repair replaces the stage that target held.
 func (n *Node) repair(s *stream, target string) {
@@ -33,18 +33,18 @@
 	n.repairNow(s)
 }
 
-// repairNow finds engines for each stage whose engine can't be used.
+// repairNow finds replacements for each stage whose engine can't be used.
 func (n *Node) repairNow(s *stream) {
 	chain := make([]Stage, 0, len(s.chain)+1)
 	var rebuild []int
 	for _, stage := range s.chain {
-		if !n.isSuspect(stage.Target) && !n.isGone(stage.Target) {
+		if !n.isSuspect(stage.Target) && !n.isRemovedOrDown(stage.Target) {
 			chain = append(chain, stage)
 			continue
 		}
 		cover := n.cover(s, stage.Layers)
 		if cover == nil {
-			s.repairAt = n.now.Add(repairPause)
+			s.repairAt = n.now.Add(repairRetryDelay)
 			return
 		}
 		for _, c := range cover {
@@ -52,7 +52,7 @@
 			chain = append(chain, c)
 		}
 	}
-	n.swapChain(s, chain)
+	n.replaceChain(s, chain)
 	s.rebuild = rebuild
 	if s.position == 0 {
 		// Nothing is committed yet, so there is no state to rebuild.
@@ -62,13 +62,14 @@
 	n.rebuildNext(s)
 }
 
-func (n *Node) isGone(target string) bool {
+func (n *Node) isRemovedOrDown(target string) bool {
 	t, ok := n.entry.config.Targets.Get(target)
 	return !ok || t.Down
 }
 
-// swapChain counts the stream against its new targets.
-func (n *Node) swapChain(s *stream, chain []Stage) {
+// replaceChain counts the stream against the targets of its new chain and
+// releases those that it no longer uses.
+func (n *Node) replaceChain(s *stream, chain []Stage) {
 	var dropped []Stage
 	for _, stage := range s.chain {
 		n.target(stage.Target).used--
@@ -86,12 +87,13 @@
 }
 
 // cover returns engines that together hold the layers, or nil. From the front
-// it takes the one that reaches furthest, and of equals the least used.
+// it picks the engine that holds the most of the remaining layers, and among
+// equals the least used.
 func (n *Node) cover(s *stream, layers config.Range) []Stage {
 	var cover []Stage
 	next := layers.First
 	for next < layers.Last {
-		stage, ok := n.reach(s, next, layers.Last, cover)
+		stage, ok := n.nextStage(s, next, layers.Last, cover)
 		if !ok {
 			return nil
 		}
@@ -101,7 +103,7 @@
 	return cover
 }
 
-func (n *Node) reach(s *stream, first, last int, cover []Stage) (Stage, bool) {
+func (n *Node) nextStage(s *stream, first, last int, cover []Stage) (Stage, bool) {
 	var best Stage
 	bestUse := 0.0
 	for _, p := range n.entry.config.Placements.Sorted() {
@@ -129,7 +131,7 @@
 	return slices.ContainsFunc(chain, func(s Stage) bool { return s.Target == target })
 }
 
-// rebuildNext orders the next rebuild, or goes on with the stream.
+// rebuildNext orders the next rebuild, or resumes the stream when none is left.
 func (n *Node) rebuildNext(s *stream) {
 	if len(s.rebuild) == 0 {
 		n.runNext(s)
@@ -149,13 +151,13 @@
 		r.Source = &source
 	} else {
 		r.Prompt = s.request.Prompt
-		// The last token has not been run yet: the next position will.
+		// The last token is not part of the state yet: the next position runs it.
 		r.Tokens = slices.Clone(s.tokens[:len(s.tokens)-1])
 	}
 	n.emit(r)
 }
 
-// rebuildEnded goes on with a repair.
+// rebuildEnded handles the result of a rebuild and continues the repair.
 func (n *Node) rebuildEnded(e RebuildEnded) {
 	s, ok := n.entry.streams[e.Stream]
 	if !ok || s.phase != phaseRepairing || s.epoch != e.Epoch || len(s.rebuild) == 0 {
@@ -168,18 +170,18 @@
 			n.rebuildNext(s)
 		}
 	case ResultGap:
-		n.refill(s, e.Target)
+		n.rebuildStage(s, e.Target)
 	case ResultStale:
-		n.loseStream(s)
+		n.relinquishStream(s)
 	default:
 		n.suspect(e.Target)
 		n.repair(s, e.Target)
 	}
 }
 
-// refill has a stage that is alive but lacks the stream's state rebuild it,
-// and all that a repair had still to rebuild after it.
-func (n *Node) refill(s *stream, target string) {
+// rebuildStage has a live stage that lacks the stream's state rebuild it, together
+// with the rebuilds that are still pending.
+func (n *Node) rebuildStage(s *stream, target string) {
 	i := slices.IndexFunc(s.chain, func(stage Stage) bool { return stage.Target == target })
 	if i < 0 || s.position == 0 {
 		n.suspect(target)
@@ -196,12 +198,12 @@
 	n.rebuildNext(s)
 }
 
-// stageRefused handles an engine that would not take a stream. When the first
-// stage refuses the first position, nothing has run: the stream goes back in
-// line for another route, if the budget for retries allows. Else the stages
-// before have run, and only the one that refused is replaced.
+// stageRefused handles an engine that refused a stream. When the first stage
+// refuses the first position, nothing has run, and the stream is queued again
+// for another route if the retry budget allows. Otherwise earlier stages or
+// positions have run, and only the stage that refused is replaced.
 func (n *Node) stageRefused(s *stream, target string) {
-	n.poolOfStream(s).refused(s.route)
+	n.poolOfStream(s).recordRefusal(s.route)
 	if s.position > 0 || target != s.chain[0].Target {
 		n.suspect(target)
 		n.repair(s, target)
@@ -210,18 +212,18 @@
 	s.dispatched = false
 	if !n.entry.budget.take() {
 		r := refusal(RefusedOverload, RanNo, "the engines have no room", "come back at the given time")
-		n.failStream(s, r.WithRetryAt(n.comeBack(n.poolOfStream(s))))
+		n.failStream(s, r.WithRetryAt(n.retryTime(n.poolOfStream(s))))
 		return
 	}
 	n.requeue(s, target)
 }
 
-// requeue puts a stream that has not run back in line.
+// requeue returns a stream that has not run to the queue.
 func (n *Node) requeue(s *stream, avoid string) {
 	pool, route, chain := s.pool, s.route, s.chain
 	s.epoch = s.epoch.WithNextAttempt()
 	n.emit(Release{Stream: s.id, Epoch: s.epoch, Chain: chain})
-	s.holding = false
+	s.reserved = false
 	s.chain = nil
 	s.phase = phaseQueued
 	p := n.entry.pools[pool]
@@ -229,6 +231,6 @@
 		n.failStream(s, refusal(RefusedNoTarget, RanNo, "no engine holds the model any more", "come back later").WithRetryAt(n.now.Add(time.Second)))
 		return
 	}
-	s.wait = p.readmit(s.wait, avoid)
-	n.give(pool, route, chain)
+	s.queued = p.readmit(s.queued, avoid)
+	n.release(pool, route, chain)
 }
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -10,21 +10,21 @@
 
 // This file runs the stream of one answer of a model pipeline.
 //
-// The core drives a stream position by position: it orders the first stage to
-// run the next position and commits the token that comes back through all the
-// ranges. The stages hand their activations on among themselves, so that an
-// entry VM moves only tokens (docs/DESIGN.md weighs this against moving the
-// activations through the entry VM).
+// The core drives a stream position by position. It orders the first stage to
+// run the next position and commits the token that the last stage returns. The
+// stages forward activations directly to each other, so an entry VM transfers
+// only tokens (docs/DESIGN.md compares this with sending the activations
+// through the entry VM).
 //
-// Invariants: at most one run of a stream is in flight; only an answer with
-// the stream's present epoch and position is taken, so late, crossed and
-// doubled ones change nothing; a token is shown to the caller only after the
-// keeper has it; nothing is dispatched before the keeper has the request.
+// Invariants: at most one run of a stream is in flight. Only an answer with
+// the stream's current epoch and position is accepted, so late, reordered and
+// duplicate answers have no effect. A token is sent to the caller only after
+// the keeper has it. Nothing is dispatched before the keeper has the request.
 //
-// An engine runs a position once in its life: it repeats the kept result when
-// it is asked again, and refuses epochs before the newest one it has seen.
+// An engine incarnation runs a position once. It returns the stored result when
+// asked again, and refuses epochs before the newest one it has seen.
 
-// phase is how far a request has come.
+// phase is the processing state of a request.
 type phase string
 
 // The phases of streams and calls.
@@ -40,52 +40,52 @@
 	phaseDone        phase = "done"
 )
 
-// stream is one answer under way, or kept for its caller after its end.
+// stream is one answer in progress, or a finished one that is kept for its caller.
 type stream struct {
 	id       RequestID
 	request  StreamRequest
 	pipeline config.Pipeline
 	phase    phase
 	conn     ConnID
-	// goneAt is when the caller left; zero while it is there.
-	goneAt time.Time
-	wait   *waiting
-	epoch  Epoch
-	pool   string
-	route  string
-	chain  []Stage
-	// holding says that the chain is counted against its targets.
-	holding  bool
+	// disconnectedAt is when the caller disconnected, zero while it is connected.
+	disconnectedAt time.Time
+	queued         *waiting
+	epoch          Epoch
+	pool           string
+	route          string
+	chain          []Stage
+	// reserved is set while the chain is counted against its targets.
+	reserved bool
 	position int
 	inFlight bool
-	// beganAt is when it got its route.
+	// beganAt is when the stream was assigned its route.
 	beganAt time.Time
 	// sentAt is when the run in flight was ordered.
 	sentAt time.Time
-	// dispatched says that some engine may have run some of it.
+	// dispatched is set when an engine may have run a part of the stream.
 	dispatched bool
 	tokens     []Token
 	finish     string
-	// kept is how many tokens the keeper has, shown how many the caller.
+	// kept is the number of tokens that the keeper has, shown the number sent to the caller.
 	kept  int
 	shown int
-	// finishKept says that the keeper has the end, finishShown the caller.
+	// finishKept is set when the keeper has the end, finishShown when the caller has it.
 	finishKept  bool
 	finishShown bool
-	// doubted says that an earlier attempt could not be ruled out.
-	doubted bool
-	keeper  VMName
-	// registered says that the keeper has the request itself.
+	// mayHaveRunBefore is set when an earlier attempt could not be ruled out.
+	mayHaveRunBefore bool
+	keeper           VMName
+	// registered is set once the request has been sent to a keeper, where there is one.
 	registered bool
 	// rebuild lists the stages that must rebuild their KV cache, in order.
 	rebuild []int
-	// repairAt is when a repair that found no engine is tried again.
+	// repairAt is when a repair that found no engine is retried.
 	repairAt time.Time
-	// dropAt is when a finished stream is forgotten.
+	// dropAt is when a finished stream is removed.
 	dropAt time.Time
 }
 
-// streamAsked takes a request for a model pipeline.
+// streamAsked handles a request for a model pipeline.
 func (n *Node) streamAsked(a StreamAsked) {
 	org, ok := n.organisationOf(a.Key)
 	if !ok {
@@ -98,7 +98,7 @@
 		n.reattach(s, a.Conn, a.After)
 		return
 	}
-	if r, ok := n.checkTenure(); !ok {
+	if r, ok := n.checkServing(); !ok {
 		if a.Request.Returnable {
 			r = r.WithDoubt()
 		}
@@ -110,27 +110,27 @@
 		n.emit(Refuse{Conn: a.Conn, ID: id, Refusal: refusal(RefusedPipeline, RanNo, "there is no pipeline of that name", "name one that the operators have declared")})
 		return
 	}
-	s := &stream{id: id, request: a.Request, pipeline: pipeline, conn: a.Conn, shown: a.After, epoch: Epoch{Holder: holderOf(n.settings.Self)}}
+	s := &stream{id: id, request: a.Request, pipeline: pipeline, conn: a.Conn, shown: a.After, epoch: Epoch{Holder: holderHash(n.settings.Self)}}
 	s.request.MaxTokens = min(max(a.Request.MaxTokens, 1), pipeline.MaxTokens)
 	n.entry.streams[id] = s
 	n.entry.attached[a.Conn] = id
 	n.entry.budget.earn()
-	if a.Request.Returnable && n.findFirst(s) {
+	if a.Request.Returnable && n.startFind(s) {
 		return
 	}
 	n.queueStream(s)
 }
 
 func (n *Node) refuseKey(conn ConnID, id RequestID) {
-	if r, ok := n.checkTenure(); !ok {
+	if r, ok := n.checkServing(); !ok {
 		n.emit(Refuse{Conn: conn, ID: id, Refusal: r})
 		return
 	}
 	n.emit(Refuse{Conn: conn, ID: id, Refusal: refusal(RefusedKey, RanNo, "the API key is not known", "send the organisation's key as a bearer token")})
 }
 
-// queueStream puts a new stream in line. A caller that already has tokens of
-// an answer that nobody keeps can't be given a whole one.
+// queueStream queues a new stream. It fails when the caller already has tokens of
+// an answer that no VM keeps, since the rest can't be supplied.
 func (n *Node) queueStream(s *stream) {
 	if s.shown > 0 {
 		n.failStream(s, refusal(RefusedLost, RanUnknown, "the rest of the answer is no longer kept", "ask again under a new identity, and drop the part that was received"))
@@ -143,16 +143,16 @@
 		return
 	}
 	s.phase = phaseQueued
-	s.wait = n.waitingStream(s)
-	if r, ok := n.admit(p, s.wait); !ok {
-		// It was not counted, so it must not be uncounted either.
-		s.wait = nil
+	s.queued = n.streamQueueEntry(s)
+	if r, ok := n.admit(p, s.queued); !ok {
+		// It was not added to the requests in progress, so it must not be subtracted.
+		s.queued = nil
 		n.failStream(s, r)
 	}
 }
 
-// waitingStream is a stream as the queue of its pool knows it.
-func (n *Node) waitingStream(s *stream) *waiting {
+// streamQueueEntry returns the queue entry of a stream.
+func (n *Node) streamQueueEntry(s *stream) *waiting {
 	return &waiting{
 		organisation: s.request.Organisation,
 		class:        s.pipeline.Class,
@@ -163,13 +163,13 @@
 	}
 }
 
-// beginStream starts a stream on a route that has room. The keeper gets the
-// request first, so that no dispatch is unknown to it.
+// beginStream starts a stream on a route with free capacity. The keeper gets the
+// request first, so that it knows of every dispatch.
 func (n *Node) beginStream(s *stream, poolName, route string, stages []Stage) {
 	s.pool = poolName
 	s.route = route
 	s.chain = stages
-	s.holding = true
+	s.reserved = true
 	s.beganAt = n.now
 	if s.registered {
 		n.runNext(s)
@@ -179,7 +179,7 @@
 	n.register(s)
 }
 
-// runNext orders the next position, unless one is in flight.
+// runNext orders the next position, unless a run is in flight or the answer has ended.
 func (n *Node) runNext(s *stream) {
 	if s.inFlight || s.finish != "" {
 		return
@@ -211,7 +211,7 @@
 	return ModelRef{Model: s.pipeline.Model, Version: s.pipeline.Version, Adapter: s.pipeline.Adapter}
 }
 
-// runEnded takes the answer of a chain, if it is the one that is waited for.
+// runEnded handles the answer of a chain if it matches the run in flight.
 func (n *Node) runEnded(e RunEnded) {
 	s, ok := n.entry.streams[e.Stream]
 	if !ok || !s.inFlight || s.epoch != e.Epoch || s.position != e.Position {
@@ -227,17 +227,17 @@
 		n.suspect(e.Target)
 		n.repair(s, e.Target)
 	case ResultGap:
-		n.refill(s, e.Target)
+		n.rebuildStage(s, e.Target)
 	case ResultStale:
-		n.loseStream(s)
+		n.relinquishStream(s)
 	}
 }
 
 func (n *Node) commitToken(s *stream, e RunEnded) {
 	if s.position > 0 {
 		p := n.poolOfStream(s)
-		p.ran(s.route, n.now.Sub(s.sentAt), n.now)
-		n.pump(p)
+		p.recordRun(s.route, n.now.Sub(s.sentAt), n.now)
+		n.startQueued(p)
 	}
 	s.tokens = append(s.tokens, e.Token)
 	s.position = e.Next
@@ -250,7 +250,7 @@
 		n.runNext(s)
 		return
 	}
-	n.endRun(s)
+	n.releaseEngines(s)
 }
 
 // FinishStop and FinishLength say why an answer ended.
@@ -267,22 +267,22 @@
 	return p
 }
 
-// endRun lets the engines of a stream go.
-func (n *Node) endRun(s *stream) {
-	if !s.holding {
+// releaseEngines releases the engines of a stream.
+func (n *Node) releaseEngines(s *stream) {
+	if !s.reserved {
 		return
 	}
-	s.holding = false
+	s.reserved = false
 	n.emit(Release{Stream: s.id, Epoch: s.epoch, Chain: s.chain})
-	n.poolOfStream(s).ended(float64(s.request.MaxTokens), float64(len(s.tokens)), n.now.Sub(s.beganAt), n.now)
+	n.poolOfStream(s).recordEnd(float64(s.request.MaxTokens), float64(len(s.tokens)), n.now.Sub(s.beganAt), n.now)
 	for _, stage := range s.chain {
-		n.trust(stage.Target)
+		n.clearFailures(stage.Target)
 	}
-	n.give(s.pool, s.route, s.chain)
+	n.release(s.pool, s.route, s.chain)
 }
 
-// showTokens gives the caller what the keeper has and the caller has not.
-func (n *Node) showTokens(s *stream) {
+// emitTokens sends the caller the tokens that the keeper has and the caller lacks.
+func (n *Node) emitTokens(s *stream) {
 	finish := ""
 	if s.finishKept {
 		finish = s.finish
@@ -299,13 +299,13 @@
 	}
 }
 
-// finishStream keeps a whole answer for a caller that may come back for it.
+// finishStream keeps a complete answer for a caller that may reconnect.
 func (n *Node) finishStream(s *stream) {
 	s.finishShown = true
 	s.phase = phaseDone
 	s.dropAt = n.now.Add(n.settings.Timing.KeepAnswer)
 	n.detach(s)
-	n.leave(s.request.Organisation)
+	n.uncount(s.request.Organisation)
 }
 
 func (n *Node) detach(s *stream) {
@@ -313,24 +313,24 @@
 	s.conn = 0
 }
 
-// reattach gives a stream to a caller that has come back.
+// reattach attaches a stream to a caller that has reconnected.
 func (n *Node) reattach(s *stream, conn ConnID, after int) {
 	if s.conn != 0 {
 		n.emit(Refuse{Conn: s.conn, ID: s.id, Refusal: movedRefusal()})
 		n.detach(s)
 	}
 	s.conn = conn
-	s.goneAt = time.Time{}
+	s.disconnectedAt = time.Time{}
 	n.entry.attached[conn] = s.id
 	s.shown = after
 	if s.phase == phaseDone {
 		n.replay(s)
 		return
 	}
-	n.showTokens(s)
+	n.emitTokens(s)
 }
 
-// replay gives the rest of a finished answer.
+// replay sends the rest of a finished answer.
 func (n *Node) replay(s *stream) {
 	from := min(s.shown, len(s.tokens))
 	n.emit(Emit{Conn: s.conn, ID: s.id, From: from, Tokens: slices.Clone(s.tokens[from:]), Finish: s.finish})
@@ -341,54 +341,54 @@
 	return refusal(RefusedMoved, RanYes, "the caller took the answer up on another connection", "read it there")
 }
 
-// failStream gives a stream's caller a final answer and forgets the stream.
+// failStream sends a stream's caller the final refusal and removes the stream.
 func (n *Node) failStream(s *stream, r Refusal) {
-	if s.doubted {
+	if s.mayHaveRunBefore {
 		r = r.WithDoubt()
 	}
 	if s.conn != 0 {
 		n.emit(Refuse{Conn: s.conn, ID: s.id, Refusal: r})
 	}
-	n.forgetStream(s)
+	n.removeStream(s)
 }
 
-// forgetStream drops a stream and all that is held for it.
-func (n *Node) forgetStream(s *stream) {
+// removeStream removes a stream and releases all that is held for it.
+func (n *Node) removeStream(s *stream) {
 	n.detach(s)
-	if s.wait != nil {
-		s.wait.gone = true
+	if s.queued != nil {
+		s.queued.dropped = true
 		if s.phase != phaseDone {
-			n.leave(s.request.Organisation)
+			n.uncount(s.request.Organisation)
 		}
 	}
 	delete(n.entry.streams, s.id)
-	n.endRun(s)
+	n.releaseEngines(s)
 	if s.registered {
 		n.keepDrop(s)
 	}
 }
 
-// loseStream ends a stream that another entry VM has taken over. Its engines
-// are that one's now, so no release is sent.
-func (n *Node) loseStream(s *stream) {
+// relinquishStream ends a stream that another entry VM has taken over. Its
+// engines now belong to that VM, so no release is sent.
+func (n *Node) relinquishStream(s *stream) {
 	n.note("stream taken over by another entry VM", string(s.id))
 	if s.conn != 0 {
 		n.emit(Refuse{Conn: s.conn, ID: s.id, Refusal: movedRefusal()})
 	}
-	holding := s.holding
-	s.holding = false
+	holding := s.reserved
+	s.reserved = false
 	s.registered = false
-	n.forgetStream(s)
+	n.removeStream(s)
 	if holding {
-		n.give(s.pool, s.route, s.chain)
+		n.release(s.pool, s.route, s.chain)
 	}
 }
 
-// callerGone follows a closed connection. A stream that has begun runs on for
-// a while, since its caller may come back for the rest.
+// callerGone handles a closed connection. A stream that has begun continues for
+// a time, since its caller may reconnect for the rest.
 func (n *Node) callerGone(conn ConnID) {
 	if c, ok := n.entry.calls[conn]; ok {
-		n.callLeft(c)
+		n.callDisconnected(c)
 		return
 	}
 	id, ok := n.entry.attached[conn]
@@ -397,15 +397,15 @@
 	}
 	s := n.entry.streams[id]
 	n.detach(s)
-	s.goneAt = n.now
+	s.disconnectedAt = n.now
 	if s.phase == phaseQueued || s.phase == phaseFinding {
-		n.forgetStream(s)
+		n.removeStream(s)
 	}
 }
 
-// reattachFor is how long a stream waits for its caller. One that never named
-// its request is unlikely to come back.
-func (n *Node) reattachFor(s *stream) time.Duration {
+// reattachTimeout is how long a stream waits for its caller. A caller that never
+// named its request is unlikely to reconnect.
+func (n *Node) reattachTimeout(s *stream) time.Duration {
 	if s.request.Returnable {
 		return n.settings.Timing.Reattach
 	}
@@ -422,11 +422,11 @@
 	switch {
 	case s.phase == phaseDone:
 		if !n.now.Before(s.dropAt) {
-			n.forgetStream(s)
+			n.removeStream(s)
 		}
-	case !s.goneAt.IsZero() && !n.now.Before(s.goneAt.Add(n.reattachFor(s))):
-		n.note("stream dropped: its caller has left", string(s.id))
-		n.forgetStream(s)
+	case !s.disconnectedAt.IsZero() && !n.now.Before(s.disconnectedAt.Add(n.reattachTimeout(s))):
+		n.note("stream dropped: its caller disconnected and did not return in time", string(s.id))
+		n.removeStream(s)
 	case s.phase != phaseQueued && s.phase != phaseFinding && !n.now.Before(s.request.Deadline):
 		n.failStream(s, refusal(RefusedDeadline, s.ran(), "its deadline passed", "send it again with a later deadline"))
 	case s.phase == phaseRepairing && !s.repairAt.IsZero() && !n.now.Before(s.repairAt):
@@ -435,8 +435,8 @@
 	}
 }
 
-// ran says what is known of whether a stream was run: not, as long as runNext
-// has dispatched nothing that an engine has taken.
+// ran reports whether a stream may have run. It has not while runNext has
+// dispatched nothing that an engine accepted.
 func (s *stream) ran() Ran {
 	switch {
 	case len(s.tokens) > 0:
