--- a/internal/core/followers.go
+++ b/internal/core/followers.go
@@ -8,11 +8,11 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file is the teller's side of the registry: what a control VM tells those that follow
-// it, and when. registry.go has the problem and the algorithm as a whole.
+// This file is the sending side of the registry: what a control VM sends to its followers, and
+// when. registry.go has the problem and the algorithm as a whole.
 
-// followAsked answers one who follows this VM's registry. Who asks under another
-// incarnation is told from the beginning.
+// followAsked answers a follower of this VM's registry. A new incarnation of a follower is sent
+// everything.
 func (n *Node) followAsked(id ReplicaID, f Follow) {
 	if !n.settings.Control {
 		return
@@ -45,10 +45,10 @@
 	n.tell(from, present, n.newsAfter(present.after, true), TargetNews{})
 }
 
-// newsAcknowledged takes a follower's acknowledgement. What changed meanwhile goes out with
-// the next push, with what else changes until then: sent at once, each of 3,000 targets that
-// load would be a message of its own to each follower. A VM that follows another one by now
-// may still acknowledge, and does not become a follower again by it.
+// newsAcknowledged handles a follower's acknowledgement. What changed meanwhile is sent with
+// the next push, together with the changes until then: sent at once, each of 3,000 targets that
+// load would cost one message per follower. An acknowledgement doesn't make its sender a
+// follower, since it may by now follow another control VM.
 func (n *Node) newsAcknowledged(id ReplicaID, f Follow) {
 	present, ok := n.registry.followers[id.VM]
 	if !ok || present.id != id || !present.acknowledge(f.positionIn(n.settings.Seed), n.now) {
@@ -57,7 +57,7 @@
 	n.registry.news = n.registry.news || n.registry.targets.Change() > present.after
 }
 
-// positionIn returns the last change of an incarnation that the asker has, 0 where it has none.
+// positionIn returns the last change of an incarnation that the asker has, or 0 if it has none.
 func (f Follow) positionIn(incarnation uint64) uint64 {
 	if f.Incarnation != incarnation {
 		return 0
@@ -65,8 +65,8 @@
 	return f.After
 }
 
-// acknowledge takes the last change that a follower says it has, and reports whether more
-// may be sent: nothing is while earlier news are on their way.
+// acknowledge records the last change that a follower has, and reports whether more may be
+// sent, which isn't the case while earlier updates are in flight.
 func (f *follower) acknowledge(after uint64, now time.Time) bool {
 	if after >= f.sent {
 		f.resendAt = time.Time{}
@@ -80,8 +80,9 @@
 	return true
 }
 
-// overdue reports whether what is on its way to a follower that has just asked for what it
-// has not got counts as lost: it reaches this VM, and what it lacks has had time to come.
+// overdue reports whether the updates in flight to a follower count as lost: the follower has
+// just asked for what they carry, so that it can reach this VM, and they have had time to
+// arrive.
 func (f *follower) overdue(now time.Time) bool {
 	if now.Before(f.overdueAt) {
 		return false
@@ -92,10 +93,10 @@
 	return true
 }
 
-// tellHeartbeats sends a control VM the signs of life that are due, while other news are on their
-// way to it: targets whose signs of life stay away count as silent. Those of targets on their
-// way wait: a sign of life bears the number of its message, and what the message says would
-// count as late once it comes.
+// tellHeartbeats sends a control VM the heartbeats that are due while other updates to it are
+// in flight, since targets whose heartbeats are missing count as silent. It leaves out the
+// targets whose reports are in flight: a heartbeat has the number of its report, and the report
+// would count as outdated when it arrives.
 func (n *Node) tellHeartbeats(vm VMName, f *follower) {
 	if !f.control {
 		return
@@ -108,20 +109,21 @@
 	n.send(vm, Message{TargetNews: &TargetNews{Incarnation: n.settings.Seed, After: f.acknowledged, Upto: f.acknowledged, Heartbeats: beats}})
 }
 
-// noteLeaving notes that targets among some leave.
+// noteLeaving records that some of the given targets are leaving.
 func (n *Node) noteLeaving(targets []relay.Target) {
 	if slices.ContainsFunc(targets, func(t relay.Target) bool { return !t.Takes() }) {
 		n.registry.leftAt = n.registry.targets.Change()
 	}
 }
 
-// tellLeaving sends a follower the targets that leave, while other news are on their way to
-// it: they get no new work from it within the drain bound, however long those take. Its place
-// stays, and they come again with what follows.
+// tellLeaving sends a follower the leaving targets while other updates to it are in flight. It
+// then gives them no new work after the drain bound, however long the other updates take. The
+// follower's position doesn't change, and the same targets are sent again with the next
+// updates.
 func (n *Node) tellLeaving(vm VMName, f *follower) {
 	after := max(f.after, f.leaving)
 	if n.registry.leftAt <= after {
-		return // it costs nothing while none leaves
+		return // no cost while no target leaves
 	}
 	f.leaving = n.registry.targets.Change()
 	leaving := slices.DeleteFunc(n.newsAfter(after, f.control), func(t relay.Target) bool { return t.Takes() })
@@ -130,8 +132,8 @@
 	}
 }
 
-// tellAll sends a follower all that is new to it. Who has nothing from this VM is told of
-// the targets that live, or of those that its digest lacks.
+// tellAll sends a follower everything that is new to it. A follower that has nothing from this
+// VM is sent the live targets, or those that its digest lacks.
 func (n *Node) tellAll(vm VMName, f *follower, d relay.Digest) {
 	whole := f.after == 0
 	n.listEngines()
@@ -147,18 +149,18 @@
 	n.tell(vm, f, targets, TargetNews{Whole: whole})
 }
 
-// push sends what is new to all who follow: to entry VMs all of it, to control VMs what
-// this one has heard. Most of them are at the same change, so that what is new is looked up
-// once for each change.
+// push sends changes to all followers: all of them to entry VMs, and those that this VM
+// received from targets to control VMs. Most followers are at the same change, so that the
+// targets are looked up once per change.
 func (n *Node) push() {
 	type place struct {
 		after uint64
 		own   bool
 	}
-	// News are on their way until the follower acknowledges them: one that is slow, or behind
-	// a full link, then gets all that changed meanwhile at once. Were each change sent as it
-	// happens, and again for each ask that crossed it, a leader whose targets load would send
-	// several times what is new.
+	// Updates are in flight until the follower acknowledges them. A follower that is slow or
+	// behind a full link then receives all later changes in one update. If each change were
+	// sent as it happens, and again for each request that crossed it, a leader whose targets
+	// load would send several times what is new.
 	news := make(map[place][]relay.Target)
 	n.listEngines()
 	for _, vm := range slices.Sorted(maps.Keys(n.registry.followers)) {
@@ -190,8 +192,8 @@
 	}
 }
 
-// newsAfter returns the targets that changed after a change: for a control VM those that speak
-// to this VM, for an entry VM those that are listed.
+// newsAfter returns the targets that changed after the given change: for a control VM those
+// that report to this VM, for an entry VM those that are listed.
 func (n *Node) newsAfter(change uint64, control bool) []relay.Target {
 	if change > 0 && change == n.registry.targets.Change() {
 		return nil
@@ -203,19 +205,19 @@
 }
 
 const (
-	// resendFirst is the wait for an acknowledgement before news are sent again: far longer
-	// than they take on a link that is not full, and short enough for news of a target that
-	// leaves to be sent twice within the 2 s that they may take. Each loss in a row doubles
-	// it, resendDoublings times at the most and up to resendMost.
+	// resendFirst is the wait for an acknowledgement before updates are sent again: far longer
+	// than they take on a link that isn't full, and short enough for a leaving target to be
+	// sent twice within the 2 s that this may take. Each consecutive loss doubles it, at most
+	// resendDoublings times and up to resendMost.
 	resendFirst     = 700 * time.Millisecond
 	resendDoublings = 3
 	resendMost      = 5 * time.Second
-	// resendEach is added for each target in the news: some 70 bytes, over a link of 20
-	// Mbit/s that 15 followers share.
+	// resendEach is added for each target in an update: about 70 bytes, over a link of 20
+	// Mbit/s shared by 15 followers.
 	resendEach = 500 * time.Microsecond
 )
 
-// tell sends a follower news of targets, which bring it to the newest change.
+// tell sends a follower an update of the given targets, which brings it to the newest change.
 func (n *Node) tell(vm VMName, f *follower, targets []relay.Target, news TargetNews) {
 	news.Incarnation = n.settings.Seed
 	news.After = f.after
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -7,40 +7,41 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file is the follower's side of the registry: whom a VM asks for what is new of targets, and
-// how it takes it. registry.go has the problem and the algorithm as a whole.
+// This file is the receiving side of the registry: which control VM a VM asks for changes of
+// targets, and how it applies them. registry.go has the problem and the algorithm as a whole.
 
 // Follow asks a control VM for the changes of its registry.
 type Follow struct {
 	// Incarnation and After name the last change that the asker has.
 	Incarnation uint64 `cbor:"life"`
 	After       uint64 `cbor:"after"`
-	// Heartbeats asks for signs of life too.
+	// Heartbeats also asks for heartbeats.
 	Heartbeats bool `cbor:"beats,omitempty"`
-	// OwnOnly asks for the targets that speak to the one asked: the asker has been told
-	// of all others.
+	// OwnOnly asks only for the targets that report to the receiver: the asker has already
+	// received all others.
 	OwnOnly bool `cbor:"own_only,omitempty"`
-	// Came acknowledges the last news, and asks for none.
+	// Came acknowledges the last update and asks for none.
 	Came bool `cbor:"came,omitempty"`
-	// Digest is set where the asker has been told of targets, and never by the one asked.
+	// Digest is set if the asker knows targets but has received none from the receiver.
 	Digest relay.Digest `cbor:"digest,omitempty"`
-	// Hall is the asker's. Away says of an entry VM that no control VM of it has answered.
+	// Hall is the asker's data hall. Away reports that no control VM of that hall has answered
+	// an entry VM.
 	Hall string `cbor:"hall,omitempty"`
 	Away bool   `cbor:"away,omitempty"`
 }
 
-// TargetNews brings the changes of a registry after After, up to Upto.
+// TargetNews carries the changes of a registry after After, up to Upto.
 type TargetNews struct {
 	Incarnation uint64         `cbor:"life"`
 	After       uint64         `cbor:"after,omitempty"`
 	Upto        uint64         `cbor:"upto"`
 	Targets     []relay.Target `cbor:"targets,omitempty"`
-	// Updates are of targets that the asker was told of up to After.
+	// Updates are of targets that the receiver was sent up to After.
 	Updates    []relay.TargetUpdate `cbor:"updates,omitempty"`
 	Heartbeats []relay.Heartbeat    `cbor:"beats,omitempty"`
-	// Missed are the incarnations that do not count although they began last.
+	// Missed are incarnations that aren't current although they began last.
 	Missed []relay.Missed `cbor:"missed,omitempty"`
-	// Whole says that these are all targets that the teller knows of.
+	// Whole reports that these are all targets that the sender knows.
 	Whole bool `cbor:"whole,omitempty"`
 }
 
@@ -49,7 +50,7 @@
 	after       uint64
 }
 
-// afterIn returns the last change that is known of an incarnation.
+// afterIn returns the last change received from an incarnation, or 0 if there is none.
 func (p position) afterIn(incarnation uint64) uint64 {
 	if p.incarnation != incarnation {
 		return 0
@@ -67,7 +68,7 @@
 	return followEvery
 }
 
-// follow asks for what is new: an entry VM the control VM that it renews with.
+// follow asks for changes: an entry VM asks the control VM that it renews with.
 func (n *Node) follow() {
 	if n.settings.Control {
 		n.followControls()
@@ -85,8 +86,8 @@
 	n.send(source, Message{Follow: &ask})
 }
 
-// followControls asks all other control VMs for what is new. Until one of them has told
-// all that it knows, one after the other is asked for that.
+// followControls asks all other control VMs for changes. Until one of them has sent its full
+// state, they are asked for it in turn.
 func (n *Node) followControls() {
 	r := &n.registry
 	others := slices.DeleteFunc(n.controlVMs(), func(vm VMName) bool { return vm == n.settings.Self.VM })
@@ -116,7 +117,7 @@
 	}
 }
 
-// acknowledgeNews acknowledges a control VM's news, so that it sends what is next.
+// acknowledgeNews acknowledges a control VM's update, so that it sends the next one.
 func (n *Node) acknowledgeNews(from VMName, news TargetNews) {
 	if len(news.Targets) == 0 && len(news.Updates) == 0 {
 		return
@@ -130,11 +131,11 @@
 	n.send(from, Message{Follow: &ask})
 }
 
-// newsTaken takes what a control VM has heard.
+// newsTaken applies an update from a control VM.
 func (n *Node) newsTaken(from VMName, news TargetNews) {
 	at := n.registry.followed[from]
 	if news.After == 0 || news.Incarnation == at.incarnation && news.After <= at.after {
-		// Otherwise news before these were lost, and are asked for again.
+		// Otherwise an earlier update was lost, and is asked for again.
 		n.registry.followed[from] = position{incarnation: news.Incarnation, after: max(news.Upto, at.afterIn(news.Incarnation))}
 	}
 	n.registry.whole = n.registry.whole || news.Whole
@@ -145,7 +146,7 @@
 	for _, u := range news.Updates {
 		t, known := n.registry.targets.Get(u.ID)
 		if !known {
-			// It was forgotten here: all is asked for again.
+			// It has been removed here: ask for everything again.
 			n.registry.followed[from] = position{}
 			continue
 		}
@@ -153,7 +154,7 @@
 	}
 	for _, t := range news.Targets {
 		if n.registry.targets.Learn(t, n.now) {
-			// The teller may not know of a draining notice that this VM was told of before.
+			// The sender may not know of a draining notice that this VM has received before.
 			known, _ := n.registry.targets.Get(t.ID)
 			learned = append(learned, known)
 		}
@@ -172,7 +173,7 @@
 	}
 }
 
-// endIncarnations gives up lives of targets that have ended, with what was ordered of them.
+// endIncarnations ends incarnations of targets and removes their placement orders.
 func (n *Node) endIncarnations(ended []relay.Succession, teller VMName) {
 	if len(ended) == 0 {
 		return
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -8,95 +8,96 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file spreads what targets say of themselves.
+// This file distributes the reports of targets.
 //
-// Problem: targets register with any control VM, and each entry VM must know
-// within the drain bound that a target leaves, also while there is no leader.
+// Problem: targets register with any control VM, and each entry VM must learn within the drain
+// bound that a target is leaving, also while there is no leader.
 //
-// Algorithm: soft state, without the log. A control VM keeps what targets told
-// it and pushes each change to all who follow it, other control VMs among them.
-// Control VMs follow each other, and each is told what the other has heard itself: were
-// each of k control VMs to tell all that it knows, every one would get every message k times.
-// An entry VM follows the control VM that it renews with, which tells it all that it knows:
-// a message needs two hops, and an entry VM has one peer for it.
-// Messages of one incarnation of a target are ordered by its own numbering; leaving is
-// never taken back. Which of its lives counts, each VM finds out from those that it knows
-// (relay/incarnation.go). A follower names the last change that it has. One that has just
-// started has one control VM tell it what that knows of all targets, hints among it.
+// Algorithm: soft state, outside the log. A control VM keeps the reports that it receives from
+// targets and pushes each change to all its followers, other control VMs among them. Control
+// VMs follow each other and forward only what they received from targets themselves: if each of
+// k control VMs forwarded all that it knows, every one would receive each report k times. An
+// entry VM follows the control VM that it renews with, which forwards all that it knows: a
+// report needs two hops, and an entry VM has one peer for it. The reports of one incarnation of
+// a target are ordered by its own numbering, and leaving is never taken back. Each VM derives
+// from the incarnations that it knows which of them is current (relay/incarnation.go). A
+// follower names the last change that it has. A control VM that has just started asks one other
+// control VM for everything that it knows of targets, hints included.
 //
-// A control VM saves what it knows now and then, without a sync. After a loss of
-// power of all VMs the hints let them serve before the targets have spoken again,
-// which takes up to 3 s. A hint counts as long as a message that comes at the start: one
-// that counted for half as long was void while live targets still looked for a control
-// VM, and what ran there was given up. A target that is gone is found dead by its use.
+// A control VM saves its state from time to time, without a sync. After a power loss of all VMs
+// these hints let them serve before the targets have reported again, which takes up to 3 s. A
+// hint is valid for as long as a report received at the start. When it was valid for half as
+// long, hints expired while live targets still looked for a control VM, and their running
+// requests were given up. Requests to a target that has ended find it dead.
 //
-// Invariants: a control VM that has not heard the leader lately takes no message,
-// so that a target goes to one whose followers can hear it; what is pushed is
-// what targets said, never a guess.
+// Invariants: a control VM that hasn't recently heard from the leader accepts no report, so
+// that a target turns to one that reaches its followers; what is pushed is what targets
+// reported, never an inference.
 //
-// Limits: a message that only one control VM has heard is lost with it if it dies
-// within one push; targets repeat what they say until they end, and a control VM that
-// a target turns to tells of it again.
+// Limits: a report that only one control VM has received is lost if that VM dies within one
+// push. Targets repeat their reports until they end, and the control VM that a target turns to
+// forwards them again.
 
-// TargetSpoke is a message of a target that came to this VM.
+// TargetSpoke is a report of a target that this VM received.
 type TargetSpoke struct {
 	Conn   ConnID
 	Target relay.Target
 }
 
-// TargetDrains is what a target has said to this VM with an answer to something other than a
-// request: that it leaves. An entry VM reports it with its renewals too.
+// TargetDrains is a notice that a target is leaving, received with an answer to something other
+// than a request. An entry VM also reports such notices with its renewals.
 type TargetDrains struct{ Target relay.TargetID }
 
-// TargetHeard answers TargetSpoke. Taken is false where the target should tell
-// another control VM.
+// TargetHeard answers TargetSpoke. Taken is false where the target should report to another
+// control VM.
 type TargetHeard struct {
 	Conn  ConnID
 	Taken bool
-	// HeldBack says that no document names the target's service.
+	// HeldBack reports that no document names the target's service.
 	HeldBack bool
 }
 
-// WorkCounted is what this VM has under way at targets, and which of them it has
-// lately found dead or well.
+// WorkCounted is the work of this VM in flight at targets, and which of them it has recently
+// found dead or sound.
 type WorkCounted struct {
 	Work map[relay.TargetKey]relay.Work
-	// Usage is what this VM has asked and repeated in the last window, by service.
+	// Usage counts this VM's requests and repeats in the last window, by service.
 	Usage    map[string]relay.Usage
 	Findings relay.Findings
-	// Limits is what the leader is to be told of targets with limits.
+	// Limits is what to report to the leader of targets with limits.
 	Limits []relay.PermitAsk
 }
 
-// SeedsRead are the control VMs that the settings name now.
+// SeedsRead are the control VMs that the settings now name.
 type SeedsRead struct{ VMs []VMName }
 
-// TargetsLearned tells the runtime what targets have newly said.
+// TargetsLearned passes new reports of targets to the runtime.
 type TargetsLearned struct{ Targets []relay.Target }
 
-// TargetsEnded tells the runtime of incarnations of targets that have ended because others have
-// begun, and who told: a control VM, or this one where a target spoke to it.
+// TargetsEnded tells the runtime which incarnations of targets have ended because a later one
+// has begun. Teller is the VM that reported it: a control VM, or this VM if the target reported
+// to it.
 type TargetsEnded struct {
 	Ended  []relay.Succession
 	Teller VMName
 }
 
-// FleetLearned tells the runtime of an entry VM what the leader knows of all.
+// FleetLearned passes the leader's state of the fleet to the runtime of an entry VM.
 type FleetLearned struct {
 	// LeaseUntil is when this VM's right to act by its document ends.
 	LeaseUntil time.Time
 	VMs        int
-	// Others is what other VMs have under way at targets: of all of them, or of those
-	// where it has changed much.
+	// Others is the work of other VMs in flight at targets: at all of them if OthersWhole,
+	// otherwise where it has changed much.
 	Others      map[relay.TargetKey]relay.Work
 	OthersWhole bool
-	// OthersReported says that the leader knows what others have under way.
+	// OthersReported reports whether the leader knows the work of other VMs.
 	OthersReported bool
-	// Usage is what UsageBy entry VMs have asked and repeated in the last window, by
-	// service; it counts where OthersReported is set.
+	// Usage counts the requests and repeats of UsageBy entry VMs in the last window, by
+	// service; it is valid where OthersReported is set.
 	Usage   map[string]relay.Usage
 	UsageBy int
-	// Marks are those of targets that have changed; MarksWhole says that all others have
+	// Marks are the changed marks of targets; MarksWhole reports that all other targets have
 	// none.
 	Marks      map[relay.TargetKey]relay.Mark
 	MarksWhole bool
@@ -113,89 +114,91 @@
 func (FleetLearned) isEffect()   {}
 
 const (
-	// followEvery is the interval between two asks of an entry VM, and heartbeatsEvery of
-	// a control VM, which brings signs of life; a change is pushed at once. An ask
-	// that is lost delays a change by as much, of the 2 s that it may take.
+	// followEvery is the interval between two Follow requests of an entry VM, and
+	// heartbeatsEvery that of a control VM, which also brings heartbeats. A change is pushed at
+	// once; a lost request delays a change by one interval, of the 2 s that it may take.
 	followEvery     = 1500 * time.Millisecond
 	heartbeatsEvery = 500 * time.Millisecond
-	// followFirst is that interval until a control VM has told all that it knows: where
-	// all VMs start together, the one that is asked first may not listen yet, and callers
-	// wait. A control VM that hears 300 followers ten times a second is busy for a part of
+	// followFirst is that interval until a control VM has sent its full state. Where all VMs
+	// start together, the one asked first may not be listening yet, and callers wait. A control
+	// VM that receives ten requests a second from 300 followers is busy with them for part of
 	// one second.
 	followFirst = 100 * time.Millisecond
-	// followLife is how long a follower that has not asked again is pushed to.
+	// followLife is how long changes are pushed to a follower that hasn't asked again.
 	followLife = 4 * followEvery
-	// forgetAfter is the silence after which a target is dropped: far longer than
-	// a cut between VMs lasts.
+	// forgetAfter is the silence after which a target is removed: far longer than a network
+	// partition between VMs lasts.
 	forgetAfter = 60 * time.Second
-	// deadAtLeast is the number of entry VMs that must find a target dead, and
-	// deadRatio how many must for each that finds it well. VMs that are cut off from
-	// targets find all of them dead, and are fewer than the others.
+	// deadAtLeast is the number of entry VMs that must find a target dead, and deadRatio how
+	// many must for each that finds it sound. VMs partitioned from targets find all of them
+	// dead, and are fewer than the others.
 	deadAtLeast = 2
 	deadRatio   = 2
-	// pushCost is the wait between two pushes for each follower, so that pushes take a part of
-	// the processor that does not grow with the followers, well within the 2 s that a message may
-	// take.
+	// pushCost is the interval between two pushes, per follower, so that the share of the
+	// processor that pushes take doesn't grow with the followers. It stays well within the 2 s
+	// that a report may take.
 	pushCost = time.Millisecond
-	// deafAfter is the silence of the leader after which a control VM takes no
-	// message: an election ends within it.
+	// deafAfter is the silence of the leader after which a control VM accepts no report; an
+	// election ends within it.
 	deafAfter = 1500 * time.Millisecond
 )
 
-// registry is a Node's part in spreading the messages of targets.
+// registry is a Node's state for the distribution of target reports.
 type registry struct {
 	targets   *relay.Registry
 	followers map[VMName]*follower
-	// followed is how far this VM has followed each control VM.
+	// followed is the last change received from each control VM.
 	followed map[VMName]position
 	followAt time.Time
 	forgetAt time.Time
-	// wholeFrom picks, by its remainder, the control VM that is asked for all that it
-	// knows; whole says that one has answered.
+	// wholeFrom selects, modulo their number, the control VM that is asked for its full state;
+	// whole is set once one has sent it.
 	wholeFrom int
 	whole     bool
-	// news says that followers are to be told of changes at the next push: thousands of
-	// targets may speak within a second, and each push goes to hundreds of followers.
+	// news is set when followers are to be sent changes at the next push. Thousands of targets
+	// may report within a second, and each push goes to hundreds of followers.
 	news   bool
 	pushAt time.Time
-	// completeAt is when every target that lives has spoken since this process began:
-	// before, what it holds may be known from hints only, or not at all.
+	// completeAt is when every live target has reported since this process started. Before
+	// that, a target's state may be known from hints only, or not at all.
 	completeAt time.Time
-	// saved is the last change that hints were saved of, and savedSilent how many targets
-	// were silent then.
+	// saved is the last change up to which hints were saved, and savedSilent the number of
+	// targets that were silent then.
 	saved       uint64
 	savedSilent int
 	saveAt      time.Time
-	// silentAt is when to look again whether other targets are silent.
+	// silentAt is when to check again whether other targets are silent.
 	silentAt time.Time
 	unnamed  unnamed
 	// shortlist is kept by a control VM.
 	shortlist shortlist
-	// leftAt is the change at which it was last heard that a target leaves.
+	// leftAt is the change at which this VM last learned that a target is leaving.
 	leftAt uint64
 }
 
-// follower is a VM that is pushed to.
+// follower is a VM that changes are pushed to.
 type follower struct {
 	id    ReplicaID
 	after uint64
 	until time.Time
-	// acknowledged is the last change that it has said it has.
+	// acknowledged is the last change that it has acknowledged.
 	acknowledged uint64
-	// sent is the change that the news on their way bring it to, and resendAt when those
-	// count as lost, zero where none are on their way. lost counts the news that were sent
-	// since all were last acknowledged, those on their way included.
+	// sent is the change up to which updates were sent, and resendAt when those in flight count
+	// as lost; it is zero where none are in flight. lost counts the updates sent since
+	// everything was last acknowledged, including those in flight.
 	sent     uint64
 	resendAt time.Time
 	lost     int
-	// overdueAt is when that counts as lost where the follower asks, and says that it lacks it.
+	// overdueAt is when updates in flight count as lost if the follower asks and reports that
+	// it lacks them.
 	overdueAt time.Time
-	// leaving is the change up to which it was told of targets that leave beside that.
+	// leaving is the change up to which it was sent leaving targets outside the sequence of
+	// updates.
 	leaving uint64
-	// askedAt is when it last asked, hall the one that it said it is in.
+	// askedAt is when it last asked, and hall the data hall that it named.
 	askedAt time.Time
 	hall    string
-	// control says that it is a control VM, which is told what this one has heard itself.
+	// control is set for a control VM, which receives only what targets reported to this VM.
 	control      bool
 	heartbeatsAt time.Time
 }
@@ -219,16 +222,16 @@
 	n.registry.saved = n.registry.targets.Change()
 }
 
-// SaveTargets asks the runtime to keep hints for the next start. They may be lost.
+// SaveTargets asks the runtime to store hints for the next start. They may be lost.
 type SaveTargets struct{ Targets []relay.Target }
 
 func (SaveTargets) isEffect() {}
 
-// saveEvery is the least time between two savings of hints, unless a target leaves.
+// saveEvery is the minimum time between two saves of hints, unless a target leaves.
 const saveEvery = 3 * time.Second
 
-// saveTargets saves hints when something has changed: of the targets that live. What is
-// known of a dead one would count as much as the message of its successor at its address.
+// saveTargets saves hints of the live targets when something has changed. A hint of a dead
+// target would be as valid as the report of its successor at the same address.
 func (n *Node) saveTargets(atOnce bool) {
 	r := &n.registry
 	changed := r.saved != r.targets.Change()
@@ -246,7 +249,7 @@
 	n.emit(SaveTargets{Targets: n.live(r.targets.All())})
 }
 
-// live drops the silent ones of some targets.
+// live removes the silent targets from a list.
 func (n *Node) live(targets []relay.Target) []relay.Target {
 	silent := n.silentTargets()
 	return slices.DeleteFunc(targets, func(t relay.Target) bool {
@@ -255,12 +258,12 @@
 	})
 }
 
-// silentTargets returns the targets that have told no VM of late that they live, sorted.
+// silentTargets returns, sorted, the targets that no VM has recently received a heartbeat of.
 func (n *Node) silentTargets() []relay.TargetID {
 	return n.registry.targets.Silent(n.now, n.settings.Timing.replacedSilence())
 }
 
-// targetSpoke takes a target's own message.
+// targetSpoke handles a report that a target sent to this VM.
 func (n *Node) targetSpoke(s TargetSpoke) {
 	if !n.hearsLeader() {
 		n.emit(TargetHeard{Conn: s.Conn})
@@ -273,7 +276,7 @@
 	n.emit(TargetHeard{Conn: s.Conn, Taken: true, HeldBack: heldBack})
 }
 
-// hear spreads a target's own message.
+// hear records and distributes a report that a target sent to this VM.
 func (n *Node) hear(t relay.Target) {
 	news := n.registry.targets.Hear(t, n.now)
 	ended, again := n.registry.targets.TakeTransitions()
@@ -287,8 +290,8 @@
 	n.saveTargets(t.Leaving)
 }
 
-// drainingHeard takes that targets have said to a VM with their answers that they leave: the
-// same as a heartbeat that says so.
+// drainingHeard handles leaving notices that targets sent to a VM with their answers. They have
+// the effect of a heartbeat that says the same.
 func (n *Node) drainingHeard(ids []relay.TargetID, teller VMName) {
 	for _, id := range ids {
 		if !n.registry.targets.Drain(id) {
@@ -301,8 +304,8 @@
 	}
 }
 
-// hearsLeader reports whether this control VM is in touch with a quorum: it
-// leads with a lease, or has heard the one who leads.
+// hearsLeader reports whether this control VM is in contact with a quorum: it leads with a
+// lease, or has recently heard from the leader.
 func (n *Node) hearsLeader() bool {
 	if n.replica.role == Leader {
 		return n.holdsLease()
@@ -310,8 +313,8 @@
 	return n.replica.leader.VM != "" && n.now.Before(n.replica.heardAt.Add(deafAfter))
 }
 
-// controlVMs returns the control VMs that this VM knows of, from its settings,
-// the members of the log and the last lease, sorted.
+// controlVMs returns, sorted, the control VMs that this VM knows from its settings, the members
+// of the log and the last lease.
 func (n *Node) controlVMs() []VMName {
 	known := make(map[VMName]bool)
 	for _, vm := range n.settings.ControlVMs {
@@ -354,7 +357,7 @@
 	}
 }
 
-// newsLost reports whether news to a follower were not acknowledged in time.
+// newsLost reports whether updates to a follower weren't acknowledged in time.
 func (n *Node) newsLost() bool {
 	for _, f := range n.registry.followers {
 		if f.lost > 0 && !n.now.Before(f.resendAt) {
