--- a/internal/core/entries.go
+++ b/internal/core/entries.go
@@ -5,12 +5,11 @@
 	"strings"
 )
 
-// This file says which entry VMs a caller should use.
+// This file selects the entry VMs that a caller should use.
 
-// entriesAsked answers which entry addresses a caller should use: those of its
-// hall first, then the less loaded, those without a lease or about to go not
-// at all. A VM that has no lease itself knows of none: its list may name VMs that
-// are long gone.
+// entriesAsked answers which entry addresses a caller should use: those of its hall first, then
+// the less loaded ones. VMs that are leaving or have no lease are omitted. A VM without a lease
+// itself returns no addresses, since its list may name VMs that were removed long ago.
 func (n *Node) entriesAsked(e EntriesAsked) {
 	var addresses []EntryAddress
 	if n.hasLease() {
@@ -23,12 +22,12 @@
 	})
 }
 
-// entriesMost bounds the addresses that a caller is given: it uses a few of them, and each
-// answer with all VMs of a large deployment would cost more than a request.
+// entriesMost bounds the addresses that a caller is given: it uses a few of them, and an answer
+// with all VMs of a large deployment would cost more than a request.
 const entriesMost = 64
 
-// preferred returns up to entriesMost addresses, the first ones first. Where more are alike,
-// callers get different ones.
+// preferred returns up to entriesMost addresses, best first. Equally good addresses are in an
+// order that starts at a random VM, so that callers receive different ones.
 func (n *Node) preferred(hall string) []EntryAddress {
 	views := n.entry.view
 	start := 0
@@ -54,7 +53,7 @@
 	return addresses[:min(len(addresses), entriesMost)]
 }
 
-// others returns the callers' addresses of other entry VMs.
+// others returns the addresses of other entry VMs for callers.
 func (n *Node) others() []string {
 	var addresses []string
 	for _, a := range n.preferred(n.settings.Address.Hall) {
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// entryList is a list of entry VMs, as callers are told of them: the leader's, or that of a
-// control VM for those that renew with it. It remembers at which version each line changed, so
-// that a holder gets only what it lacks: the whole list for every change would cost more than
-// all other control messages.
+// entryList is a list of entry VMs as reported to callers: the leader's, or that of a control
+// VM for its holders. It records the version at which each line changed, so that a holder
+// receives only the lines that it lacks: sending the whole list for every change would cost
+// more than all other control messages.
 type entryList struct {
 	version uint64
-	// first is the version that the list began with. A holder of an earlier one gets
-	// the whole list.
+	// first is the initial version of the list. A holder of an earlier version receives the
+	// whole list.
 	first uint64
 	lines map[VMName]entryLine
 	// names holds the keys of lines, sorted.
 	names []VMName
-	// sum is that of all lines, by which two lists are compared without sending them.
+	// sum is the checksum of all lines, which compares two lists without sending them.
 	sum       uint64
 	gone      map[VMName]uint64
 	refreshAt time.Time
@@ -31,12 +31,12 @@
 	changed uint64
 }
 
-// newEntryList returns an empty list whose numbers are above first.
+// newEntryList returns an empty list whose versions are above first.
 func newEntryList(first uint64) entryList {
 	return entryList{version: first, first: first, lines: make(map[VMName]entryLine), gone: make(map[VMName]uint64)}
 }
 
-// set takes what is now said of a VM.
+// set records the current line of a VM.
 func (l *entryList) set(view EntryView) {
 	vm := view.Address.VM
 	if line, ok := l.lines[vm]; ok && line.view == view {
@@ -66,14 +66,14 @@
 	l.gone[vm] = l.version
 }
 
-// hash covers a line as a whole.
+// hash covers all fields of a line.
 func (v EntryView) hash() uint64 {
 	h := fnv.New64a()
-	_, _ = fmt.Fprint(h, v.Address.VM, "|", v.Address.Hall, "|", v.Address.Callers, "|", v.Address.Peers, "|", v.Incarnation, v.Leaving, v.LoadLevel) // a hash takes everything
+	_, _ = fmt.Fprint(h, v.Address.VM, "|", v.Address.Hall, "|", v.Address.Callers, "|", v.Address.Peers, "|", v.Incarnation, v.Leaving, v.LoadLevel) // writing to a hash never fails
 	return h.Sum64()
 }
 
-// hashOf is the sum of some lines.
+// hashOf returns the checksum of a list of lines.
 func hashOf(view []EntryView) uint64 {
 	sum := uint64(0)
 	for _, v := range view {
@@ -82,9 +82,9 @@
 	return sum
 }
 
-// grantTo puts into a grant what its holder lacks of the list. One whose list came from another
-// control VM, and is the same, is told so: when a hall's control VMs are lost, all of its VMs turn
-// to others, and back.
+// grantTo adds to a grant the changes that its holder lacks. A holder with the same list from
+// another control VM is only sent the version: when the control VMs of a hall are lost, all VMs
+// of the hall switch to others, and later back.
 func (l *entryList) grantTo(held Renew, g *Grant) {
 	if len(l.lines) > 0 && held.ViewSum == l.sum && held.ViewVersion != l.version {
 		g.ViewVersion, g.ViewSame = l.version, true
@@ -93,10 +93,10 @@
 	l.since(held.ViewVersion, g)
 }
 
-// since puts into a grant what has changed after a holder's version.
+// since adds to a grant the changes after a holder's version.
 func (l *entryList) since(version uint64, g *Grant) {
 	if len(l.lines) == 0 {
-		return // no leader has said it yet: the holder keeps what it has
+		return // no list received from a leader yet: the holder keeps its own
 	}
 	g.ViewVersion = l.version
 	if version == l.version {
@@ -115,15 +115,15 @@
 	}
 }
 
-// sinceBatch puts into a batch what has changed after a control VM's version.
+// sinceBatch adds to a batch the changes after a control VM's version.
 func (l *entryList) sinceBatch(version uint64, b *GrantBatch) {
 	var g Grant
 	l.since(version, &g)
 	b.ViewVersion, b.View, b.Gone, b.ViewWhole = g.ViewVersion, g.View, g.Gone, g.ViewWhole
 }
 
-// merge takes what has changed of another list, or all of it. Lines that are as they were keep
-// their numbers.
+// merge applies the changes of another list, or the whole of it. Unchanged lines keep their
+// versions.
 func (l *entryList) merge(view []EntryView, gone []VMName, whole bool) {
 	if whole {
 		named := make(map[VMName]bool, len(view))
@@ -144,10 +144,11 @@
 	}
 }
 
-// refreshEvery is the interval between two looks at all lines.
+// refreshEvery is the interval between two refreshes of all lines.
 const refreshEvery = 100 * time.Millisecond
 
-// refreshView drops the VMs whose lease has run out.
+// refreshView updates all lines and removes the VMs whose lease has expired or that haven't
+// renewed for listedFor.
 func (n *Node) refreshView() {
 	l := &n.leading.view
 	if n.now.Before(l.refreshAt) {
@@ -173,12 +174,13 @@
 	}
 }
 
-// listNumberBits is the number of low bits in which the numbers of one list differ. Those above
-// are of the leader's term, or of the life of the control VM that numbers the list.
+// listNumberBits is the number of low bits that count the versions of one list. The bits above
+// identify the leader's term, or the incarnation of the control VM that keeps the list.
 const listNumberBits = 32
 
-// newerView reports whether a grant brings a newer list than is held here. Numbers of two lists
-// say nothing of which is newer: a whole one counts where it answers a later renewal.
+// newerView reports whether a grant has a newer list than this VM. The versions of two
+// different lists can't be compared: a whole list counts as newer if it doesn't answer an
+// earlier renewal.
 func (n *Node) newerView(g Grant) bool {
 	held := n.entry.viewVersion
 	if g.ViewVersion>>listNumberBits == held>>listNumberBits {
@@ -225,16 +227,16 @@
 }
 
 const (
-	// lossCounts is how long a VM that has vanished from the list counts as lost: one that
-	// was killed is back before, and one that was taken away is asked no more.
+	// lossCounts is how long a VM that disappeared from the list counts as lost: a killed VM is
+	// back before then, and one that was removed is no longer asked.
 	lossCounts = 20 * time.Second
-	// lossShare is the part of all entry VMs that must be lost for answers to be kept
-	// longer: one look-up in twenty then meets a VM that does not answer.
+	// lossShare is the fraction of all entry VMs that must be lost for answers to be kept
+	// longer: one lookup in twenty then meets a VM that doesn't answer.
 	lossShare = 0.05
 )
 
-// noteLost compares the list of entry VMs with the next one: who is gone without having
-// said so is lost.
+// noteLost compares the list of entry VMs with the next one: a VM that disappeared without
+// draining is lost.
 func (n *Node) noteLost(next map[VMName]EntryView) {
 	for _, v := range n.entry.view {
 		if _, stays := next[v.Address.VM]; !stays && !v.Leaving {
@@ -248,7 +250,7 @@
 	}
 }
 
-// keepEntries is how long a caller should keep the addresses that it is given now.
+// keepEntries returns how long a caller should keep the addresses that it is given now.
 func (n *Node) keepEntries() time.Duration {
 	lost := 0
 	for _, at := range n.entry.lost {
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -6,11 +6,11 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// watcherCount is how many entry VMs look after each target. The leader hears
-// of each target from them, and no VM has to look at all.
+// watcherCount is the number of entry VMs that check each target. The leader receives their
+// reports of the target, and no VM has to check all targets.
 const watcherCount = 3
 
-// tickWatch looks at the targets that are this VM's to watch.
+// tickWatch checks the targets that are assigned to this VM.
 func (n *Node) tickWatch() {
 	if n.now.Before(n.entry.watchAt) {
 		return
@@ -22,14 +22,14 @@
 	}
 }
 
-// watchKey is what the watch list was computed from.
+// watchKey identifies the lists that the watch list was computed from.
 type watchKey struct {
 	revision config.Revision
 	view     uint64
 }
 
-// refreshWatchList recomputes which targets are this VM's to watch. It looks at
-// all targets and all VMs, and does so only when either list has changed.
+// refreshWatchList recomputes which targets this VM checks. It goes through all targets and all
+// VMs, and does so only when either list has changed.
 func (n *Node) refreshWatchList() {
 	key := watchKey{revision: n.entry.config.Revision, view: n.entry.viewVersion}
 	if key == n.entry.watchKey {
@@ -48,7 +48,7 @@
 	return slices.Contains(rendezvous(target, n.entry.view, watcherCount), n.settings.Self.VM)
 }
 
-// watched takes what a look at a target brought.
+// watched records the result of a check of a target.
 func (n *Node) watched(w Watched) {
 	t := n.target(w.Report.Target)
 	t.report = w.Report
@@ -57,7 +57,7 @@
 	}
 }
 
-// reports returns what the leader is told of the watched targets.
+// reports returns the reports of the watched targets for the leader.
 func (n *Node) reports() []TargetReport {
 	var reports []TargetReport
 	for _, t := range n.entry.watchList {
