--- a/internal/core/backoffs.go
+++ b/internal/core/backoffs.go
@@ -8,16 +8,17 @@
 )
 
 // This file keeps the backoffs that plain services behind the product's own interface ask for,
-// shows operators which targets are backed off from, and has entry VMs end backoffs that an
-// operator ends. A backoff is known to the VM that was asked for it alone; relay/backoffs.go has
+// shows operators which targets have asked for one, and makes entry VMs end the backoffs that
+// an operator ends. Only the VM that was asked for a backoff knows of it; relay/backoffs.go has
 // the problem.
 
-// BackoffsEnded tells the runtime of targets, by name, whose backoffs an operator has ended.
+// BackoffsEnded passes to the runtime the names of targets whose backoffs an operator has
+// ended.
 type BackoffsEnded struct{ Targets []string }
 
 func (BackoffsEnded) isEffect() {}
 
-// endBackoffs tells the runtime what a lease has changed of ended backoffs.
+// endBackoffs ends the backoffs that an operator has ended since the previous configuration.
 func (n *Node) endBackoffs(before config.State) {
 	if targets := n.entry.config.BackoffsEndedSince(before.Revision); len(targets) > 0 {
 		n.emit(BackoffsEnded{Targets: targets})
@@ -33,7 +34,7 @@
 	return t
 }
 
-// unreadTable lists the names that targets have used and that nothing on this VM reads.
+// unreadTable lists the names used by targets that nothing on this VM reads.
 func (n *Node) unreadTable() Table {
 	t := Table{Columns: []string{"vm", "name", "count"}}
 	for _, u := range n.entry.findings.Unread {
@@ -42,8 +43,8 @@
 	return t
 }
 
-// backOffTarget notes that a target wants no calls from this VM until a time. Nothing else
-// ends that, and it is never shortened.
+// backOffTarget records that a target accepts no calls from this VM until the given time. A
+// backoff is never shortened, and nothing else ends it.
 func (n *Node) backOffTarget(name string, until time.Time) {
 	if !n.now.Before(until) {
 		return
@@ -55,7 +56,7 @@
 	}
 }
 
-// backoffs reports whether a target wants no calls from this VM.
+// backoffs reports whether a target currently accepts no calls from this VM.
 func (n *Node) backoffs(name string) bool {
 	t, ok := n.entry.targets[name]
 	return ok && n.now.Before(t.backoffUntil)
@@ -65,8 +66,8 @@
 	return slices.ContainsFunc(r.stages, func(s Stage) bool { return n.backoffs(s.Target) })
 }
 
-// backoffEnds returns when the first route of a pool is over its backoff, and whether all of them
-// have one.
+// backoffEnds returns when the first route of a pool is past its backoff, and whether all of
+// its routes have one.
 func (n *Node) backoffEnds(p *pool) (first time.Time, all bool) {
 	for _, r := range p.routes {
 		if !n.routeBackoffs(r) {
@@ -90,8 +91,9 @@
 	return a
 }
 
-// poolBackoffs returns the refusal of work that can't begin in time because all that could run it
-// have asked to back off. It is to come back after the first of the backoffs, spread over as long again.
+// poolBackoffs returns the refusal of work that can't start in time because every route of the
+// pool has a backoff. The caller is to retry after the first backoff ends, spread over the same
+// time again.
 func (n *Node) poolBackoffs(p *pool, w *waiting) (Refusal, bool) {
 	first, all := n.backoffEnds(p)
 	if !all || first.Before(p.latest(w)) {
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -8,21 +8,22 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file has the leader lend permits of targets that take so many requests a second from all
-// VMs together; relay/lender.go has the problem. What entry VMs ask and are lent goes with their
-// renewals and leases, by way of the control VM that they renew with.
+// This file has the leader grant permits for targets that take a limited rate of requests from
+// all VMs together; relay/lender.go has the problem. Requests for permits and grants go with
+// the renewals and leases of entry VMs, via the control VM that they renew with.
 
-// LimitAsk is what an entry VM says of one target with a limit: a relay.PermitAsk whose times are
-// ages, since clocks differ.
+// LimitAsk is an entry VM's report of one target with a limit, and its request for permits: a
+// relay.PermitAsk with ages in place of times, since clocks differ.
 type LimitAsk struct {
-	// The fields are sent without their names: these values are sent often.
+	// The fields are encoded without names, since these values are sent often.
 	_      struct{}        `cbor:",toarray"`
 	Target relay.TargetKey `cbor:"target"`
-	// Heard says that the asker has heard an answer of the target, Limited that it named a limit.
+	// Heard reports that the asker has received an answer of the target, and Limited that the
+	// answer named a limit.
 	Heard     bool    `cbor:"heard"`
 	Limited   bool    `cbor:"limited"`
 	PerSecond float64 `cbor:"per_second"`
-	// SentMillis and HeardMillis are how long ago its request was sent and it was heard.
+	// SentMillis and HeardMillis are the ages of the request and of its answer.
 	SentMillis  uint32 `cbor:"sent_millis"`
 	HeardMillis uint32 `cbor:"heard_millis"`
 	Wanted      int    `cbor:"wanted"`
@@ -32,8 +33,8 @@
 	Returned    uint64 `cbor:"returned"`
 }
 
-// HolderAsks is what one entry VM asks in a RenewBatch, and HolderPermits what it is lent in a
-// GrantBatch. Number is that of its renewal.
+// HolderAsks are the permit requests of one entry VM in a RenewBatch. Number is that of its
+// renewal.
 type HolderAsks struct {
 	_      struct{}   `cbor:",toarray"`
 	From   ReplicaID  `cbor:"from"`
@@ -41,7 +42,7 @@
 	Asks   []LimitAsk `cbor:"asks"`
 }
 
-// HolderPermits answers HolderAsks.
+// HolderPermits answers HolderAsks in a GrantBatch, with the same Number.
 type HolderPermits struct {
 	_       struct{}        `cbor:",toarray"`
 	To      ReplicaID       `cbor:"to"`
@@ -49,11 +50,11 @@
 	Permits []relay.Permits `cbor:"permits"`
 }
 
-// PermitsWanted says that requests wait for permits: the leader is to be asked now.
+// PermitsWanted reports that requests wait for permits: the leader is to be asked now.
 type PermitsWanted struct{ Asks []relay.PermitAsk }
 
-// PermitsLent tells the runtime what came with the lease that answers the renewal of a number. The
-// permits are void at Until.
+// PermitsLent passes to the runtime the permits of the lease that answers renewal Number. They
+// expire at Until.
 type PermitsLent struct {
 	Number  uint64
 	Permits []relay.Permits
@@ -64,17 +65,17 @@
 
 func (PermitsLent) isEffect() {}
 
-// permitsEvery is the least time between two renewals that ask for permits only: permits of a target
-// that takes ten requests a second come as often.
+// permitsEvery is the minimum time between two renewals that only ask for permits. A target
+// that takes ten requests a second yields permits as often.
 const permitsEvery = 100 * time.Millisecond
 
-// permitsWanted renews the lease now, for the permits that come with it.
+// permitsWanted renews the lease now to obtain permits.
 func (n *Node) permitsWanted(p PermitsWanted) {
 	n.entry.permitAsks = p.Asks
 	n.renewForPermits()
 }
 
-// renewForPermits renews the lease, where that has not been done of late.
+// renewForPermits renews the lease, at most once per permitsEvery.
 func (n *Node) renewForPermits() {
 	t := &n.entry.tenure
 	if !n.settings.Entry || !n.hasLease() || n.now.Before(t.permitsAt) {
@@ -84,7 +85,7 @@
 	n.renew()
 }
 
-// age returns how long ago something was, in milliseconds.
+// age returns the time since at in milliseconds.
 func age(at, now time.Time) uint32 {
 	return uint32(min(max(now.Sub(at).Milliseconds(), 0), math.MaxUint32))
 }
@@ -93,7 +94,7 @@
 	return now.Add(-time.Duration(millis) * time.Millisecond)
 }
 
-// limitAsks returns what this VM tells the leader of limits.
+// limitAsks returns this VM's permit requests and limits for the leader.
 func (n *Node) limitAsks() []LimitAsk {
 	known := slices.Concat(n.entry.permitAsks, n.entry.limits.Asks(n.now))
 	asks := make([]LimitAsk, len(known))
@@ -109,7 +110,7 @@
 	return asks
 }
 
-// permitAsk returns an ask with the times of this VM.
+// permitAsk converts the ages of an ask to times of this VM's clock.
 func (a LimitAsk) permitAsk(now time.Time) relay.PermitAsk {
 	ask := relay.PermitAsk{Target: a.Target, Wanted: a.Wanted, Left: a.Left, Taken: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned}
 	if a.Heard {
@@ -118,7 +119,7 @@
 	return ask
 }
 
-// lendPermits returns what a holder is lent by this VM, the leader.
+// lendPermits returns the permits that this VM, the leader, grants to a holder.
 func (n *Node) lendPermits(to ReplicaID, number uint64, asks []LimitAsk) []relay.Permits {
 	var permits []relay.Permits
 	for _, a := range asks {
@@ -129,7 +130,7 @@
 	return permits
 }
 
-// lendToBatch answers what the holders of a control VM ask.
+// lendToBatch answers the permit requests in a control VM's batch.
 func (n *Node) lendToBatch(asks []HolderAsks) []HolderPermits {
 	var lent []HolderPermits
 	for _, a := range asks {
@@ -140,7 +141,7 @@
 	return lent
 }
 
-// holdPermits keeps the permits of a leader's answer until their leases are handed on.
+// holdPermits stores the permits of a leader's batch until the leases are forwarded.
 func (n *Node) holdPermits(lent []HolderPermits) {
 	for _, p := range lent {
 		if h, ok := n.forwarding.holders[p.To.VM]; ok && h.id == p.To {
@@ -149,8 +150,8 @@
 	}
 }
 
-// addPermits adds to a lease the permits that were lent for the renewal that it answers. Each is
-// handed on once.
+// addPermits adds to a lease the permits granted for the renewal that it answers. Permits are
+// forwarded once.
 func (h *holder) addPermits(g *Grant) {
 	if h.permitsNumber == g.Number {
 		g.Permits = h.permits
@@ -158,7 +159,8 @@
 	h.permits = nil
 }
 
-// permitsTaken takes the permits that came with a lease, and hands on those of registered targets.
+// permitsTaken records the permits that came with a lease, and passes them to the runtime if
+// the deployment has registered targets.
 func (n *Node) permitsTaken(g Grant) {
 	sent, ok := n.entry.tenure.sent[g.Number]
 	if !ok || len(g.Permits) == 0 {
@@ -171,7 +173,7 @@
 	}
 }
 
-// limitsTable lists the targets with limits that this VM knows of.
+// limitsTable lists the targets with limits that this VM knows.
 func (n *Node) limitsTable() Table {
 	t := Table{Columns: []string{"vm", "target", "per_second", "permits", "used", "held_back"}}
 	for _, l := range slices.Concat(n.entry.findings.Limited, n.entry.limits.Limited(n.now)) {
--- a/internal/core/own_limits.go
+++ b/internal/core/own_limits.go
@@ -7,13 +7,13 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file keeps the limits of plain services behind the product's own interface: the permits
-// of their runners are lent as those of registered targets are (limits.go).
+// This file keeps the rate limits of plain services behind the product's own interface. Permits
+// of their runners are granted in the same way as those of registered targets (limits.go).
 
-// runnerID names a declared target among those that have limits.
+// runnerID identifies a declared target in the rate limits.
 func runnerID(name string) relay.TargetID { return relay.TargetID(name) }
 
-// hearLimit takes what a runner says of its limit with an answer.
+// hearLimit records the rate limit that a runner reported with an answer.
 func (n *Node) hearLimit(name string, answer relay.LimitAnswer) {
 	if answer.HeardAt.IsZero() {
 		return
@@ -22,14 +22,14 @@
 		return
 	}
 	if answer.Limited {
-		n.note("target takes so many requests a second from all VMs", name)
+		n.note("target limits the requests per second of all VMs", name)
 		return
 	}
-	n.note("target takes as many requests as come again", name)
+	n.note("target no longer limits the rate of requests", name)
 }
 
-// routeLimited reports whether a runner of a route has a limit, and routeShort whether this VM has
-// no permit for it.
+// routeLimited reports whether a runner of a route has a limit, and routeShort whether this VM
+// has no permit for one of them.
 func (n *Node) routeLimited(r *route) bool {
 	return slices.ContainsFunc(r.stages, func(s Stage) bool { return n.entry.limits.PerSecond(runnerID(s.Target), n.now) > 0 })
 }
@@ -38,14 +38,15 @@
 	return slices.ContainsFunc(r.stages, func(s Stage) bool { return !n.entry.limits.Room(runnerID(s.Target), n.now) })
 }
 
-// routePermit takes a permit of the runner that a call goes to, and reports whether that has a limit.
+// routePermit takes a permit of the runner that a call goes to. It reports whether the runner
+// has a limit and a permit was taken.
 func (n *Node) routePermit(stages []Stage) bool {
 	id := runnerID(stages[0].Target)
 	return n.entry.limits.PerSecond(id, n.now) > 0 && n.entry.limits.Take(id, n.now)
 }
 
-// wantPermits notes that work wants the runners of a pool, and asks for permits where they are
-// all that it lacks.
+// wantPermits records that work waits for the runners of a pool, and requests permits if any
+// route lacks one.
 func (n *Node) wantPermits(p *pool) {
 	short := false
 	for _, r := range p.routes {
@@ -59,8 +60,9 @@
 	}
 }
 
-// poolLimited returns the refusal of work behind so much other work that the limits of all that
-// could run it don't let it begin in time. It is to come back when there is likely a permit.
+// poolLimited returns the refusal of work that can't start in time because of the work ahead of
+// it and the rate limits of all runners of the pool. The caller is to retry when there is
+// likely a permit.
 func (n *Node) poolLimited(p *pool, w *waiting, ahead float64) (Refusal, bool) {
 	perSecond := 0.0
 	for _, r := range p.routes {
--- a/internal/core/quarantine.go
+++ b/internal/core/quarantine.go
@@ -10,55 +10,56 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file has all VMs know the requests that end their targets; relay/suspects.go says which
-// these are.
+// This file distributes the quarantine of requests that end their targets to all VMs;
+// relay/suspects.go defines which requests these are.
 //
-// Problem: the VM that sees a target end under a request is seldom the one that the request
-// comes to next. Every VM has to know within the time of a lease or two, also where a message
-// is lost, a VM starts again or another one comes to lead.
+// Problem: the VM that sees a target end under a request is seldom the one that receives the
+// request next. Every VM has to know within one or two lease intervals, even if a message is
+// lost, a VM restarts or the leader changes.
 //
 // Algorithm: an entry VM reports crashed runs with its renewals, at once and with each renewal
-// for crashesRepeatedFor. Its control VM hands them to the leader, which gathers them. What is decided
-// goes through the log: a request in quarantine is a part of the configuration, which a lease
-// brings to its holder. What only is suspected is not: it is lost with the leader, but for what
-// was reported within crashesRepeatedFor.
+// for crashesRepeatedFor. Its control VM forwards them to the leader, which collects them.
+// Decisions go through the log: a request in quarantine is part of the configuration, which a
+// lease carries to its holder. Mere suspicion isn't in the log: it is lost with the leader,
+// except for the reports of the last crashesRepeatedFor.
 //
-// Two other ways were weighed. Were each report in the log, nothing would be lost with a leader,
-// and the fall of a rack would be some hundred entries that say nothing. Were what is decided
-// told with leases alone, a loss of all VMs would let the request end targets anew.
+// Two alternatives were rejected. If each report were in the log, nothing would be lost with a
+// leader, but the loss of a rack would add some hundred entries that say nothing. If decisions
+// were only sent with leases, a loss of all VMs would let the request end targets again.
 //
-// Invariants: a VM that holds a lease granted after the decision knows of it, whatever was lost
-// or started again between; a request leaves only by an answer of its own, its time or an
-// operator.
+// Invariants: a VM that holds a lease granted after the decision knows the decision, whatever
+// was lost or restarted in between; a request leaves quarantine only by an answer of its own,
+// when its time is over or by an operator.
 //
-// Limits: a request that ends two targets before a change of leader and crashesRepeatedFor, and goes
-// on after it, ends up to two more than CrashesMost.
+// Limits: a request that ends two targets before a change of leader and crashesRepeatedFor, and
+// continues after it, ends up to two targets more than CrashesMost.
 
 const (
-	// crashesRepeatedFor is how long an entry VM repeats a report: an election and a lost renewal
-	// or two take less.
+	// crashesRepeatedFor is how long an entry VM repeats a report: an election and one or two
+	// lost renewals take less.
 	crashesRepeatedFor = 10 * time.Second
-	// crashesHeld bounds the reports that a VM repeats, some 3 KB in each renewal meanwhile.
+	// crashesHeld bounds the reports that a VM repeats; they take about 3 KB of each renewal.
 	crashesHeld = 64
-	// crashRenewAfter is the least time between two renewals that reports are hurried by.
+	// crashRenewAfter is the minimum time between two renewals that are hurried by reports.
 	crashRenewAfter = 50 * time.Millisecond
-	// quarantineFor is how long a request stays in quarantine. One that still ends its targets
-	// costs three of them an hour, and one that was blamed wrongly is refused for no longer.
+	// quarantineFor is how long a request stays in quarantine. A request that still ends its
+	// targets costs three of them per hour, and one that was blamed wrongly is refused for no
+	// longer.
 	quarantineFor = time.Hour
 )
 
-// RunsCrashed are runs that brought nothing before their target ended.
+// RunsCrashed reports runs that produced nothing before their target ended.
 type RunsCrashed struct{ Runs []relay.CrashedRun }
 
-// RequestSurvived says that a target has run well, at a time, a request that this VM has
-// reported.
+// RequestSurvived reports that a request that this VM has reported ran well on a target, and
+// when.
 type RequestSurvived struct {
 	Request relay.Fingerprint
 	At      time.Time
 }
 
-// QuarantineInForce tells the runtime the requests that are sent to no target, each with when
-// it is let go.
+// QuarantineInForce passes to the runtime the requests that are sent to no target, each with
+// the time at which it is released.
 type QuarantineInForce struct {
 	Until map[relay.Fingerprint]time.Time
 }
@@ -68,8 +69,8 @@
 
 func (QuarantineInForce) isEffect() {}
 
-// CrashReport is a crashed run on its way to the leader. Clocks differ between VMs, so that
-// its times count back from the sending.
+// CrashReport is a crashed run as sent to the leader. Clocks differ between VMs, so its times
+// are ages at the time of sending.
 type CrashReport struct {
 	_        struct{}          `cbor:",toarray"`
 	Request  relay.Fingerprint `cbor:"request"`
@@ -78,21 +79,21 @@
 	EndedAgo time.Duration     `cbor:"ended_ago"`
 }
 
-// SurvivalReport is a run that went well on its way to the leader.
+// SurvivalReport is a run that went well, as sent to the leader.
 type SurvivalReport struct {
 	_       struct{}          `cbor:",toarray"`
 	Request relay.Fingerprint `cbor:"request"`
 	Ago     time.Duration     `cbor:"ago"`
 }
 
-// crashes is what a VM knows of crashed runs that the leader is to hear of.
+// crashes holds the crashed runs that a VM reports to the leader.
 type crashes struct {
 	runs []relay.CrashedRun
-	// survived are the requests that have run well since, and when.
+	// survived holds the requests that have run well since, and when.
 	survived map[relay.Fingerprint]time.Time
 }
 
-// reports returns the runs as they are sent now.
+// reports returns the runs as sent at the given time.
 func (c *crashes) reports(now time.Time) []CrashReport {
 	var reports []CrashReport
 	for _, r := range c.runs {
@@ -101,7 +102,7 @@
 	return reports
 }
 
-// take takes reports of another VM.
+// take adds the reports of another VM.
 func (c *crashes) take(reports []CrashReport, survived []SurvivalReport, now time.Time) {
 	for _, r := range reports {
 		c.add(relay.CrashedRun{Request: r.Request, Target: r.Target, Began: now.Add(-r.BeganAgo), Ended: now.Add(-r.EndedAgo)})
@@ -111,7 +112,7 @@
 	}
 }
 
-// add takes a run in the place of an earlier report of it.
+// add records a run and replaces an earlier report of it.
 func (c *crashes) add(run relay.CrashedRun) {
 	c.runs = slices.DeleteFunc(c.runs, func(o relay.CrashedRun) bool { return o.Request == run.Request && o.Target == run.Target })
 	c.runs = append(c.runs, run)
@@ -123,7 +124,7 @@
 	c.runs = slices.DeleteFunc(c.runs, func(o relay.CrashedRun) bool { return o.Request == request })
 }
 
-// clear takes that a request has run well at a time.
+// clear records that a request ran well at the given time.
 func (c *crashes) clear(request relay.Fingerprint, at time.Time) {
 	c.runs = slices.DeleteFunc(c.runs, func(o relay.CrashedRun) bool { return o.Request == request && !o.Ended.After(at) })
 	if c.survived == nil {
@@ -144,7 +145,7 @@
 	return reports
 }
 
-// expire drops what has been told for long enough.
+// expire drops the reports that have been repeated for crashesRepeatedFor.
 func (c *crashes) expire(now time.Time) {
 	c.runs = slices.DeleteFunc(c.runs, func(r relay.CrashedRun) bool { return !now.Before(r.Ended.Add(crashesRepeatedFor)) })
 	for request, at := range c.survived {
@@ -154,7 +155,7 @@
 	}
 }
 
-// runsCrashed has the leader hear of runs that this entry VM saw crash.
+// runsCrashed reports the crashed runs of this entry VM to the leader.
 func (n *Node) runsCrashed(e RunsCrashed) {
 	for _, run := range e.Runs {
 		n.entry.crashes.add(run)
@@ -162,23 +163,24 @@
 	n.renewSoon()
 }
 
-// requestSurvived has the leader hear that a request has run well.
+// requestSurvived reports to the leader that a request ran well.
 func (n *Node) requestSurvived(e RequestSurvived) {
 	n.entry.crashes.clear(e.Request, e.At)
 	n.renewSoon()
 }
 
-// renewSoon has this entry VM renew its lease soon, for what goes with it.
+// renewSoon makes this entry VM renew its lease soon, to send the reports that a renewal
+// carries.
 func (n *Node) renewSoon() {
 	t := &n.entry.tenure
 	if t.renewAt.IsZero() {
-		return // it has not begun to renew
+		return // no renewal has been sent yet
 	}
 	last := t.renewAt.Add(-n.settings.Timing.RenewEvery)
 	t.renewAt = earlier(t.renewAt, last.Add(crashRenewAfter))
 }
 
-// quarantineTaken tells the runtime what a lease has changed of the quarantine.
+// quarantineTaken passes the quarantine to the runtime if a lease has changed it.
 func (n *Node) quarantineTaken(before config.State) {
 	held := n.entry.config.Quarantine.Items
 	if maps.Equal(before.Quarantine.Items, held) {
@@ -188,24 +190,25 @@
 	for _, q := range held {
 		if request, ok := fingerprintOf(q.Fingerprint); ok {
 			until[request] = q.Until
-			// What it was put there for is told no more: once let go, it would be put there again.
+			// Its reports are dropped: after its release they would put it into quarantine
+			// again.
 			n.entry.crashes.forget(request)
 		}
 	}
 	n.emit(QuarantineInForce{Until: until})
 }
 
-// fingerprintOf reads a fingerprint as the configuration holds it.
+// fingerprintOf parses a fingerprint of the configuration.
 func fingerprintOf(text string) (request relay.Fingerprint, ok bool) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(request) {
-		return request, false // not made by a leader
+		return request, false // not written by a leader
 	}
 	return relay.Fingerprint(raw), true
 }
 
-// crashesHeard takes reports that came with renewals: the leader gathers them, another
-// control VM hands them on with its next batch.
+// crashesHeard handles reports that came with renewals: the leader collects them, another
+// control VM forwards them with its next batch.
 func (n *Node) crashesHeard(reports []CrashReport, survived []SurvivalReport) {
 	if !n.leads() {
 		n.forwarding.crashes.take(reports, survived, n.now)
@@ -219,7 +222,7 @@
 	}
 }
 
-// crashHeard has the leader take one report, and puts the request into quarantine if it has
+// crashHeard has the leader record one report, and puts the request into quarantine if it has
 // ended too many targets.
 func (n *Node) crashHeard(run relay.CrashedRun) {
 	l := &n.leading
@@ -237,20 +240,21 @@
 	n.propose(Entry{Changes: []config.Change{{Quarantine: &q}}})
 }
 
-// quarantineApplied notes that a request is in quarantine for all.
+// quarantineApplied records that the log has put a request into quarantine.
 func (n *Node) quarantineApplied(q config.QuarantinedRequest) {
 	if request, ok := fingerprintOf(q.Fingerprint); ok {
 		delete(n.leading.quarantining, request)
 	}
 }
 
-// requestCleared has the leader take that a request has run well.
+// requestCleared has the leader record that a request ran well, and releases it from quarantine
+// if that was after it first ended a target.
 func (n *Node) requestCleared(request relay.Fingerprint, at time.Time) {
 	n.leading.suspects.Clear(request, at)
 	name := request.String()
 	q, held := n.machine.Config.Quarantine.Get(name)
 	if !held || !wall(at).After(q.FirstEnd) {
-		return // it is told for a while, also once the request ends targets after it
+		return // a survival is reported for a while, even if the request ends targets afterwards
 	}
 	n.note("request in quarantine has run well: it is let go", name)
 	n.propose(Entry{Changes: []config.Change{{Release: name}}})
--- a/internal/core/unnamed.go
+++ b/internal/core/unnamed.go
@@ -6,54 +6,55 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file holds back the messages of targets whose service no document names.
+// This file holds back the reports of targets whose service no document names.
 //
-// Problem: anybody may register as a target. A message of a service that nobody has
-// declared must not reach other VMs or the disk; but targets register before the change
-// that adds their service, and before the first document.
+// Problem: anybody may register as a target. A report of an undeclared service must not reach
+// other VMs or the disk; but targets register before the change that adds their service, and
+// before the first document.
 //
-// Algorithm: the control VM that hears such a message acknowledges it and keeps it apart.
-// Once its document names the service, what is kept is taken as if it came then. While a
-// VM has no document, messages are spread as they come: it can't tell one service from
-// another, and a target that leaves must be known of. Targets that were taken then, or of
-// a service that was dropped since, are looked up by nobody; their messages are held back
-// from then on, so that they count as silent, and are forgotten.
+// Algorithm: the control VM that receives such a report acknowledges it and stores it
+// separately. Once its document names the service, the stored report is handled as if it had
+// just arrived. While a VM has no document, it distributes reports as they arrive: it can't
+// tell one service from another, and leaving targets must be known. Nothing looks up the
+// targets that were accepted then or whose service was removed since; their reports are held
+// back from then on, so that they count as silent and are forgotten.
 //
-// Invariants: a message that is held back is neither spread nor saved, and replaces nothing;
-// a target that lives is taken soon after its service is named.
+// Invariants: a report that is held back is neither distributed nor saved, and replaces
+// nothing; a live target is accepted soon after its service is named.
 //
-// Limits: the messages of unnamedMost targets are kept, each until the target has been
-// silent as long as any may be; what comes beyond is acknowledged and comes again with
-// the next message. They are lost with the VM, and targets then tell another one.
+// Limits: the reports of unnamedMost targets are stored, each until the target has been silent
+// for as long as any may be; further targets are acknowledged, and stored only if there is room
+// when they report again. The stored reports are lost with the VM, and the targets then report
+// to another one.
 
 const (
-	// unnamedMost bounds the targets that are held back: as many as the largest deployment
-	// has, some 500 B each.
+	// unnamedMost bounds the targets that are held back: as many as the largest deployment has,
+	// at about 500 B each.
 	unnamedMost = 3000
-	// readDocumentEvery is the least time between two readings of the document: a change
-	// of 1,900 routes must not cost a control VM more than a few of them a second. What a
-	// new service's targets wait for it is a tenth of what a change may take.
+	// readDocumentEvery is the minimum time between two decodings of the document: a change of
+	// 1,900 routes must not cost a control VM more than a few of them per second. The delay for
+	// targets of a new service is a tenth of what a change may take.
 	readDocumentEvery = 200 * time.Millisecond
 )
 
-// unnamed are the messages that are held back.
+// unnamed holds the reports that are held back.
 type unnamed struct {
 	targets *relay.Registry
 	decoded decoded
 	readAt  time.Time
-	// forgetAt is when to look next for targets that have fallen silent.
+	// forgetAt is when to check next for targets that have become silent.
 	forgetAt time.Time
 }
 
-// heldBack keeps a target's message apart and returns true, where no document names the
-// target's service. A message that names no service signs off.
+// heldBack stores a target's report separately and returns true if no document names the
+// target's service. A report without a service signs the target off and is not held back.
 func (n *Node) heldBack(t relay.Target) bool {
 	u := &n.registry.unnamed
 	known, spread := n.registry.targets.Get(t.ID)
 	leaves := spread && known.Service == t.Service && !t.Takes()
 	if t.Service == "" || u.decoded.document == nil || u.decoded.document.Names(t.Service) || leaves {
-		// One that leaves is told of by whoever was told of it: some VMs may act by the
-		// document before.
+		// That a known target leaves is still distributed: some VMs may still act by the
+		// previous document.
 		u.targets.Drop(t.ID)
 		return false
 	}
@@ -63,15 +64,15 @@
 	return true
 }
 
-// tickUnnamed reads the document where it has changed, and takes what was held back and
-// is named by now.
+// tickUnnamed decodes the document if it has changed, and handles the stored reports whose
+// service it names.
 func (n *Node) tickUnnamed() {
 	u := &n.registry.unnamed
 	if !n.now.Before(u.forgetAt) {
 		silence := n.settings.Timing.targetSilence()
 		u.forgetAt = n.now.Add(silence)
 		u.targets.Forget(n.now.Add(-silence))
-		u.targets.TakeTransitions() // nothing runs on what is held back
+		u.targets.TakeTransitions() // no requests run on targets that are held back
 	}
 	present := n.machine.Config.Document
 	if present.Version == u.decoded.version || n.now.Before(u.readAt) {
