--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -122,8 +122,8 @@
 
 // allHaveReported reports whether each control VM that follows this one has reported its entry
 // VMs, and each entry VM has renewed since the election. After a loss of all VMs that is the
-// case one second before workSettle ends, and until then every entry VM would choose by its own
-// work alone.
+// case one second before workSettle ends, and all entry VMs choose by their own work alone
+// until then.
 func (n *Node) allHaveReported() bool {
 	for vm, f := range n.registry.followers {
 		if _, heard := n.leading.parts[vm]; f.control && n.now.Before(f.until) && !heard {
--- a/internal/core/followers.go
+++ b/internal/core/followers.go
@@ -25,24 +25,24 @@
 		return
 	}
 	from := id.VM
-	present, ok := n.registry.followers[from]
-	if !ok || present.id != id {
-		present = &follower{id: id}
-		n.registry.followers[from] = present
-	}
-	present.until = n.now.Add(followerExpiry)
-	present.askedAt = n.now
-	present.hall = f.Hall
-	present.control = f.Heartbeats
-	if !present.acknowledge(f.positionIn(n.settings.Seed), n.now) && !present.overdue(n.now) {
-		n.sendHeartbeats(from, present)
+	known, ok := n.registry.followers[from]
+	if !ok || known.id != id {
+		known = &follower{id: id}
+		n.registry.followers[from] = known
+	}
+	known.until = n.now.Add(followerExpiry)
+	known.askedAt = n.now
+	known.hall = f.Hall
+	known.control = f.Heartbeats
+	if !known.acknowledge(f.positionIn(n.settings.Seed), n.now) && !known.overdue(n.now) {
+		n.sendHeartbeats(from, known)
 		return
 	}
 	if !f.OwnOnly {
-		n.sendAll(from, present, f.Digest)
+		n.sendAll(from, known, f.Digest)
 		return
 	}
-	n.sendUpdate(from, present, n.changedAfter(present.after, true), TargetNews{})
+	n.sendUpdate(from, known, n.changedAfter(known.after, true), TargetNews{})
 }
 
 // updateAcknowledged handles a follower's acknowledgement. What changed meanwhile is sent with
@@ -50,11 +50,11 @@
 // load would cost one message per follower. An acknowledgement doesn't make its sender a
 // follower, since it may by now follow another control VM.
 func (n *Node) updateAcknowledged(id ReplicaID, f Follow) {
-	present, ok := n.registry.followers[id.VM]
-	if !ok || present.id != id || !present.acknowledge(f.positionIn(n.settings.Seed), n.now) {
+	known, ok := n.registry.followers[id.VM]
+	if !ok || known.id != id || !known.acknowledge(f.positionIn(n.settings.Seed), n.now) {
 		return
 	}
-	n.registry.news = n.registry.news || n.registry.targets.Change() > present.after
+	n.registry.news = n.registry.news || n.registry.targets.Change() > known.after
 }
 
 // positionIn returns the last change of an incarnation that the asker has, or 0 if it has none.
@@ -116,10 +116,10 @@
 	}
 }
 
-// sendLeaving sends a follower the leaving targets while other updates to it are in flight. It
-// then gives them no new work after the drain bound, however long the other updates take. The
-// follower's position doesn't change, and the same targets are sent again with the next
-// updates.
+// sendLeaving sends a follower the leaving targets while other updates to it are in flight. The
+// follower then gives them no new work after the drain bound, however long the other updates
+// take. The follower's position doesn't change, and the same targets are sent again with the
+// next updates.
 func (n *Node) sendLeaving(vm VMName, f *follower) {
 	after := max(f.after, f.leaving)
 	if n.registry.leavingChange <= after {
@@ -219,29 +219,29 @@
 
 // sendUpdate sends a follower an update of the given targets, which brings it to the newest
 // change.
-func (n *Node) sendUpdate(vm VMName, f *follower, targets []relay.Target, news TargetNews) {
-	news.Incarnation = n.settings.Seed
-	news.After = f.after
-	news.Upto = n.registry.targets.Change()
-	news.Missed = n.registry.targets.Missed()
+func (n *Node) sendUpdate(vm VMName, f *follower, targets []relay.Target, update TargetNews) {
+	update.Incarnation = n.settings.Seed
+	update.After = f.after
+	update.Upto = n.registry.targets.Change()
+	update.Missed = n.registry.targets.Missed()
 	for _, t := range targets {
 		if n.registry.targets.Introduced(t.ID, f.after) {
-			news.Updates = append(news.Updates, t.Update())
+			update.Updates = append(update.Updates, t.Update())
 			continue
 		}
-		news.Targets = append(news.Targets, t)
+		update.Targets = append(update.Targets, t)
 	}
 	if f.control {
-		news.Heartbeats = n.registry.targets.HeartbeatsSince(f.heartbeatsAt)
+		update.Heartbeats = n.registry.targets.HeartbeatsSince(f.heartbeatsAt)
 		f.heartbeatsAt = n.now
 	}
-	f.after = news.Upto
+	f.after = update.Upto
 	if len(targets) > 0 {
-		f.sent = news.Upto
+		f.sent = update.Upto
 		transfer := time.Duration(len(targets)) * resendDelayPerTarget
 		f.resendAt = n.now.Add(min(initialResendDelay<<min(f.lost, maxResendDoublings), maxResendDelay) + transfer)
 		f.overdueAt = n.now.Add(initialResendDelay + transfer)
 		f.lost++
 	}
-	n.send(vm, Message{TargetNews: &news})
+	n.send(vm, Message{TargetNews: &update})
 }
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -118,8 +118,8 @@
 }
 
 // acknowledgeUpdate acknowledges a control VM's update, so that it sends the next one.
-func (n *Node) acknowledgeUpdate(from VMName, news TargetNews) {
-	if len(news.Targets) == 0 && len(news.Updates) == 0 {
+func (n *Node) acknowledgeUpdate(from VMName, update TargetNews) {
+	if len(update.Targets) == 0 && len(update.Updates) == 0 {
 		return
 	}
 	at := n.registry.followed[from]
@@ -132,37 +132,37 @@
 }
 
 // applyUpdate applies an update from a control VM.
-func (n *Node) applyUpdate(from VMName, news TargetNews) {
+func (n *Node) applyUpdate(from VMName, update TargetNews) {
 	at := n.registry.followed[from]
-	if news.After == 0 || news.Incarnation == at.incarnation && news.After <= at.after {
+	if update.After == 0 || update.Incarnation == at.incarnation && update.After <= at.after {
 		// Otherwise an earlier update was lost, and is asked for again.
-		n.registry.followed[from] = position{incarnation: news.Incarnation, after: max(news.Upto, at.afterIn(news.Incarnation))}
+		n.registry.followed[from] = position{incarnation: update.Incarnation, after: max(update.Upto, at.afterIn(update.Incarnation))}
 	}
-	n.registry.fullState = n.registry.fullState || news.Whole
-	for _, m := range news.Missed {
+	n.registry.fullState = n.registry.fullState || update.Whole
+	for _, m := range update.Missed {
 		n.registry.targets.Miss(m, n.now)
 	}
 	var learned []relay.Target
-	for _, u := range news.Updates {
+	for _, u := range update.Updates {
 		t, known := n.registry.targets.Get(u.ID)
 		if !known {
 			// It has been removed here: ask for everything again.
 			n.registry.followed[from] = position{}
 			continue
 		}
-		news.Targets = append(news.Targets, t.With(u))
+		update.Targets = append(update.Targets, t.With(u))
 	}
-	for _, t := range news.Targets {
+	for _, t := range update.Targets {
 		if n.registry.targets.Learn(t, n.now) {
 			// The sender may not know of a draining notice that this VM has received before.
 			known, _ := n.registry.targets.Get(t.ID)
 			learned = append(learned, known)
 		}
 	}
-	for _, b := range news.Heartbeats {
+	for _, b := range update.Heartbeats {
 		n.registry.targets.Alive(b.ID, b.Call, n.now)
 	}
-	n.acknowledgeUpdate(from, news)
+	n.acknowledgeUpdate(from, update)
 	ended, again := n.registry.targets.TakeTransitions()
 	n.endIncarnations(ended, from)
 	learned = slices.DeleteFunc(append(learned, again...), func(t relay.Target) bool { return !n.registry.targets.Counts(t.ID) })
@@ -174,7 +174,7 @@
 }
 
 // endIncarnations ends incarnations of targets and removes their placement orders.
-func (n *Node) endIncarnations(ended []relay.Succession, teller VMName) {
+func (n *Node) endIncarnations(ended []relay.Succession, reportedBy VMName) {
 	if len(ended) == 0 {
 		return
 	}
@@ -182,5 +182,5 @@
 	for _, s := range ended {
 		delete(n.leading.placing.orders, s.Old)
 	}
-	n.emit(TargetsEnded{Ended: ended, Teller: teller})
+	n.emit(TargetsEnded{Ended: ended, Teller: reportedBy})
 }
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -132,18 +132,18 @@
 
 // lendToBatch answers the permit requests in a control VM's batch.
 func (n *Node) lendToBatch(asks []HolderAsks) []HolderPermits {
-	var lent []HolderPermits
+	var granted []HolderPermits
 	for _, a := range asks {
 		if permits := n.grantPermits(a.From, a.Number, a.Asks); len(permits) > 0 {
-			lent = append(lent, HolderPermits{To: a.From, Number: a.Number, Permits: permits})
+			granted = append(granted, HolderPermits{To: a.From, Number: a.Number, Permits: permits})
 		}
 	}
-	return lent
+	return granted
 }
 
 // storePermits stores the permits of a leader's batch until the leases are forwarded.
-func (n *Node) storePermits(lent []HolderPermits) {
-	for _, p := range lent {
+func (n *Node) storePermits(granted []HolderPermits) {
+	for _, p := range granted {
 		if h, ok := n.forwarding.holders[p.To.VM]; ok && h.id == p.To {
 			h.permits, h.permitsNumber = p.Permits, p.Number
 		}
@@ -166,10 +166,10 @@
 	if !ok || len(g.Permits) == 0 {
 		return
 	}
-	lent := PermitsLent{Number: g.Number, Permits: g.Permits, Until: sent.Add(n.settings.Timing.Shortened(relay.PermitLife))}
-	n.entry.limits.Grant(lent.Number, lent.Permits, lent.Until, n.now)
+	granted := PermitsLent{Number: g.Number, Permits: g.Permits, Until: sent.Add(n.settings.Timing.Shortened(relay.PermitLife))}
+	n.entry.limits.Grant(granted.Number, granted.Permits, granted.Until, n.now)
 	if n.followsTargets() {
-		n.emit(lent)
+		n.emit(granted)
 	}
 }
 
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -278,10 +278,10 @@
 
 // recordReport records and distributes a report that a target sent to this VM.
 func (n *Node) recordReport(t relay.Target) {
-	news := n.registry.targets.Hear(t, n.now)
+	changed := n.registry.targets.Hear(t, n.now)
 	ended, again := n.registry.targets.TakeTransitions()
 	n.endIncarnations(ended, n.settings.Self.VM)
-	if !news && len(again) == 0 {
+	if !changed && len(again) == 0 {
 		return
 	}
 	n.note("target said something new", string(t.ID))
@@ -292,12 +292,12 @@
 
 // drainingHeard handles leaving notices that targets sent to a VM with their answers. They have
 // the effect of a heartbeat that says the same.
-func (n *Node) drainingHeard(ids []relay.TargetID, teller VMName) {
+func (n *Node) drainingHeard(ids []relay.TargetID, reportedBy VMName) {
 	for _, id := range ids {
 		if !n.registry.targets.Drain(id) {
 			continue
 		}
-		n.note("target leaves, as it said with an answer to "+string(teller), string(id))
+		n.note("target leaves, as it said with an answer to "+string(reportedBy), string(id))
 		n.registry.leavingChange = n.registry.targets.Change()
 		n.registry.news = true
 		n.saveTargets(true)
