--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -271,13 +271,13 @@
 	}
 	heldBack := n.heldBack(s.Target)
 	if !heldBack {
-		n.recordReport(s.Target)
+		n.acceptReport(s.Target)
 	}
 	n.emit(TargetHeard{Conn: s.Conn, Taken: true, HeldBack: heldBack})
 }
 
-// recordReport records and distributes a report that a target sent to this VM.
-func (n *Node) recordReport(t relay.Target) {
+// acceptReport records and distributes a report that a target sent to this VM.
+func (n *Node) acceptReport(t relay.Target) {
 	changed := n.registry.targets.Hear(t, n.now)
 	ended, again := n.registry.targets.TakeTransitions()
 	n.endIncarnations(ended, n.settings.Self.VM)
--- a/internal/core/unnamed.go
+++ b/internal/core/unnamed.go
@@ -86,7 +86,7 @@
 	for _, t := range u.targets.All() {
 		if document.Names(t.Service) {
 			u.targets.Drop(t.ID)
-			n.recordReport(t)
+			n.acceptReport(t)
 		}
 	}
 }
