--- a/internal/relay/doc.go
+++ b/internal/relay/doc.go
@@ -1,13 +1,13 @@
-// Package relay decides where whole requests go: to one runner of a plain
-// service, or along a path of model engines that together hold every layer once.
+// Package relay routes whole requests: to one target of a plain service, or along a path of
+// model engines that together hold every layer once.
 //
-// It does no I/O and reads no clock; times come with each call. A Document is
-// what operators want; a Registry holds what targets say of themselves; Plan
-// says which layers each engine should hold; a Router picks a path for each
-// request and counts what is under way.
+// It does no I/O and reads no clock; each call is given the time. A Document is the
+// configuration set by operators, a Registry holds what targets report, Plan decides which
+// layers each engine should hold, and a Router picks a path for each request and counts the
+// requests in flight.
 //
-// This is the second way to drive a pipeline. In the first one, in
-// internal/core, an entry VM orders every position of a stream by itself. Here
-// the engines run a request on their own along a path that they are told once,
-// and hand out the answer as a stream of events.
+// There are two ways to drive a pipeline. In internal/core, an entry VM sends every
+// position of a stream to the engines itself. In this package, the engines run a request on
+// their own along a path that they receive once, and return the answer as a stream of
+// events.
 package relay
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -17,8 +17,7 @@
 	Policy  Policy
 }
 
-// Router picks paths and counts what is under way. It is not safe for use by
-// several goroutines at once.
+// Router picks paths and counts the requests in flight. It is not safe for concurrent use.
 type Router struct {
 	settings Settings
 	rand     *rand.Rand
@@ -28,24 +27,25 @@
 	services map[string]*Service
 	targets  map[TargetID]*target
 	members  map[string][]*target
-	// marks are those of all targets that have any, also of ones not known here yet.
+	// marks holds the marks of all targets, including targets not known to this VM yet.
 	marks map[TargetKey]Mark
 	said
 	budgets map[string]*budget
 	sums    sums
 	vms     int
-	// othersKnown says that this VM has been told what others have under way.
+	// othersKnown is set once this VM has received a report of the work of the others.
 	othersKnown bool
-	// changing counts the changes of halls on the paths under way.
+	// changing counts the changes of halls on the paths in flight.
 	changing int
-	// waiters are the requests that wait for permits, by service.
+	// waiters holds the requests that wait for permits, by service.
 	waiters map[string]*waiters
-	// waits holds, by hall, how much longer a pass takes with the waits before it.
+	// waits holds, by hall, the time of a pass with the waits before it as a multiple of
+	// the pass alone.
 	waits   map[string]average
 	overdue overdueTimes
-	// firstMean is the mean time from a sending to its first event, in nanoseconds.
+	// firstMean is the mean time from sending a request to its first event, in nanoseconds.
 	firstMean average
-	// meanPause is the mean pause between the events of the answers of late, in
+	// meanPause is a moving mean of the pauses between events of recent answers, in
 	// nanoseconds.
 	meanPause average
 }
@@ -66,7 +66,8 @@
 	}
 }
 
-// TakeDocument puts a document in force. An older one is dropped.
+// TakeDocument puts a document in force. A document that is not newer than the present one
+// is ignored.
 func (r *Router) TakeDocument(d *Document) {
 	if r.document != nil && d.Version <= r.document.Version {
 		return
@@ -88,11 +89,11 @@
 // Document returns the document in force, or nil.
 func (r *Router) Document() *Document { return r.document }
 
-// TakeVMs takes the number of entry VMs. It never goes down: see budget.go.
+// TakeVMs sets the number of entry VMs. It never decreases: see budget.go.
 func (r *Router) TakeVMs(n int) { r.vms = max(r.vms, n) }
 
-// Informed reports whether the Router knows a document, and for each of its
-// services targets that can serve it.
+// Informed reports whether the Router has a document and, for each of its services, targets
+// that can serve it.
 func (r *Router) Informed() bool {
 	if r.document == nil {
 		return false
@@ -105,10 +106,10 @@
 	return true
 }
 
-// covered reports whether a service has a target, or engines for each layer.
+// covered reports whether a service has a target, or engines for every layer.
 func (r *Router) covered(s *Service) bool { return r.coveredBy(s, (*target).takes) }
 
-// coveredBy reports whether targets of a service that a condition holds for can serve it.
+// coveredBy reports whether the targets of a service that meet a condition can serve it.
 func (r *Router) coveredBy(s *Service, condition func(*target) bool) bool {
 	if s.Engine == nil || s.Engine.Layers <= 0 {
 		return slices.ContainsFunc(r.members[s.Name], condition)
@@ -125,7 +126,7 @@
 // Admit finds the route of a request and the organisation of its key.
 func (r *Router) Admit(host, path, key string, now time.Time) (*Route, *Organisation, *Refusal) {
 	if r.document == nil {
-		return nil, nil, &Refusal{Kind: RefusedNoDocument, RetryAt: r.soon(now), Reason: "this VM has no configuration yet"}
+		return nil, nil, &Refusal{Kind: RefusedNoDocument, RetryAt: r.retryTime(now), Reason: "this VM has no configuration yet"}
 	}
 	route, ok := r.table.find(host, path)
 	if !ok {
@@ -141,13 +142,13 @@
 	return route, org, nil
 }
 
-// Count notes a new request of a service, which the repeats are measured by.
+// Count records a new request of a service. The repeat budget is a share of these.
 func (r *Router) Count(service string, now time.Time) {
 	r.budget(service).requests.add(now, r.settings.Budget.Window)
 }
 
-// Repeat takes a repeat from the budget of a service. Begun says that the caller
-// has a part of its answer.
+// Repeat takes a repeat from the budget of a service and reports whether there was one.
+// begun is set if the caller has received a part of its answer.
 func (r *Router) Repeat(service string, begun bool, now time.Time) bool {
 	whole := begun || !r.settings.Policy.Has(RepeatShares)
 	if now.Before(r.sums.until) && r.settings.Policy.Has(PooledRepeats) {
@@ -165,16 +166,16 @@
 	return b
 }
 
-// Choose picks a path and counts the request as under way on it. Each path is
-// given back with Release.
+// Choose picks a path and counts the request as in flight on it. The caller must return
+// each path with Release.
 func (r *Router) Choose(a Ask, now time.Time) (Path, *Refusal) {
 	name := a.Service
 	if name == "" {
-		name = r.draw(a.Route)
+		name = r.pickService(a.Route)
 	}
 	service, ok := r.services[name]
 	if !ok {
-		return Path{}, &Refusal{Kind: RefusedNoRoom, RetryAt: r.soon(now), Reason: "the service " + name + " is not in the configuration"}
+		return Path{}, &Refusal{Kind: RefusedNoRoom, RetryAt: r.retryTime(now), Reason: "the service " + name + " is not in the configuration"}
 	}
 	a.permits = r.permitsFor(name, a, now)
 	var path Path
@@ -195,8 +196,8 @@
 	return path, nil
 }
 
-// draw picks one of a route's services by weight.
-func (r *Router) draw(route *Route) string {
+// pickService picks one of a route's services at random by weight.
+func (r *Router) pickService(route *Route) string {
 	total := 0
 	for _, s := range route.Shares {
 		total += s.Weight
@@ -212,32 +213,33 @@
 }
 
 const (
-	// returnSoon and returnSpread say when a refused caller comes back: spread over the
-	// time that room is short for. Most come back only once, and a third of what they
-	// have left bounds how late. An engine that died takes two heartbeats to be away for
-	// certain and to be back, and its layers some 4 s to load (14 s for all of a model of
-	// which it holds a quarter).
-	returnSoon   = 2000 * time.Millisecond
-	returnSpread = 4500 * time.Millisecond
+	// retryDelayMin and retryDelaySpread set when a refused caller retries: at a random
+	// moment of the time for which room is short. Most callers retry only once, and a third
+	// of the time that they have left limits how late that may be. An engine that died
+	// takes two heartbeats until it is found lost and back again, and then about 4 s to
+	// load its layers (14 s for all layers of a model of which it holds a quarter).
+	retryDelayMin    = 2000 * time.Millisecond
+	retryDelaySpread = 4500 * time.Millisecond
 )
 
-func (r *Router) soon(now time.Time) time.Time {
+func (r *Router) retryTime(now time.Time) time.Time {
 	if !r.settings.Policy.Has(SpreadReturns) {
-		return now.Add(returnSoon)
+		return now.Add(retryDelayMin)
 	}
-	return now.Add(returnSoon + time.Duration(r.rand.Int64N(int64(returnSpread))))
+	return now.Add(retryDelayMin + time.Duration(r.rand.Int64N(int64(retryDelaySpread))))
 }
 
-// noRoom returns the refusal of a request that finds no target. Where it finds none because
-// VMs back off from targets, none has a place before the backoff ends: its caller is to come back
-// after that, at a time drawn from as long again, so that no more come at once than were turned away.
+// noRoom returns the refusal of a request that finds no target. If VMs back off from
+// targets, there is no room before a backoff ends: the caller is told to retry after that,
+// at a random time within another length of the backoff, so that no more callers return at
+// once than were refused.
 func (r *Router) noRoom(service string, a Ask, now time.Time) *Refusal {
 	if refusal := r.noPermit(service, a, now); refusal != nil {
 		return refusal
 	}
 	until, length := r.backoffsUntil(service, a, now)
 	if until.IsZero() {
-		return &Refusal{Kind: RefusedNoRoom, RetryAt: r.soon(now), Reason: "no target of " + service + " has room"}
+		return &Refusal{Kind: RefusedNoRoom, RetryAt: r.retryTime(now), Reason: "no target of " + service + " has room"}
 	}
 	spread := time.Duration(r.rand.Int64N(int64(max(length, returnLeast))))
 	return &Refusal{Kind: RefusedNoRoom, RetryAt: until.Add(spread), NotBefore: until, Reason: "targets of " + service + " have asked to back off"}
