--- a/internal/relay/candidates.go
+++ b/internal/relay/candidates.go
@@ -5,46 +5,50 @@
 	"time"
 )
 
-// This file is what a Router knows of targets, and which of them a request may go to.
+// This file holds what a Router knows about targets, and selects those that a request may
+// go to.
 
-// target is what a Router knows of one target.
+// target is what a Router knows about one target.
 type target struct {
 	Target
 	key    TargetKey
 	own    Work
 	others Work
-	// trouble grows with failures in a row, and fullness with refusals in a row.
+	// trouble counts failures in a row, and fullness refusals in a row.
 	trouble      int
 	suspectUntil time.Time
 	fullness     int
 	fullUntil    time.Time
-	// pace is how slow it has said to be, for as long as that counts. slowness grows each
-	// time that it is found slow again.
+	// pace is the slowdown factor that the target reported, valid until slowUntil. slowness
+	// counts how often it was found slow again.
 	pace      float64
 	slowness  int
 	slowUntil time.Time
-	// slowElsewhere says that another VM has been told so.
+	// slowElsewhere is set if the target has reported a slowdown to another VM.
 	slowElsewhere bool
-	// failedAt is when it last failed for certain, zero once it has done its part.
+	// failedAt is the time of the last certain failure, zero once the target has succeeded
+	// again.
 	failedAt    time.Time
 	succeededAt time.Time
-	// ownReported is what this VM had under way when the others' work was told.
+	// ownReported is the work of this VM when the work of the others was last reported.
 	ownReported Work
-	// silent says that the target has told no VM of late that it lives, or that
-	// half of the VMs find it dead; moving that it was ordered to hold other layers.
+	// silent is set if no VM has received a recent heartbeat of the target, or if far more
+	// entry VMs find it dead than sound. moving is set if it was ordered to hold other
+	// layers.
 	silent bool
 	moving bool
-	// backoff and draining are what it has said with its answers: see Router.noteSaid.
+	// backoff and draining come from the notices of the target: see Router.noteSaid.
 	backoff  backoff
 	draining bool
-	// void says that another incarnation runs in the place of this one. A void target is no member
-	// of its service.
+	// void is set if another incarnation runs in the place of this one. A void target is
+	// not a member of its service.
 	void bool
-	// failures is a moving mean of recent results: 0 all well, 1 all failed.
+	// failures is a moving mean of recent results, from 0 (all succeeded) to 1 (all
+	// failed).
 	failures float64
 }
 
-// TakeTargets takes what targets have newly said.
+// TakeTargets applies new reports of targets.
 func (r *Router) TakeTargets(targets []Target) {
 	for _, t := range targets {
 		r.confirmDraining(t)
@@ -73,13 +77,13 @@
 	r.leave(t)
 }
 
-// leave takes a target from the members of its service.
+// leave removes a target from the members of its service.
 func (r *Router) leave(t *target) {
 	r.members[t.Service] = slices.DeleteFunc(r.members[t.Service], func(o *target) bool { return o == t })
 }
 
-// usable returns the members of a service that a request may go to, those that
-// this VM alone suspects only where they are asked for.
+// usable returns the members of a service that a request may go to. Targets that only this
+// VM suspects are included if suspects is set.
 func (r *Router) usable(service string, a Ask, now time.Time, suspects bool) []*target {
 	var usable []*target
 	for _, t := range r.members[service] {
@@ -94,7 +98,7 @@
 	return usable
 }
 
-// connLimit is this VM's part of the connections that a target accepts.
+// connLimit returns this VM's share of the connections that a target accepts.
 func (r *Router) connLimit(s *Service) int {
 	if !r.settings.Policy.Has(ConnectionShares) {
 		return max(1, s.MaxConns)
@@ -102,7 +106,7 @@
 	return max(1, s.MaxConns/r.vms)
 }
 
-// ConnLimit returns this VM's part of the connections to each target of a service.
+// ConnLimit returns this VM's share of the connections to each target of a service.
 func (r *Router) ConnLimit(service string) int {
 	if s, ok := r.services[service]; ok {
 		return r.connLimit(s)
@@ -111,15 +115,16 @@
 }
 
 const (
-	// failurePenalty makes a target that fails everything look as busy as one
-	// with so many requests.
+	// failurePenalty makes a target that fails everything count as busy as one with this
+	// many requests in flight.
 	failurePenalty = 20.0
-	// crossHall is the part of a request that another hall counts for: it decides
-	// between equals, since bytes between halls are priced.
-	crossHall = 0.3
+	// otherHallLoad is the part of a request that a target in another hall counts as
+	// additional load. It decides between targets that are equally busy, since traffic
+	// between halls is priced.
+	otherHallLoad = 0.3
 )
 
-// chooseTarget picks the target of a plain service with the least under way.
+// chooseTarget picks the target of a plain service with the fewest requests in flight.
 func (r *Router) chooseTarget(s *Service, a Ask, now time.Time) (Path, bool) {
 	scarce := r.scarce(s.Name, now)
 	for _, suspects := range []bool{false, true} {
@@ -129,12 +134,12 @@
 			if !r.takesMore(t, a, now) || t.own.Requests >= r.connLimit(s) || !r.hasPlace(t, scarce) {
 				continue
 			}
-			busy := float64(r.load(t).Requests) + r.rand.Float64()*crossHall
+			busy := float64(r.load(t).Requests) + r.rand.Float64()*otherHallLoad
 			if r.settings.Policy.Has(FailureMean) {
 				busy += failurePenalty * t.failures
 			}
 			if t.Hall != r.settings.Hall {
-				busy += crossHall
+				busy += otherHallLoad
 			}
 			if best == nil || busy < least {
 				best, least = t, busy
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -104,7 +104,7 @@
 
 // answersAt is the usual requests in progress, in the mean, that one engine has memory for.
 func (e *Engine) answersAt(kind Accelerator, layers int) float64 {
-	most := max(memoryUse*float64(e.tokens(kind, layers))/e.usual(), 0)
+	most := max(maxMemoryShare*float64(e.tokens(kind, layers))/e.usual(), 0)
 	return max(most-deviations*math.Sqrt(most), 0)
 }
 
--- a/internal/relay/path.go
+++ b/internal/relay/path.go
@@ -11,55 +11,55 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// This file picks the path of one request over model engines.
+// This file picks the path of a request over model engines.
 //
-// Problem: engines hold ranges of layers; a path is any sequence of engines that
-// runs each layer once, in order. An engine may run a part of what it holds, so that
-// ranges that overlap join too. The request should end soon, and no engine may run out
-// of memory, for then it drops a request.
+// Problem: engines hold ranges of layers. A path is a sequence of engines that runs each
+// layer once, in order. An engine may run a part of the layers it holds, so overlapping
+// ranges can be joined as well. The request should end soon, and no engine may run out of
+// memory, since it would then drop a request.
 //
-// Algorithm: the shortest path over layer positions. An engine is an edge between any
-// two positions within its range at which the range of some engine begins or ends; its
-// length is the time that it takes for this request, as the cost model of the service
-// tells: reading the prompt, and for each token of the answer one step at the present
-// load and the way to the next engine. Engines without memory for the layers between
-// two positions have no edge there. Since edges only lead forward, one pass over the
-// positions finds the path.
+// Algorithm: shortest path over layer positions. An engine is an edge between any two
+// positions within its range at which the range of some engine begins or ends. The length
+// of an edge is the time that the engine takes for this request by the cost model of the
+// service: reading the prompt and, for each token of the answer, one step at the present
+// load and the transfer to the next engine. An engine without memory for the layers between
+// two positions has no edge there. Edges only lead forward, so one pass over the positions
+// finds the path.
 //
-// Loads are what this VM has under way, which is exact, and what the others had
-// a moment ago. The hall is drawn at random, so that VMs with the same picture do
-// not choose alike.
+// The load of an engine is the work that this VM has in flight, which is exact, and the
+// work of the other VMs as last reported. The hall is drawn at random so that VMs with the
+// same view do not all make the same choice.
 //
-// Invariants: a path runs each layer once, in order; it holds no engine twice.
+// Invariants: a path runs each layer once, in order, and names no engine twice.
 
 const (
-	// memoryUse is the part of an engine's memory that requests are given; the
-	// rest is for answers that get longer than expected and for what other VMs
-	// have begun since they last told.
-	memoryUse = 0.94
-	// crowd is how much a full engine counts above an empty one. An answer is in
-	// time by its first event and its pauses, not by its end, so that slow engines
-	// serve as well as fast ones until prompts queue up in front of those.
-	crowd = 3
-	// unreadWeight is how much the wait behind prompts counts above the rest of a
-	// request's time: it is what makes a first event late, and the rest does not.
-	unreadWeight = 12
-	// pipeCaution multiplies the time that a request takes in a pipe between two
-	// halls: a pipe that is not yet full is, once others choose it too, since a prompt
-	// takes a pipe for some 20 ms and each token waits behind it.
-	pipeCaution = 30
-	// hallBias is how strongly cheap halls are preferred: with 2, one at half the
-	// cost of another gets four times as many requests.
+	// maxMemoryShare is the share of an engine's memory that is given to requests. The rest
+	// covers answers that get longer than expected and work that other VMs have begun since
+	// their last report.
+	maxMemoryShare = 0.94
+	// crowdingWeight is how much a full engine costs above an empty one. An answer is in
+	// time by its first event and its pauses, not by its end, so slow engines serve as well
+	// as fast ones until prompts queue at them.
+	crowdingWeight = 3
+	// unreadPromptWeight is how much the wait behind unread prompts counts above the rest
+	// of a request's time. That wait makes a first event late; the rest does not.
+	unreadPromptWeight = 12
+	// pipeContentionFactor multiplies the transfer time of a request over a pipe between
+	// two halls. A pipe that has room now fills up when other VMs choose it too: a prompt
+	// occupies it for about 20 ms, and each token waits behind that.
+	pipeContentionFactor = 30
+	// hallBias is the strength of the preference for cheap halls: with 2, a hall at half
+	// the cost of another gets four times as many requests.
 	hallBias = 2.0
-	// awayCost multiplies the cost of other halls than the VM's own: the events of an
-	// answer then cross between halls, at 8 KB a request.
-	awayCost = 2.0
-	// suspectCost multiplies the cost of engines under suspicion, which are used
-	// only where no path goes without them.
+	// otherHallCost multiplies the cost of halls other than the VM's own: the events of an
+	// answer then cross between halls, about 8 KB a request.
+	otherHallCost = 2.0
+	// suspectCost multiplies the cost of suspect engines, which are used only if there is
+	// no path without them.
 	suspectCost = 4
 )
 
-// arrival is the best way found to a layer position.
+// arrival is the cheapest way found so far to a layer position.
 type arrival struct {
 	cost  float64
 	last  *target
@@ -69,21 +69,22 @@
 	ok    bool
 }
 
-// candidate is an engine that a path may run over, with what it would cost. Costs are
-// in nanoseconds.
+// candidate is an engine that a path may use, with its cost for the request. Costs are in
+// nanoseconds.
 type candidate struct {
 	*target
-	// perLayer and perStage add up to the cost of a stage: a part for each layer that
-	// it runs, and one for the wait behind prompts.
+	// perLayer and perStage make up the cost of a stage: one for each layer that it runs,
+	// the other for the wait behind unread prompts.
 	perLayer float64
 	perStage float64
 	// pass is the time of a pass over one layer.
 	pass passTimes
-	// layersMost is the layers that it has memory for, for this request.
-	layersMost int
-	// mayBegin says that it has a slot and a connection for one request more.
-	mayBegin bool
-	// suspect says that it is used only where no path goes without it.
+	// layerLimit is the number of layers that it has memory for, for this request.
+	layerLimit int
+	// canStart is set if the engine may take the request as the first of its path: it has a
+	// free slot and connection.
+	canStart bool
+	// suspect is set if the engine is to be used only if there is no path without it.
 	suspect bool
 }
 
@@ -93,7 +94,7 @@
 		slices.SortFunc(engines, func(x, y *target) int {
 			return cmp.Or(cmp.Compare(x.Layers.First, y.Layers.First), cmp.Compare(x.ID, y.ID))
 		})
-		if path, ok := r.inOneHall(s, a, engines, now); ok {
+		if path, ok := r.pathWithinHall(s, a, engines, now); ok {
 			return path, true
 		}
 		if path, _, ok := r.shortest(s, a, engines, now); ok && r.inTime(a, path) {
@@ -103,11 +104,11 @@
 	return Path{}, false
 }
 
-// inOneHall draws among the best paths that stay in one hall: each with a
-// probability that falls with its cost. Were the best one always taken, all VMs
-// would take the same one until the next report of their loads, 0.4 s later: on the
-// users' grown fleet halls filled up in turn, for a second each.
-func (r *Router) inOneHall(s *Service, a Ask, engines []*target, now time.Time) (Path, bool) {
+// pathWithinHall draws one of the best paths that stay within a hall, each with a
+// probability that falls with its cost. If the cheapest were always chosen, all VMs would
+// take the same one until the next load report, 0.4 s later: on the users' grown fleet,
+// halls filled up in turn, for a second each.
+func (r *Router) pathWithinHall(s *Service, a Ask, engines []*target, now time.Time) (Path, bool) {
 	byHall := make(map[string][]*target)
 	for _, t := range engines {
 		byHall[t.Hall] = append(byHall[t.Hall], t)
@@ -120,15 +121,15 @@
 		if !ok || !r.inTime(a, path) {
 			continue
 		}
-		// The least of costs that are each multiplied by a power of an
-		// exponential variate falls on one with a probability proportional to
-		// its cost to the power of -hallBias.
+		// The minimum of costs that are each multiplied by a power of an exponential
+		// variate falls on a given one with a probability proportional to its cost to the
+		// power of -hallBias.
 		drawn := float64(cost)
 		if r.settings.Policy.Has(HallDraw) {
 			drawn *= math.Pow(r.rand.ExpFloat64(), 1/hallBias)
 		}
 		if hall != r.settings.Hall && r.settings.Policy.Has(OwnHall) {
-			drawn *= awayCost
+			drawn *= otherHallCost
 		}
 		if !found || drawn < least {
 			best, least, found = path, drawn, true
@@ -137,41 +138,41 @@
 	return best, found
 }
 
-// shortest returns the path of the least cost over engines.
+// shortest returns the path of least cost over the given engines.
 func (r *Router) shortest(s *Service, a Ask, engines []*target, now time.Time) (Path, time.Duration, bool) {
 	e := s.Engine
 	candidates := r.candidates(s, a, engines, now)
 	arrivals := make([]arrival, e.Layers+1)
 	arrivals[0].ok = true
 	whole := config.Range{Last: e.Layers}
-	r.span(e, a, candidates, whole, arrivals)
+	r.relaxRange(e, a, candidates, whole, arrivals)
 	if !arrivals[e.Layers].ok {
 		return Path{}, 0, false
 	}
-	stages, changes := stagesTo(arrivals, whole)
-	if changes > 0 && !a.Begun && r.changing+changes > r.changesMost(e) {
+	stages, changes := reconstruct(arrivals, whole)
+	if changes > 0 && !a.Begun && r.changing+changes > r.maxCrossings(e) {
 		return Path{}, 0, false
 	}
 	return Path{Service: s.Name, Stages: stages, tokens: a.held(), prompt: a.Prompt, changes: changes, pass: arrivals[e.Layers].pass}, time.Duration(arrivals[e.Layers].cost), true
 }
 
-// span finds the best ways from the beginning of some layers, which is arrivals, to each
-// position within them.
-func (r *Router) span(e *Engine, a Ask, candidates []candidate, layers config.Range, arrivals []arrival) {
-	ends := bordersOf(e, candidates, layers)
+// relaxRange finds the cheapest ways from the beginning of a range of layers, given in
+// arrivals, to each position within it.
+func (r *Router) relaxRange(e *Engine, a Ask, candidates []candidate, layers config.Range, arrivals []arrival) {
+	ends := stageBoundaries(e, candidates, layers)
 	for _, at := range ends {
 		if !arrivals[at].ok {
 			continue
 		}
 		for i := range candidates {
-			r.extend(e, a, &candidates[i], at, ends, arrivals)
+			r.relax(e, a, &candidates[i], at, ends, arrivals)
 		}
 	}
 }
 
-// bordersOf returns the positions at which a path may pass from one engine to the
-// next within some layers, sorted: where the layers of an engine begin or end.
-func bordersOf(e *Engine, candidates []candidate, layers config.Range) []int {
+// stageBoundaries returns the sorted positions within a range at which a path may pass from
+// one engine to the next: those where the layers of an engine begin or end.
+func stageBoundaries(e *Engine, candidates []candidate, layers config.Range) []int {
 	is := make([]bool, e.Layers+1)
 	is[layers.First], is[layers.Last] = true, true
 	for i := range candidates {
@@ -197,11 +198,11 @@
 			continue
 		}
 		kind = kind.Slowed(t.slowdown(now))
-		c := r.costsOf(e, kind, a, t)
-		c.layersMost = r.layersMost(e, kind, a, t)
-		c.mayBegin = a.mayBegin(t.ID) && r.takesMore(t, a, now) && r.load(t).Requests < e.Slots && t.own.Requests < r.connLimit(s)
+		c := r.candidateFor(e, kind, a, t)
+		c.layerLimit = r.layerLimit(e, kind, a, t)
+		c.canStart = a.mayBegin(t.ID) && r.takesMore(t, a, now) && r.load(t).Requests < e.Slots && t.own.Requests < r.connLimit(s)
 		c.suspect = t.silent || now.Before(t.suspectUntil)
-		if c.layersMost > 0 {
+		if c.layerLimit > 0 {
 			out = append(out, c)
 		}
 	}
@@ -209,51 +210,51 @@
 }
 
 const (
-	// pipeUse is the part of the pipes that new requests may fill: in a full one
+	// maxPipeShare is the share of the pipes that new requests may fill: in a full pipe,
 	// each event of a stream waits behind the prompts of others.
-	pipeUse = 0.5
-	// usualTime is how long a request is under way on a path that changes halls:
-	// an answer of 200 tokens at 15 ms each.
-	usualTime = 3 * time.Second
-	// pipesAtLeast is the number of pipes between the halls of a deployment of
-	// three halls, the smallest that has more than one.
-	pipesAtLeast = 3
+	maxPipeShare = 0.5
+	// crossingDuration is how long a request that changes halls is usually in flight: an
+	// answer of 200 tokens at 15 ms each.
+	crossingDuration = 3 * time.Second
+	// minPipes is the number of pipes between the halls of a deployment of three halls, the
+	// smallest that has more than one.
+	minPipes = 3
 )
 
-// changesMost is this VM's part of the changes of halls that the pipes bear.
-func (r *Router) changesMost(e *Engine) int {
+// maxCrossings is this VM's share of the changes of halls that the pipes can carry.
+func (r *Router) maxCrossings(e *Engine) int {
 	if e.PipeBits <= 0 {
 		return r.changing + len(r.targets)
 	}
 	bits := float64(e.UsualPrompt+e.UsualAnswer) * e.HandOnBytes * 8
-	most := pipesAtLeast * pipeUse * e.PipeBits / bits * usualTime.Seconds()
+	most := minPipes * maxPipeShare * e.PipeBits / bits * crossingDuration.Seconds()
 	return max(int(most/float64(r.vms)), 1)
 }
 
-// extend tries an engine as the next stage after the best way to a position, up to
-// each position that it holds the layers to.
-func (r *Router) extend(e *Engine, a Ask, c *candidate, at int, ends []int, arrivals []arrival) {
-	if at < c.Layers.First || at >= c.Layers.Last || at == 0 && !c.mayBegin {
+// relax tries an engine as the next stage after the cheapest way to a position, up to each
+// position that its layers reach.
+func (r *Router) relax(e *Engine, a Ask, c *candidate, at int, ends []int, arrivals []arrival) {
+	if at < c.Layers.First || at >= c.Layers.Last || at == 0 && !c.canStart {
 		return
 	}
 	before := arrivals[at]
 	next := arrival{last: c.target, first: before.first, from: at, ok: true}
-	way := 0.0
+	transfer := 0.0
 	if before.last != nil {
-		way = float64(time.Duration(a.answer+1)*e.delay(before.last.Hall, c.Hall) + r.pipeCost(e, before.last, c.target, a))
+		transfer = float64(time.Duration(a.answer+1)*e.delay(before.last.Hall, c.Hall) + r.pipeCost(e, before.last, c.target, a))
 	} else {
 		next.first = c.target
-		way = float64(e.delay(r.settings.Hall, c.Hall))
+		transfer = float64(e.delay(r.settings.Hall, c.Hall))
 	}
 	for _, end := range ends {
-		if end <= at || end > c.Layers.Last || end-at > c.layersMost {
+		if end <= at || end > c.Layers.Last || end-at > c.layerLimit {
 			continue
 		}
 		if end-at < c.Layers.Len() && !r.settings.Policy.Has(PartRanges) {
 			continue
 		}
 		next.pass = before.pass.plus(c.pass.times(end - at))
-		next.cost = before.cost + way + c.perStage + c.perLayer*float64(end-at)
+		next.cost = before.cost + transfer + c.perStage + c.perLayer*float64(end-at)
 		if end == e.Layers {
 			next.cost += float64(time.Duration(a.answer) * e.delay(c.Hall, next.first.Hall))
 		}
@@ -266,22 +267,24 @@
 	}
 }
 
-// partOf returns a number from 0 to 1 that this VM has drawn for a target, once: drawn for
-// each request, a VM without room would have it after some requests more.
-func (r *Router) partOf(t *target) float64 {
+// admissionFraction returns a number from 0 to 1 that is fixed for this VM and target. If
+// it were drawn anew for each request, a VM without room would get it after a few more
+// requests.
+func (r *Router) admissionFraction(t *target) float64 {
 	return rand.New(rand.NewPCG(r.settings.Seed, uint64(t.key))).Float64()
 }
 
-// layersMost returns the layers that a target has memory for, for one request more. A VM
-// that takes all others to do as it does admits at random, so that all of them together admit
-// about as many as there is room for.
-func (r *Router) layersMost(e *Engine, kind Accelerator, a Ask, t *target) int {
+// layerLimit returns the number of layers that a target has memory for, for one more
+// request. A VM without reports from the others assumes that each of them does as it does,
+// and admits at random so that all VMs together admit about as many requests as there is
+// room for.
+func (r *Router) layerLimit(e *Engine, kind Accelerator, a Ask, t *target) int {
 	held := t.Layers.Len()
-	room := memoryUse*float64(e.tokenLayers(kind, held)) - float64(r.load(t).Tokens)
+	room := maxMemoryShare*float64(e.tokenLayers(kind, held)) - float64(r.load(t).Tokens)
 	need := float64(max(a.held(), 1))
 	sampled := !r.othersKnown && r.settings.Policy.Has(StartSampling)
 	if sampled {
-		need *= r.partOf(t) * float64(r.vms)
+		need *= r.admissionFraction(t) * float64(r.vms)
 	}
 	if room < 0 {
 		return 0
@@ -290,15 +293,16 @@
 		return held
 	}
 	if sampled {
-		// Parts would add up to more than there is room for: all VMs have some.
+		// Running a part of the range would admit more than there is room for in total,
+		// since every VM has some.
 		return 0
 	}
 	return int(room / need)
 }
 
-// costsOf returns a target as a candidate, with the time that it takes for the whole
-// of a request.
-func (r *Router) costsOf(e *Engine, kind Accelerator, a Ask, t *target) candidate {
+// candidateFor returns a target as a candidate, with the time that it takes for the whole
+// request.
+func (r *Router) candidateFor(e *Engine, kind Accelerator, a Ask, t *target) candidate {
 	load := r.load(t)
 	layers := float64(t.Layers.Len())
 	share := layers / float64(e.Layers)
@@ -306,25 +310,25 @@
 	step := float64(e.StepBase) + float64(e.StepPerRequest)*float64(load.Requests+1) + float64(e.StepPerKilotoken)*context/1000
 	read := float64(time.Second) * float64(a.Prompt) / max(e.ReadPerSecond, 1) * kind.Read
 	use := (float64(load.Tokens) + float64(a.held())*layers) / float64(max(e.tokenLayers(kind, t.Layers.Len()), 1))
-	weight := r.weightOf(t, use)
+	weight := r.costWeight(t, use)
 	c := candidate{
 		target:   t,
 		perLayer: weight * (read + float64(a.answer)*step*kind.Pace) / float64(e.Layers),
 		pass:     e.passOf(kind, load, t.Layers.Len()),
 	}
 	if r.settings.Policy.Has(UnreadPrompts) {
-		c.perStage = weight * unreadWeight * float64(load.Unread) / e.readRate(kind, load, share)
+		c.perStage = weight * unreadPromptWeight * float64(load.Unread) / e.readRate(kind, load, share)
 	}
 	return c
 }
 
-// weightOf returns what the time at a target is multiplied by. Use is the part of its
-// memory that is taken.
-func (r *Router) weightOf(t *target, use float64) float64 {
+// costWeight returns the factor for the time at a target. use is the share of its memory in
+// use.
+func (r *Router) costWeight(t *target, use float64) float64 {
 	p := r.settings.Policy
 	weight := 1.0
 	if p.Has(Crowding) {
-		weight += crowd * use * use
+		weight += crowdingWeight * use * use
 	}
 	if p.Has(FailureMean) {
 		weight += t.failures * failurePenalty
@@ -332,8 +336,8 @@
 	return weight
 }
 
-// readRate is the prompt tokens that an engine reads in a nanosecond beside its
-// writers: at most a chunk in each pass over all of them.
+// readRate returns the prompt tokens that an engine reads in a nanosecond while it also
+// writes answers: at most one chunk in each pass over all requests.
 func (e *Engine) readRate(kind Accelerator, load Work, share float64) float64 {
 	context := float64(load.Tokens) / (share * float64(e.Layers))
 	step := float64(e.StepBase) + float64(e.StepPerRequest)*float64(load.Requests) + float64(e.StepPerKilotoken)*context/1000
@@ -341,7 +345,7 @@
 	return float64(max(e.Chunk, 1)) / max(pass, 1)
 }
 
-// pipeCost is what a change of halls counts for.
+// pipeCost returns the cost of a change of halls.
 func (r *Router) pipeCost(e *Engine, from, to *target, a Ask) time.Duration {
 	if from.Hall == to.Hall || e.PipeBits <= 0 {
 		return 0
@@ -351,13 +355,14 @@
 	if !r.settings.Policy.Has(PipeCaution) {
 		return time.Duration(once)
 	}
-	return time.Duration(pipeCaution * once)
+	return time.Duration(pipeContentionFactor * once)
 }
 
-// stagesTo follows the best way over some layers back to its beginning, and counts
-// the changes of halls on it. An engine that the way leaves and comes back to runs the
-// layers between itself: it holds them, and a path names no engine twice.
-func stagesTo(arrivals []arrival, layers config.Range) (stages []Stage, changes int) {
+// reconstruct follows the cheapest way over a range of layers back to its beginning and
+// returns its stages and the number of changes of halls. If the way leaves an engine and
+// returns to it, the engine also runs the layers in between: it holds them, and a path
+// names no engine twice.
+func reconstruct(arrivals []arrival, layers config.Range) (stages []Stage, changes int) {
 	var hops []arrival
 	var ends []int
 	for at := layers.Last; at > layers.First; {
--- a/internal/relay/substitute.go
+++ b/internal/relay/substitute.go
@@ -72,11 +72,11 @@
 	candidates := r.candidates(s, a, hall, now)
 	arrivals := make([]arrival, s.Engine.Layers+1)
 	arrivals[lost.Layers.First] = arrival{ok: true}
-	r.span(s.Engine, a, candidates, lost.Layers, arrivals)
+	r.relaxRange(s.Engine, a, candidates, lost.Layers, arrivals)
 	if !arrivals[lost.Layers.Last].ok {
 		return nil
 	}
-	stages, _ := stagesTo(arrivals, lost.Layers)
+	stages, _ := reconstruct(arrivals, lost.Layers)
 	return stages
 }
 
@@ -92,7 +92,7 @@
 	for _, t := range r.usable(s.Name, a, now, false) {
 		kind, ok := s.Engine.accelerator(t.Accelerator)
 		holds := t.Layers.First <= stage.Layers.First && t.Layers.Last >= stage.Layers.Last
-		if !ok || !holds || t.Hall != hall || r.layersMost(s.Engine, kind, a, t) < stage.Layers.Len() {
+		if !ok || !holds || t.Hall != hall || r.layerLimit(s.Engine, kind, a, t) < stage.Layers.Len() {
 			continue
 		}
 		kind = kind.Slowed(t.slowdown(now))
