--- a/internal/relay/arrange.go
+++ b/internal/relay/arrange.go
@@ -10,85 +10,86 @@
 // This file searches for the plan of one hall that bears the highest rate of answers.
 
 const (
-	// memoryStep is the ratio of the sizes of memory that are tried: of two plans that
-	// lie between, the better one bears a few hundredths more.
+	// memoryStep is the ratio between the memory sizes that are tried: the better of two
+	// plans in between bears a few hundredths more.
 	memoryStep = 1.2
-	// memorySizes bounds the sizes that are tried: 36 steps are a factor of 600, from what
-	// one usual request takes to more than an engine has slots for.
+	// memorySizes bounds the number of sizes that are tried: 36 sizes cover a factor of
+	// 600, from the memory of one usual request to more than an engine has slots for.
 	memorySizes = 36
-	// bearPart is the part of the best plan's rate that a plan must bear to go before it
-	// for bearing the loss of any engine.
-	bearPart = 0.5
-	// sharedPart is the part of the rate with chains that each have cuts of their own with
-	// which shared cuts go before them: an engine that holds just the layers of a lost one
-	// stands in for it, and answers go on; with cuts of their own more of them begin anew.
-	sharedPart = 0.85
+	// survivorPart is the part of the best plan's rate above which a plan that survives the
+	// loss of any engine is preferred to it.
+	survivorPart = 0.5
+	// sharedCutsPart is the part of the rate of chains with separate cuts from which on
+	// shared cuts are preferred: an engine that holds exactly the layers of a lost one
+	// replaces it, and answers go on. With separate cuts, more of them start over.
+	sharedCutsPart = 0.85
 )
 
-// seat is the layers of engines that hold the same in the same place of a round: units[at],
+// placement is the layers of the engines that have the same place in a round: units[at],
 // units[at+step], and so on.
-type seat struct {
+type placement struct {
 	layers          config.Range
 	at, step, count int
-	// round numbers the rounds that the seat is of: they are alike.
+	// round identifies a sequence of identical rounds that the placement belongs to.
 	round int
 }
 
-// candidatePlan is a plan for a hall with what it is worth.
+// candidatePlan is a plan for a hall with its score.
 type candidatePlan struct {
-	seats  []seat
-	filled []unit
-	planWorth
+	placements []placement
+	filled     []unit
+	planScore
 }
 
-// better returns the plan with the higher rate over losses.
+// better returns the plan with the higher mean rate over losses.
 func (c candidatePlan) better(o candidatePlan) candidatePlan {
-	if o.mean > c.mean || c.seats == nil {
+	if o.meanRate > c.meanRate || c.placements == nil {
 		return o
 	}
 	return c
 }
 
 // arrange gives layers to the sorted engines of one hall so that they bear the highest
-// rate; none where they can't hold the model.
+// rate, or to none if they cannot hold the model.
 func (e *Engine) arrange(units []unit) []unit {
-	g := newGauge(e)
+	g := newEstimator(e)
 	shared := e.bestOf(g, units, e.segments)
 	apart := e.bestOf(g, units, e.wholeModel)
-	if shared.mean < sharedPart*apart.mean {
+	if shared.meanRate < sharedCutsPart*apart.meanRate {
 		return apart.units(units)
 	}
 	return shared.units(units)
 }
 
-// bestOf returns the best plan with the segments that a size of memory gives.
-func (e *Engine) bestOf(g *gauge, units []unit, segmentsOf func([]unit, int) []config.Range) candidatePlan {
+// bestOf returns the best plan over all memory sizes, each with the segments that
+// segmentsOf gives for it.
+func (e *Engine) bestOf(g *estimator, units []unit, segmentsOf func([]unit, int) []config.Range) candidatePlan {
 	var best, bearing candidatePlan
 	tokens := e.usual()
-	var before []seat
+	var before []placement
 	for range memorySizes {
 		segments := segmentsOf(units, int(tokens))
 		if len(segments) == 0 {
 			break
 		}
-		seats, rest := e.rounds(units, segments, int(tokens))
-		if !slices.Equal(seats, before) {
-			before = seats
-			c := e.candidate(g, units, seats, rest, int(tokens))
+		placements, rest := e.rounds(units, segments, int(tokens))
+		if !slices.Equal(placements, before) {
+			before = placements
+			c := e.evaluate(g, units, placements, rest, int(tokens))
 			best = best.better(c)
-			if c.bears {
+			if c.survivesLoss {
 				bearing = bearing.better(c)
 			}
 		}
 		tokens *= memoryStep
 	}
-	if bearing.whole > bearPart*best.whole {
+	if bearing.fullRate > survivorPart*best.fullRate {
 		return bearing
 	}
 	return best
 }
 
-// wholeModel returns the model as one segment, where a chain holds it: each chain then has
+// wholeModel returns the model as one segment if a chain can hold it. Each chain then has
 // cuts of its own.
 func (e *Engine) wholeModel(units []unit, tokens int) []config.Range {
 	if len(e.chain(units, tokens)) == 0 {
@@ -97,16 +98,16 @@
 	return []config.Range{{Last: e.Layers}}
 }
 
-// segments returns the ranges of the first chain, whose cuts all others share: each of its
-// engines of the fastest kind has one, and the slower ones together. None if there is no
-// chain.
+// segments returns the ranges of the first chain, whose cuts all other chains share: one
+// for each of its engines of the fastest kind, and one for the slower engines together. It
+// returns none if there is no chain.
 func (e *Engine) segments(units []unit, tokens int) []config.Range {
 	chain := e.chain(units, tokens)
 	if len(chain) == 0 {
 		return nil
 	}
 	var segments []config.Range
-	for i, layers := range inRow(e.split(chain, e.Layers, tokens)) {
+	for i, layers := range consecutive(e.split(chain, e.Layers, tokens)) {
 		if i > 0 && chain[i].kind.Name != chain[0].kind.Name {
 			return append(segments, config.Range{First: layers.First, Last: e.Layers})
 		}
@@ -118,24 +119,24 @@
 }
 
 // rounds covers all segments in turn with groups of engines, the fastest first, as often as
-// there are enough. The rest are too few for one more round.
-func (e *Engine) rounds(units []unit, segments []config.Range, tokens int) (seats []seat, rest []unit) {
+// there are enough engines. The rest are too few for another round.
+func (e *Engine) rounds(units []unit, segments []config.Range, tokens int) (placements []placement, rest []unit) {
 	next := 0
 	for {
 		round, used := e.round(units, next, segments, tokens)
 		if used == 0 {
-			return seats, units[next:]
+			return placements, units[next:]
 		}
 		times := max(alikeFrom(units, next)/used, 1)
 		for _, s := range round {
 			s.step, s.count, s.round = used, times, next
-			seats = append(seats, s)
+			placements = append(placements, s)
 		}
 		next += used * times
 	}
 }
 
-// alikeFrom counts the engines of one kind from one on.
+// alikeFrom counts the consecutive engines of one kind from an index on.
 func alikeFrom(units []unit, next int) int {
 	n := 0
 	for next+n < len(units) && units[next+n].kind.Name == units[next].kind.Name {
@@ -144,9 +145,9 @@
 	return n
 }
 
-// round covers each segment once, from an engine on, and returns how many it takes; 0 if
-// there are too few.
-func (e *Engine) round(units []unit, next int, segments []config.Range, tokens int) (seats []seat, used int) {
+// round covers each segment once with the engines from an index on, and returns how many it
+// uses, or 0 if there are too few.
+func (e *Engine) round(units []unit, next int, segments []config.Range, tokens int) (placements []placement, used int) {
 	at := next
 	for _, s := range segments {
 		n, size := at, 0
@@ -157,34 +158,34 @@
 		if size < s.Len() {
 			return nil, 0
 		}
-		for i, layers := range inRow(e.split(units[at:n], s.Len(), tokens)) {
+		for i, layers := range consecutive(e.split(units[at:n], s.Len(), tokens)) {
 			if layers.Len() > 0 {
 				layers.First += s.First
 				layers.Last += s.First
-				seats = append(seats, seat{layers: layers, at: at + i})
+				placements = append(placements, placement{layers: layers, at: at + i})
 			}
 		}
 		at = n
 	}
-	return seats, at - next
+	return placements, at - next
 }
 
-// candidate returns the plan with these seats, and the rest at the layers with the least
-// memory.
-func (e *Engine) candidate(g *gauge, units []unit, seats []seat, rest []unit, tokens int) candidatePlan {
-	var held []like
-	for _, s := range seats {
-		held = e.addLike(held, &units[s.at].kind, s.layers, s.count)
+// evaluate returns the plan with these placements, and the rest of the engines at the
+// layers with the least memory.
+func (e *Engine) evaluate(g *estimator, units []unit, placements []placement, rest []unit, tokens int) candidatePlan {
+	var held []engineGroup
+	for _, s := range placements {
+		held = e.addToGroup(held, &units[s.at].kind, s.layers, s.count)
 	}
 	filled := e.fill(rest, held, tokens)
 	for i := range filled {
-		held = e.addLike(held, &filled[i].kind, filled[i].target.Layers, 1)
+		held = e.addToGroup(held, &filled[i].kind, filled[i].target.Layers, 1)
 	}
-	return candidatePlan{seats: seats, filled: filled, planWorth: g.worth(inOrder(held))}
+	return candidatePlan{placements: placements, filled: filled, planScore: g.score(sortByPace(held))}
 }
 
-// inRow returns consecutive ranges of the given sizes.
-func inRow(sizes []int) []config.Range {
+// consecutive returns consecutive ranges of the given sizes.
+func consecutive(sizes []int) []config.Range {
 	ranges := make([]config.Range, len(sizes))
 	first := 0
 	for i, n := range sizes {
@@ -194,16 +195,16 @@
 	return ranges
 }
 
-// units returns the engines with the layers that a plan gives them, round by round.
+// units returns the engines with the layers that the plan gives them, round by round.
 func (c candidatePlan) units(units []unit) []unit {
 	out := make([]unit, 0, len(units))
-	for from := 0; from < len(c.seats); {
+	for from := 0; from < len(c.placements); {
 		to := from
-		for to < len(c.seats) && c.seats[to].round == c.seats[from].round {
+		for to < len(c.placements) && c.placements[to].round == c.placements[from].round {
 			to++
 		}
-		for k := range c.seats[from].count {
-			for _, s := range c.seats[from:to] {
+		for k := range c.placements[from].count {
+			for _, s := range c.placements[from:to] {
 				u := units[s.at+k*s.step]
 				u.target.Layers = s.layers
 				out = append(out, u)
@@ -215,8 +216,8 @@
 }
 
 // fill gives engines that are too few for a chain the layers with the least memory for
-// requests beside what is held, each of them with memory for so many tokens.
-func (e *Engine) fill(rest []unit, held []like, tokens int) []unit {
+// requests so far, so that each of them has memory for the given number of tokens.
+func (e *Engine) fill(rest []unit, held []engineGroup, tokens int) []unit {
 	level := make([]float64, e.Layers)
 	ends := map[int]bool{0: true, e.Layers: true}
 	for _, l := range held {
@@ -226,7 +227,7 @@
 	cuts := slices.Sorted(maps.Keys(ends))
 	var out []unit
 	for _, u := range rest {
-		u.target.Layers = weakest(level, cuts, e.layersFor(u.kind, tokens))
+		u.target.Layers = scarcestRange(level, cuts, e.layersFor(u.kind, tokens))
 		if u.target.Layers.Len() == 0 {
 			continue
 		}
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -70,7 +70,7 @@
 			b.ReportMetric(whole.Answers, "answers")
 			b.ReportMetric(float64(whole.Copies), "copies")
 			b.ReportMetric(fleet.engine.HoldAfter(held, 3).Rate, "answers/s-3-lost")
-			b.ReportMetric(fleet.engine.MostOf(targets).RateByMemory, "bound-answers/s")
+			b.ReportMetric(fleet.engine.UpperBound(targets).RateByMemory, "bound-answers/s")
 		})
 	}
 }
--- a/internal/relay/bound.go
+++ b/internal/relay/bound.go
@@ -6,42 +6,43 @@
 	"time"
 )
 
-// This file says what any plan of a fleet could hold at most.
+// This file computes an upper bound on the capacity of any plan for a fleet.
 //
-// Answers in progress are bounded by the memory that is left beside one copy of the
-// weights. For the rate, let an engine hold n of L layers and memory for b answers, and let
-// D be the time of an answer that ran on engines like it alone, with b on each. An answer
-// takes memory on all engines of its path for the mean of their D, weighted by their parts
-// of the layers; so it takes the sum of part/D over its engines for that long, which by the
-// inequality of Cauchy and Schwarz is at least 1. The engines together have the sum of
-// n*b/(L*D), and no plan bears more answers a second. Few layers leave memory for many
-// answers, which make steps long; of all n the best counts. Chains of like engines come
-// nearest to the bound.
+// The number of answers in progress is bounded by the memory that is left beside one copy
+// of the weights. For the rate, let an engine hold n of L layers and memory for b answers,
+// and let D be the time of an answer that runs only on engines like it, with b answers on
+// each. An answer occupies memory on all engines of its path for the mean of their D,
+// weighted by their parts of the layers. It therefore occupies the sum of part/D over its
+// engines for that long; by the Cauchy-Schwarz inequality, the product is at least 1. All
+// engines together have the sum of n*b/(L*D), and no plan bears more answers a second. With
+// few layers, memory is left for many answers, which make steps long; the bound uses the
+// best n. Chains of similar engines come closest to the bound.
 //
-// Engines also work for each token that they write or read, however many answers share a
-// pass, which bounds the rate for itself.
+// Engines also do work for each token that they write or read, however many answers share a
+// pass. This bounds the rate separately.
 //
-// Limits: engines count as holding what is best for themselves, whether the layers add up
-// or not, pipes and slots as without bound, and ways between engines as without time.
+// Limits: each engine is assumed to hold what is best for itself, whether the layers add up
+// or not; pipes and slots are assumed to be unlimited, and transfers between engines to
+// take no time.
 
-// Most is what any plan for a fleet could hold at most.
+// Most is an upper bound on the capacity of any plan for a fleet.
 type Most struct {
-	// Answers is the number in progress, by memory.
+	// Answers is the number of answers in progress, by memory.
 	Answers float64 `json:"answers"`
 	// RateByMemory and RateByWork are answers a second: by memory and the time that it is
-	// taken for, and by what engines work for each token.
+	// occupied, and by the work of engines for each token.
 	RateByMemory float64 `json:"rate_by_memory"`
 	RateByWork   float64 `json:"rate_by_work"`
 }
 
-// MostOf returns what any plan for targets could hold at most.
-func (e *Engine) MostOf(targets []Target) Most {
+// UpperBound returns the upper bound on the capacity of any plan for the targets.
+func (e *Engine) UpperBound(targets []Target) Most {
 	var m Most
 	bytes := -float64(e.Layers) * e.LayerBytes
 	for _, k := range e.kindsOf(targets) {
 		bytes += k.Bytes
-		m.RateByMemory += e.mostRate(k)
-		m.RateByWork += 1 / max(e.workFor(k), 1/maxRate)
+		m.RateByMemory += e.maxRateOf(k)
+		m.RateByWork += 1 / max(e.workPerAnswer(k), 1/maxRate)
 	}
 	if bytes < 0 {
 		return Most{}
@@ -50,15 +51,16 @@
 	return m
 }
 
-// MostAfter returns what MostOf does once the engines are lost that add most to the rate.
+// MostAfter returns the upper bound after the loss of the engines that add most to the
+// rate.
 func (e *Engine) MostAfter(targets []Target, losses int) Most {
 	rate := func(t Target) float64 {
 		kind, _ := e.accelerator(t.Accelerator)
-		return e.mostRate(kind)
+		return e.maxRateOf(kind)
 	}
 	left := slices.Clone(targets)
 	slices.SortStableFunc(left, func(a, b Target) int { return cmp.Compare(rate(b), rate(a)) })
-	return e.MostOf(left[min(losses, len(left)):])
+	return e.UpperBound(left[min(losses, len(left)):])
 }
 
 // kindsOf returns the kinds of the targets that take work.
@@ -72,8 +74,8 @@
 	return kinds
 }
 
-// mostRate is the most that one engine adds to the rate of answers.
-func (e *Engine) mostRate(k Accelerator) float64 {
+// maxRateOf returns the most that one engine adds to the rate of answers.
+func (e *Engine) maxRateOf(k Accelerator) float64 {
 	most := 0.0
 	for n := 1; n <= min(e.maxLayers(k), e.Layers); n++ {
 		answers := e.answersAt(k, n)
@@ -84,34 +86,36 @@
 	return most
 }
 
-// workFor is the seconds that engines of a kind work for one answer, beside others.
-func (e *Engine) workFor(k Accelerator) float64 {
+// workPerAnswer returns the seconds of work of engines of a kind for one answer, beside
+// others.
+func (e *Engine) workPerAnswer(k Accelerator) float64 {
 	write := e.perAnswer() * k.Pace * float64(e.UsualAnswer) / float64(time.Second)
 	return write + float64(e.UsualPrompt)*k.Read/max(e.ReadPerSecond, 1)
 }
 
-// perAnswer is what each answer adds to a step over all layers, in nanoseconds.
+// perAnswer returns what each answer adds to a step over all layers, in nanoseconds.
 func (e *Engine) perAnswer() float64 {
 	return float64(e.StepPerRequest) + float64(e.StepPerKilotoken)*e.usual()/1000
 }
 
-// Hold returns what a fleet holds with the layers that its targets say, over all halls.
+// Hold returns the capacity of a fleet with the layers that its targets report, over all
+// halls.
 func (e *Engine) Hold(targets []Target) Capacity {
-	return e.capacityOf(e.likesByHall(targets))
+	return e.totalCapacity(e.groupsByHall(targets))
 }
 
-// HoldAfter returns what Hold does after a number of losses over all halls, each that of the
-// engine whose loss costs most.
+// HoldAfter returns the capacity after a number of losses over all halls. Each step loses
+// the engine whose loss costs most.
 func (e *Engine) HoldAfter(targets []Target, losses int) Capacity {
-	halls := e.likesByHall(targets)
+	halls := e.groupsByHall(targets)
 	for range losses {
 		e.loseWorst(halls)
 	}
-	return e.capacityOf(halls)
+	return e.totalCapacity(halls)
 }
 
-// capacityOf returns what halls hold together.
-func (e *Engine) capacityOf(halls [][]like) Capacity {
+// totalCapacity returns the capacity of halls together.
+func (e *Engine) totalCapacity(halls [][]engineGroup) Capacity {
 	var all Capacity
 	for _, held := range halls {
 		all = all.plus(e.capacity(held))
@@ -119,14 +123,14 @@
 	return all
 }
 
-// loseWorst takes the engine away whose loss costs the most rate.
-func (e *Engine) loseWorst(halls [][]like) {
-	var lost *like
+// loseWorst removes the engine whose loss costs the most rate.
+func (e *Engine) loseWorst(halls [][]engineGroup) {
+	var lost *engineGroup
 	most := -1.0
-	g := newGauge(e)
+	g := newEstimator(e)
 	for _, held := range halls {
 		before := g.capacity(held).Rate
-		for _, i := range e.weighty(held) {
+		for _, i := range e.criticalGroups(held) {
 			held[i].count--
 			if cost := before - g.capacity(held).Rate; cost > most {
 				lost, most = &held[i], cost
@@ -139,57 +143,57 @@
 	}
 }
 
-// likesByHall groups the targets that hold layers and take work, by hall; as one hall where
-// none holds the model by itself.
-func (e *Engine) likesByHall(targets []Target) [][]like {
+// groupsByHall groups the targets that hold layers and take work, by hall, or as one hall
+// if no hall holds the model by itself.
+func (e *Engine) groupsByHall(targets []Target) [][]engineGroup {
 	var units []unit
 	for _, t := range targets {
 		if kind, ok := e.accelerator(t.Accelerator); ok && t.Takes() {
 			units = append(units, unit{target: t, kind: kind})
 		}
 	}
-	var halls [][]like
+	var halls [][]engineGroup
 	whole := false
 	for _, hall := range hallNames(units) {
-		held := e.likes(inHall(units, hall))
+		held := e.groupsOf(inHall(units, hall))
 		halls = append(halls, held)
 		whole = whole || e.capacity(held).Answers > 0
 	}
 	if !whole {
-		return [][]like{e.likes(units)}
+		return [][]engineGroup{e.groupsOf(units)}
 	}
 	return halls
 }
 
-// Needed returns the answers that are in progress on a fleet at a rate, by Little's law,
-// and whether it bears the rate.
+// Needed returns the number of answers that are in progress on a fleet at a rate, by
+// Little's law, and whether the fleet bears the rate.
 func (e *Engine) Needed(targets []Target, rate float64) (answers float64, borne bool) {
 	most := e.Hold(targets)
 	if most.Rate <= 0 {
 		return 0, false
 	}
-	// Each hall is given the rate in proportion to what it bears.
-	for _, held := range e.likesByHall(targets) {
+	// Each hall gets a part of the rate in proportion to the rate that it bears.
+	for _, held := range e.groupsByHall(targets) {
 		c := e.capacity(held)
 		answers += e.answersFor(held, c, rate*c.Rate/most.Rate)
 	}
 	return answers, most.Rate >= rate
 }
 
-// bisections is how often answersFor halves its interval: the rest of it is 1e-12 of the
-// first, far less than a hundredth of an answer.
+// bisections is the number of times that answersFor halves its interval: the rest is 1e-12
+// of the first interval, far less than a hundredth of an answer.
 const bisections = 40
 
-// answersFor returns the fewest answers in progress in a hall that end at a rate.
-func (e *Engine) answersFor(held []like, most Capacity, rate float64) float64 {
+// answersFor returns the fewest answers in progress in a hall that end at the given rate.
+func (e *Engine) answersFor(held []engineGroup, most Capacity, rate float64) float64 {
 	if most.Rate <= rate {
 		return most.Answers
 	}
-	stretches := newGauge(e).stretch(held)
+	spans := newEstimator(e).spansOf(held)
 	low, high := 0.0, most.Answers
 	for range bisections {
 		middle := (low + high) / 2
-		if e.rateOf(stretches, middle) < rate {
+		if e.rateOf(spans, middle) < rate {
 			low = middle
 		} else {
 			high = middle
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -10,32 +10,33 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// This file says what a plan holds: how many answers can be in progress, how long one
-// takes, and at what rate they can come.
+// This file computes the capacity of a plan: how many answers can be in progress, how long
+// an answer takes, and the rate at which answers can arrive.
 //
-// An answer takes memory on each layer for as long as it runs, so that the layer with the
-// least memory over all its holders bounds the answers in progress. By Little's law those
-// divided by the time of an answer is the rate that the plan bears: a slow stage takes the
-// memory of all other stages of its path for longer. Answers take the fastest holders that
-// have room first, as the choice of paths does; the rate is the sum over the answers in
-// progress, each by its own time.
+// An answer occupies memory on each layer for as long as it runs, so the layer with the
+// least memory over all its holders limits the answers in progress. By Little's law, that
+// number divided by the time of an answer is the rate that the plan bears: a slow stage
+// occupies the memory of all other stages of its path for longer. Answers use the fastest
+// holders with room first, as path selection does. The rate is the sum over the answers in
+// progress, each with its own time.
 //
-// Limits: the memory of an engine counts as spread evenly over its layers, each step as
-// long as with all the answers that its engine has memory for, and paths as within a hall.
+// Limits: the model assumes that the memory of an engine is spread evenly over its layers,
+// that each step takes as long as with all the answers that the engine has memory for, and
+// that paths stay within a hall.
 
-// Capacity is what engines hold, in usual requests.
+// Capacity is the capacity of engines, in usual requests.
 type Capacity struct {
-	// Answers is the number that can be in progress.
+	// Answers is the number of answers that can be in progress.
 	Answers float64 `json:"answers"`
-	// Rate is the number a second that can be borne.
+	// Rate is the number of answers a second that can be borne.
 	Rate float64 `json:"rate"`
-	// Time is how long one takes at that rate.
+	// Time is how long an answer takes at that rate.
 	Time time.Duration `json:"time"`
-	// Copies is the least number of engines that hold a layer.
+	// Copies is the number of engines that hold a layer, for the layer with the fewest.
 	Copies int `json:"copies"`
 }
 
-// plus returns what two halls hold together.
+// plus returns the capacity of two halls together.
 func (c Capacity) plus(o Capacity) Capacity {
 	if c.Answers == 0 {
 		return o
@@ -48,16 +49,17 @@
 	return sum
 }
 
-// littleTime is the time of an answer, by Little's law.
+// littleTime returns the time of an answer by Little's law.
 func littleTime(answers, rate float64) time.Duration {
 	return time.Duration(min(answers/rate, hourSeconds) * float64(time.Second))
 }
 
-// hourSeconds keeps the time of an answer of a model without a rate finite.
+// hourSeconds bounds the time of an answer, which would be infinite for a model without a
+// rate.
 const hourSeconds = 3600
 
-// like are engines of one kind that hold the same layers.
-type like struct {
+// engineGroup is a number of engines of one kind that hold the same layers.
+type engineGroup struct {
 	kind   *Accelerator
 	layers config.Range
 	count  int
@@ -65,54 +67,55 @@
 	room room
 }
 
-// room is memory for so many usual requests at one layer, and the time that a step of one
-// of them takes there, in nanoseconds.
+// room is the memory at one layer, in usual requests, and the time that a step of one of
+// them takes there, in nanoseconds.
 type room struct{ answers, step float64 }
 
-// likes groups the engines that hold layers, the fastest kinds first.
-func (e *Engine) likes(units []unit) []like {
-	var all []like
+// groupsOf groups the engines that hold layers, the fastest kinds first.
+func (e *Engine) groupsOf(units []unit) []engineGroup {
+	var all []engineGroup
 	for i := range units {
 		if u := &units[i]; e.holds(u.target.Layers) {
-			all = e.addLike(all, &u.kind, u.target.Layers, 1)
+			all = e.addToGroup(all, &u.kind, u.target.Layers, 1)
 		}
 	}
-	return inOrder(all)
+	return sortByPace(all)
 }
 
-// addLike counts engines to the group that they belong to.
-func (e *Engine) addLike(all []like, kind *Accelerator, layers config.Range, count int) []like {
+// addToGroup adds engines to the group that they belong to.
+func (e *Engine) addToGroup(all []engineGroup, kind *Accelerator, layers config.Range, count int) []engineGroup {
 	for i := range all {
 		if all[i].layers == layers && all[i].kind.Name == kind.Name {
 			all[i].count += count
 			return all
 		}
 	}
-	return append(all, like{kind: kind, layers: layers, count: count, room: e.roomOf(kind, layers.Len())})
+	return append(all, engineGroup{kind: kind, layers: layers, count: count, room: e.roomOf(kind, layers.Len())})
 }
 
-// inOrder sorts groups by their speed.
-func inOrder(all []like) []like {
-	slices.SortStableFunc(all, func(a, b like) int { return cmp.Compare(a.kind.Pace, b.kind.Pace) })
+// sortByPace sorts groups by speed.
+func sortByPace(all []engineGroup) []engineGroup {
+	slices.SortStableFunc(all, func(a, b engineGroup) int { return cmp.Compare(a.kind.Pace, b.kind.Pace) })
 	return all
 }
 
-// deviations is how many standard deviations of the answers in progress at an engine its
-// memory is kept free for: their number varies by its root, and those above the memory are
-// refused or evict others. Two leave 1 in 40 moments without room.
-const deviations = 2
+// headroomDeviations is the memory kept free at an engine, in standard deviations of the
+// number of answers in progress there. That number varies by its square root, and answers
+// beyond the memory are refused or evict others. With two, there is no room 1 time in 40.
+const headroomDeviations = 2
 
-// answersAt is the usual requests in progress, in the mean, that one engine has memory for.
+// answersAt returns the mean number of usual requests in progress that one engine has
+// memory for.
 func (e *Engine) answersAt(kind Accelerator, layers int) float64 {
 	most := max(maxMemoryShare*float64(e.tokens(kind, layers))/e.usual(), 0)
-	return max(most-deviations*math.Sqrt(most), 0)
+	return max(most-headroomDeviations*math.Sqrt(most), 0)
 }
 
-// usual is the tokens of a usual request.
+// usual returns the number of tokens of a usual request.
 func (e *Engine) usual() float64 { return float64(max(e.UsualPrompt+e.UsualAnswer, 1)) }
 
-// roomOf is what an engine adds at each of so many layers. The way from engine to engine
-// counts a part for each layer: it is taken once for each stride of steps.
+// roomOf returns what an engine with this many layers adds at each of them. A transfer
+// between engines happens once for each stride of steps and is divided among the layers.
 func (e *Engine) roomOf(kind *Accelerator, layers int) room {
 	answers := e.answersAt(*kind, layers)
 	step := float64(e.StepBase) + answers*e.perAnswer()
@@ -120,39 +123,40 @@
 	return room{answers: answers, step: waitShare*step*kind.Pace/float64(e.Layers) + way}
 }
 
-// gauge works out what engines hold. It keeps its memory from one plan to the next, of
-// which a search looks at a thousand.
-type gauge struct {
-	engine    *Engine
-	at        []int
-	stretches []stretch
-	rooms     []room
+// estimator computes the capacity of engines. It reuses its buffers from one plan to the
+// next, since a search evaluates about a thousand plans.
+type estimator struct {
+	engine *Engine
+	at     []int
+	spans  []layerSpan
+	rooms  []room
 }
 
-func newGauge(e *Engine) *gauge { return &gauge{engine: e, at: make([]int, e.Layers+1)} }
+func newEstimator(e *Engine) *estimator { return &estimator{engine: e, at: make([]int, e.Layers+1)} }
 
-// capacity returns what the engines of one hall hold, given in order of their speed.
-func (e *Engine) capacity(held []like) Capacity { return newGauge(e).capacity(held) }
+// capacity returns the capacity of the engines of one hall, which are given in order of
+// speed.
+func (e *Engine) capacity(held []engineGroup) Capacity { return newEstimator(e).capacity(held) }
 
-func (g *gauge) capacity(held []like) Capacity {
+func (g *estimator) capacity(held []engineGroup) Capacity {
 	e := g.engine
-	most := e.beginnings(held)
+	most := e.startCapacity(held)
 	copies := math.MaxInt
-	stretches := g.stretch(held)
-	for _, s := range stretches {
+	spans := g.spansOf(held)
+	for _, s := range spans {
 		most = min(most, answersIn(s.rooms))
 		copies = min(copies, s.copies)
 	}
 	if most <= 0 {
 		return Capacity{}
 	}
-	c := Capacity{Answers: most, Rate: e.rateOf(stretches, most), Copies: copies}
+	c := Capacity{Answers: most, Rate: e.rateOf(spans, most), Copies: copies}
 	c.Time = littleTime(c.Answers, c.Rate)
 	return c
 }
 
-// beginnings returns the answers that the engines with the first layer take.
-func (e *Engine) beginnings(held []like) float64 {
+// startCapacity returns the answers that the engines with the first layer can take.
+func (e *Engine) startCapacity(held []engineGroup) float64 {
 	total := 0.0
 	for _, l := range held {
 		if l.layers.First == 0 {
@@ -162,40 +166,40 @@
 	return total
 }
 
-// stretch is layers that the same engines hold.
-type stretch struct {
+// layerSpan is a run of layers that the same engines hold.
+type layerSpan struct {
 	layers int
 	copies int
 	rooms  []room
 }
 
-// stretch returns the layers in stretches between the ends of ranges, in order, until the
-// next call.
-func (g *gauge) stretch(held []like) []stretch {
+// spansOf divides the layers at the ends of ranges and returns the spans in order. The
+// result is valid until the next call.
+func (g *estimator) spansOf(held []engineGroup) []layerSpan {
 	count := g.number(held)
-	g.stretches = slices.Grow(g.stretches[:0], count)[:count]
-	clear(g.stretches)
+	g.spans = slices.Grow(g.spans[:0], count)[:count]
+	clear(g.spans)
 	for _, i := range g.at[:g.engine.Layers] {
-		g.stretches[i].layers++
+		g.spans[i].layers++
 	}
 	entries := 0
 	for _, l := range held {
 		entries += g.at[l.layers.Last] - g.at[l.layers.First]
 	}
 	g.rooms = slices.Grow(g.rooms[:0], entries)[:entries]
-	g.divide(held)
+	g.allocateRooms(held)
 	for _, l := range held {
 		r := room{answers: float64(l.count) * l.room.answers, step: l.room.step}
 		for i := g.at[l.layers.First]; i < g.at[l.layers.Last] && l.count > 0; i++ {
-			g.stretches[i].rooms = append(g.stretches[i].rooms, r)
-			g.stretches[i].copies += l.count
+			g.spans[i].rooms = append(g.spans[i].rooms, r)
+			g.spans[i].copies += l.count
 		}
 	}
-	return g.stretches
+	return g.spans
 }
 
-// number numbers the stretches by layer, and returns how many there are.
-func (g *gauge) number(held []like) int {
+// number assigns each layer the index of its span and returns the number of spans.
+func (g *estimator) number(held []engineGroup) int {
 	clear(g.at)
 	for _, l := range held {
 		g.at[l.layers.First], g.at[l.layers.Last] = 1, 1
@@ -207,15 +211,15 @@
 		g.at[i] = count
 	}
 	if layers := g.engine.Layers; g.at[layers] == g.at[layers-1] {
-		// Nobody holds the last layers.
+		// No engine holds the last layers.
 		g.at[layers]++
 	}
 	return g.at[g.engine.Layers]
 }
 
-// divide gives each stretch its part of the memory for rooms.
-func (g *gauge) divide(held []like) {
-	sizes := make([]int, len(g.stretches))
+// allocateRooms gives each span its part of the buffer for rooms.
+func (g *estimator) allocateRooms(held []engineGroup) {
+	sizes := make([]int, len(g.spans))
 	for _, l := range held {
 		for i := g.at[l.layers.First]; i < g.at[l.layers.Last]; i++ {
 			sizes[i]++
@@ -223,7 +227,7 @@
 	}
 	from := 0
 	for i, n := range sizes {
-		g.stretches[i].rooms = g.rooms[from : from : from+n]
+		g.spans[i].rooms = g.rooms[from : from : from+n]
 		from += n
 	}
 }
@@ -236,16 +240,16 @@
 	return total
 }
 
-// shares is the number of equal shares of the answers in progress, each of which counts with
-// the time of its slowest answer: the rate is at most what it says, and less by no more
-// than one share's.
+// shares is the number of equal shares into which the answers in progress are divided. Each
+// share counts with the time of its slowest answer, so the rate is a lower bound that is
+// too low by at most one share.
 const shares = 16
 
-// rateOf returns the rate at which so many answers in progress end.
-func (e *Engine) rateOf(stretches []stretch, answers float64) float64 {
+// rateOf returns the rate at which the given number of answers in progress end.
+func (e *Engine) rateOf(spans []layerSpan, answers float64) float64 {
 	var steps [shares]float64
-	for _, s := range stretches {
-		addSteps(&steps, s, answers/shares)
+	for _, s := range spans {
+		addStepTimes(&steps, s, answers/shares)
 	}
 	rate := 0.0
 	for _, step := range steps {
@@ -255,15 +259,15 @@
 	return rate
 }
 
-// maxRate keeps the rate of a model whose steps take no time finite, in answers a second.
+// maxRate bounds the rate of a model whose steps take no time, in answers a second.
 const maxRate = 1e6
 
-// rounding is how far sums of the same parts may differ.
+// rounding is the tolerance for sums of the same parts.
 const rounding = 1e-9
 
-// addSteps adds the time of a step over a stretch to that of each share of the answers, of
-// which the first take the fastest engines.
-func addSteps(steps *[shares]float64, s stretch, share float64) {
+// addStepTimes adds the time of a step over a span to that of each share of the answers.
+// The first shares use the fastest engines.
+func addStepTimes(steps *[shares]float64, s layerSpan, share float64) {
 	at, upto := 0, s.rooms[0].answers
 	for k := range steps {
 		place := share * float64(k+1)
@@ -278,19 +282,19 @@
 // lossesBorne is the number of engines of a hall whose loss a plan is made to bear.
 const lossesBorne = 3
 
-// lossesMostEngines is the number of engines in a hall above which losses aren't tried:
-// lossesBorne of more than 200 are under 2 in 100.
-const lossesMostEngines = 200
+// maxEnginesForLosses is the size of a hall above which losses are not tried: lossesBorne
+// out of more than 200 engines are less than 2 in 100.
+const maxEnginesForLosses = 200
 
-// afterLosses returns what a hall holds with 0, 1 and up to lossesBorne engines lost, each
-// time the one whose loss costs most of those that are tried.
-func (g *gauge) afterLosses(held []like) [lossesBorne + 1]Capacity {
+// afterLosses returns the capacity of a hall with 0, 1 and up to lossesBorne engines lost.
+// Each step loses the engine whose loss costs most of those that are tried.
+func (g *estimator) afterLosses(held []engineGroup) [lossesBorne + 1]Capacity {
 	var all [lossesBorne + 1]Capacity
 	all[0] = g.capacity(held)
 	left := slices.Clone(held)
 	for n := 1; n <= lossesBorne && all[n-1].Answers > 0; n++ {
 		worst := -1
-		for _, i := range g.engine.weighty(left) {
+		for _, i := range g.engine.criticalGroups(left) {
 			left[i].count--
 			c := g.capacity(left)
 			if c.Answers == 0 && n == 1 {
@@ -306,15 +310,15 @@
 	return all
 }
 
-// restored returns what a hall that lacks layers holds once its own engines have taken them
-// over, less for the time that this takes.
-func (g *gauge) restored(held []like) Capacity {
+// restored returns the capacity of a hall that lacks layers after its own engines have
+// taken them over, reduced for the time that this takes.
+func (g *estimator) restored(held []engineGroup) Capacity {
 	e := g.engine
 	units := unitsOf(held)
 	if len(units) == 0 {
 		return Capacity{}
 	}
-	moves, whole := e.closeGaps(units, int(squeezed*float64(e.wantedBy(units, ""))))
+	moves, whole := e.closeGaps(units, int(squeezed*float64(e.memoryGoal(units, ""))))
 	if !whole {
 		return Capacity{}
 	}
@@ -322,14 +326,14 @@
 		i := slices.IndexFunc(units, func(u unit) bool { return u.target.ID == m.Target })
 		units[i].target.Layers = m.Layers
 	}
-	c := g.capacity(e.likes(units))
+	c := g.capacity(e.groupsOf(units))
 	c.Answers *= restoredPart
 	c.Rate *= restoredPart
 	return c
 }
 
-// unitsOf returns engines as groups describe them, under names of their own.
-func unitsOf(held []like) []unit {
+// unitsOf returns the engines described by groups, with generated names.
+func unitsOf(held []engineGroup) []unit {
 	var units []unit
 	for _, l := range held {
 		for range l.count {
@@ -340,14 +344,14 @@
 	return units
 }
 
-// lossesTried bounds the groups of which the loss of one engine is tried, beside those
-// that alone hold a layer.
+// lossesTried bounds the number of groups for which the loss of one engine is tried. Groups
+// with the only holder of a layer are tried in any case.
 const lossesTried = 8
 
-// weighty returns indices of groups, the worst first: those where the loss of one engine
-// leaves the least memory at some layer. All whose engine alone holds a layer are among
-// them.
-func (e *Engine) weighty(held []like) []int {
+// criticalGroups returns indices of groups, the most critical first: those where the loss
+// of one engine leaves the least memory at some layer. Every group with the only holder of
+// a layer is included.
+func (e *Engine) criticalGroups(held []engineGroup) []int {
 	level := make([]float64, e.Layers)
 	copies := make([]int, e.Layers)
 	for _, l := range held {
@@ -381,34 +385,34 @@
 	}
 }
 
-// restoredPart is what a hall counts for that lacks layers and can get them back from
-// engines of its own: a part of what it then holds, since loads take seconds.
+// restoredPart is the part of its restored capacity that a hall counts for if it lacks
+// layers and can get them back from its own engines: loads take seconds.
 const restoredPart = 0.5
 
-// planWorth is what plans for a hall are compared by.
-type planWorth struct {
-	// bears says that the hall still holds the model, or gets it back from engines of its
-	// own, whichever engine is lost.
-	bears bool
-	// whole is the rate with all engines, and mean that over the losses of 0, 1 and up to
-	// lossesBorne engines.
-	whole, mean float64
+// planScore is what plans for a hall are compared by.
+type planScore struct {
+	// survivesLoss is set if the hall still holds the model after the loss of any one
+	// engine, or gets it back from its own engines.
+	survivesLoss bool
+	// fullRate is the rate with all engines, and meanRate the mean of the rates after the
+	// loss of 0, 1 and up to lossesBorne engines.
+	fullRate, meanRate float64
 }
 
-// worth returns what a plan for a hall is worth.
-func (g *gauge) worth(held []like) planWorth {
+// score returns the score of a plan for a hall.
+func (g *estimator) score(held []engineGroup) planScore {
 	engines := 0
 	for _, l := range held {
 		engines += l.count
 	}
-	if engines > lossesMostEngines {
+	if engines > maxEnginesForLosses {
 		c := g.capacity(held)
-		return planWorth{bears: c.Copies > 1, whole: c.Rate, mean: c.Rate}
+		return planScore{survivesLoss: c.Copies > 1, fullRate: c.Rate, meanRate: c.Rate}
 	}
 	all := g.afterLosses(held)
 	total := 0.0
 	for _, c := range all {
 		total += c.Rate
 	}
-	return planWorth{bears: all[1].Rate > 0, whole: all[0].Rate, mean: total / (lossesBorne + 1)}
+	return planScore{survivesLoss: all[1].Rate > 0, fullRate: all[0].Rate, meanRate: total / (lossesBorne + 1)}
 }
--- a/internal/relay/capacity_test.go
+++ b/internal/relay/capacity_test.go
@@ -73,7 +73,7 @@
 		e := drawSoundEngine(t)
 		targets := drawFleet(t, e.Layers)
 		held := holding(targets, relay.Plan(e, targets))
-		most, holds := e.MostOf(targets), e.Hold(held)
+		most, holds := e.UpperBound(targets), e.Hold(held)
 		require.LessOrEqual(t, holds.Answers, most.Answers*(1+1e-9))
 		require.LessOrEqual(t, holds.Rate, most.RateByMemory*(1+1e-9))
 		require.LessOrEqual(t, e.HoldAfter(held, 3).Rate, holds.Rate*(1+1e-9))
--- a/internal/relay/chain.go
+++ b/internal/relay/chain.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// This file puts engines together to chains that hold a whole model.
+// This file combines engines into chains that hold a whole model.
 
-// chain returns as many of the fastest of sorted engines as hold the model with memory for
-// so many tokens in each; none if all of them don't.
+// chain returns as many of the fastest of the sorted engines as hold the model with memory
+// for the given number of tokens in each, or none if all of them are too few.
 func (e *Engine) chain(units []unit, tokens int) []unit {
 	size := 0
 	for i := range units {
@@ -17,14 +17,14 @@
 	return nil
 }
 
-// splitSteps is the number of halvings between a size of memory with which a chain holds the
-// model and twice as much, with which it doesn't: the rest is a hundredth of a request's
-// worth for most.
+// splitSteps is the number of bisections between a memory size at which a chain holds the
+// model and twice that size, at which it does not: the rest is a hundredth of a request or
+// less in most cases.
 const splitSteps = 10
 
-// split returns how many of some layers each engine of a group holds, so that the one
-// with the least memory for requests has the most. With memory for so many tokens in each
-// they hold the layers.
+// split returns how many layers each engine of a group holds, so that the smallest memory
+// for requests among them is as large as possible. The engines must be able to hold the
+// layers with memory for the given number of tokens in each.
 func (e *Engine) split(group []unit, layers, tokens int) []int {
 	low := max(tokens, 1)
 	high := 2 * low
@@ -62,7 +62,7 @@
 	return total
 }
 
-// trim takes layers above so many from the slowest stages.
+// trim removes the layers beyond the given number from the slowest stages.
 func trim(group []unit, sizes []int, layers int) []int {
 	for surplus := sum(sizes) - layers; surplus > 0; surplus-- {
 		slowest := slices.IndexFunc(sizes, func(n int) bool { return n > 0 })
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -8,44 +8,43 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// This file says which layers each model engine should hold.
+// This file decides which layers each model engine should hold.
 //
-// Problem: engines of unlike speed and memory are to hold a model that none of
-// them can hold alone. Weights and requests share an engine's memory, so layers
-// are traded against requests. What a request hands on at each layer border is
-// far more than fits the pipes between data halls: one
-// crossing of a pipe for each request fills it at some 40 requests a second. A
-// path for a request may be put together from any engines whose ranges join, and
+// Problem: engines of different speed and memory are to hold a model that none of them can
+// hold alone. Weights and requests share an engine's memory, so layers are traded against
+// requests. The activations that a request passes on at each layer border are far too large
+// for the pipes between data halls: one crossing for each request fills a pipe at about 40
+// requests a second. The path of a request may combine any engines whose ranges join, and
 // any engine may die.
 //
-// Algorithm: a hall that can hold the model by itself does. Its fastest engines, as many as
-// hold the model with memory for so many tokens of requests in each, are put together to a
-// chain; the ends of the ranges of its fastest kind are the cuts of the hall. All engines
-// then cover the segments between the cuts in rounds, in order of their speed, each segment
-// by as many as it takes, split so that the one with the least memory has the most. Rounds
-// of like speed let fast memory free soon: an answer takes memory on its fast stages for as
-// long as its slow ones take. Shared cuts let engines stand in for lost ones; where chains
-// that each have cuts of their own bear much more, these are taken. What is left
-// beside whole rounds goes to the layers with the least memory. How much memory is right
-// follows from the fleet: several sizes are tried for each hall, and the one is taken whose
-// plan bears the highest rate of answers, in the mean over the losses of the engines that
-// cost most (arrange.go, capacity.go). Halls that can't hold the model are planned as one.
+// Algorithm: a hall that can hold the model by itself does so. Its fastest engines, as many
+// as hold the model with a given memory for requests in each, form a chain; the ends of the
+// ranges of its fastest kind are the cuts of the hall. All engines then cover the segments
+// between the cuts in rounds, in order of speed. Each segment gets as many engines as it
+// takes, and is split so that the smallest memory for requests among them is as large as
+// possible. Rounds of similar speed release fast memory early: an answer occupies memory on
+// its fast stages for as long as its slow stages take. With shared cuts, engines can
+// replace lost ones; chains with cuts of their own are used where they bear a much higher
+// rate. Engines left over after whole rounds get the layers with the least memory. How much
+// memory is right depends on the fleet: several sizes are tried for each hall, and the plan
+// is taken that bears the highest rate of answers, as the mean over the losses of the
+// engines that cost most (arrange.go, capacity.go). Halls that cannot hold the model are
+// planned as one.
 //
-// An engine that comes later, empty, takes the range that the fewest can run,
-// between two ends that exist already. What works is not moved: every load takes
-// an engine away for seconds.
+// An engine that joins later, empty, gets the range with the least coverage between two
+// existing cuts. Engines that serve are not moved: every load takes an engine out of
+// service for seconds.
 //
-// A hall that has lost layers, and could hold the model, gets them back from an
-// engine of its own that others can stand in for: the least busy one.
+// A hall that has lost layers and could hold the model gets them back from its own engines:
+// the least busy one whose layers are also held by others.
 //
-// Invariants: a range never has more layers than fit the engine's memory; a range
-// that is held is only changed when every layer of it is held in its hall by
-// another.
+// Invariants: a range never has more layers than fit the engine's memory. A range that is
+// held is only changed if another engine in the hall holds every layer of it.
 //
-// Limits: the pipes are kept free as far as halls hold the model, and not
-// otherwise weighed.
+// Limits: traffic on the pipes is avoided as far as halls can hold the model, and is not
+// considered otherwise.
 
-// Assignment is what one engine should hold.
+// Assignment is the layers that one engine should hold.
 type Assignment struct {
 	Target TargetID
 	Layers config.Range
@@ -55,15 +54,15 @@
 type unit struct {
 	target Target
 	kind   Accelerator
-	// fresh says that it has just been given its layers.
+	// fresh is set if the engine was assigned its layers in this plan.
 	fresh bool
 }
 
-// Plan returns what the engines without layers should hold. Targets are those
-// of one service that take work.
+// Plan returns the layers that engines without any should hold. The targets are those of
+// one service that take work.
 func Plan(e *Engine, targets []Target) []Assignment { return Policy{}.Plan(e, targets) }
 
-// Plan returns what Plan does under a policy.
+// Plan returns the plan under a policy.
 func (p Policy) Plan(e *Engine, targets []Target) []Assignment {
 	var empty, holding []unit
 	for _, t := range targets {
@@ -72,8 +71,8 @@
 			continue
 		}
 		if t.Layers.First < 0 || t.Layers.Last > e.Layers {
-			// It holds a part of another model, such as that of an older document: it is
-			// of no use until it is told what to hold.
+			// It holds a part of another model, such as that of an older document, and is
+			// of no use until it is ordered to hold other layers.
 			t.Layers = config.Range{}
 		}
 		u := unit{target: t, kind: kind}
@@ -84,17 +83,16 @@
 		}
 	}
 	if len(holding) == 0 {
-		return e.planAnew(empty)
+		return e.planInitial(empty)
 	}
-	more := e.planMore(empty, holding)
+	more := e.planAdditional(empty, holding)
 	if !p.Has(RepairMoves) {
 		return more
 	}
 	return append(more, e.repair(assumed(holding, empty, more))...)
 }
 
-// assumed returns the engines that hold layers once the assignments are carried
-// out.
+// assumed returns the engines that hold layers after the assignments are carried out.
 func assumed(holding, empty []unit, more []Assignment) []unit {
 	all := slices.Clone(holding)
 	for _, u := range empty {
@@ -109,10 +107,11 @@
 	return all
 }
 
-// wantedBy returns the memory for requests that engines of a hall have, in tokens; that of
-// all halls where the hall holds nothing. A few may have less: those that took over layers
-// of lost ones, and those that say more than they can hold.
-func (e *Engine) wantedBy(holding []unit, hall string) int {
+// memoryGoal returns the memory for requests of the engines of a hall, in tokens, or that
+// of all halls if the hall holds nothing. Engines with much less memory are disregarded:
+// those that took over layers of lost ones, and those that report more layers than they can
+// hold.
+func (e *Engine) memoryGoal(holding []unit, hall string) int {
 	var here, all []int
 	for i := range holding {
 		u := &holding[i]
@@ -132,18 +131,18 @@
 		return int(e.usual())
 	}
 	slices.Sort(here)
-	return max(int(likeEnough*float64(here[int(fewHave*float64(len(here)))])), int(e.usual()))
+	return max(int(memoryTolerance*float64(here[int(lowMemoryShare*float64(len(here)))])), int(e.usual()))
 }
 
 const (
-	// fewHave is the part of the engines that may have less memory than is wanted.
-	fewHave = 0.1
-	// likeEnough is the part of the wanted memory with which an engine still counts as one
-	// that has it: the engines of a chain differ by what one layer takes.
-	likeEnough = 0.9
+	// lowMemoryShare is the share of the engines that may have less memory than the goal.
+	lowMemoryShare = 0.1
+	// memoryTolerance is the part of the goal with which an engine still counts as reaching
+	// it: the engines of a chain differ by the memory of one layer.
+	memoryTolerance = 0.9
 )
 
-// layersFor returns the most layers that leave memory for so many tokens.
+// layersFor returns the most layers that leave memory for the given number of tokens.
 func (e *Engine) layersFor(a Accelerator, tokens int) int {
 	n := min(e.maxLayers(a), e.Layers)
 	if tokens > 0 {
@@ -157,8 +156,8 @@
 	return n
 }
 
-// planAnew plans for engines of which none holds anything.
-func (e *Engine) planAnew(units []unit) []Assignment {
+// planInitial plans for engines that hold no layers yet.
+func (e *Engine) planInitial(units []unit) []Assignment {
 	slices.SortFunc(units, compareUnits)
 	var lists [][]Assignment
 	var placed, rest []unit
@@ -172,17 +171,17 @@
 		placed = append(placed, planned...)
 	}
 	if len(rest) == 0 {
-		return byTurns(lists)
+		return interleave(lists)
 	}
 	slices.SortFunc(rest, compareUnits)
 	together := e.arrange(rest)
 	if len(together) == 0 && len(placed) > 0 {
-		together = e.fill(rest, e.likes(placed), e.wantedBy(placed, ""))
+		together = e.fill(rest, e.groupsOf(placed), e.memoryGoal(placed, ""))
 	}
-	return append(byTurns(lists), assignmentsOf(together)...)
+	return append(interleave(lists), assignmentsOf(together)...)
 }
 
-// byHall returns the units of each hall, in the order of their names.
+// byHall returns the units of each hall, sorted by the names of the halls.
 func byHall(units []unit) [][]unit {
 	sizes := make(map[string]int)
 	for i := range units {
@@ -214,9 +213,9 @@
 	return out
 }
 
-// byTurns puts lists together, one of each in turn, so that all halls get their first copies
-// first.
-func byTurns(lists [][]Assignment) []Assignment {
+// interleave merges lists by taking one element of each in turn, so that all halls get
+// their first copies first.
+func interleave(lists [][]Assignment) []Assignment {
 	var out []Assignment
 	for i := 0; ; i++ {
 		added := false
@@ -232,8 +231,8 @@
 	}
 }
 
-// compareUnits sorts by speed, then by hall, so that a chain changes halls as
-// seldom as it can, then by name.
+// compareUnits sorts by speed, then by hall, so that a chain changes halls as rarely as
+// possible, then by name.
 func compareUnits(a, b unit) int {
 	return cmp.Or(
 		cmp.Compare(a.kind.Pace, b.kind.Pace),
@@ -243,18 +242,18 @@
 	)
 }
 
-// crossRate is the part of an engine's rate that it counts for in another hall:
-// little, since the pipes between halls bear few requests.
-const crossRate = 0.1
+// otherHallRate is the part of an engine's rate that counts in another hall: little, since
+// the pipes between halls carry few requests.
+const otherHallRate = 0.1
 
-// planMore gives engines that came later the ranges that the fewest in their hall
-// can run.
-func (e *Engine) planMore(empty, holding []unit) []Assignment {
+// planAdditional gives engines that joined later the ranges with the least coverage in
+// their hall.
+func (e *Engine) planAdditional(empty, holding []unit) []Assignment {
 	slices.SortFunc(empty, compareUnits)
 	var out []Assignment
 	for _, u := range empty {
-		wanted := e.wantedBy(holding, u.target.Hall)
-		layers := weakest(e.coverage(holding, u.target.Hall), e.cutsFor(holding, u.target.Hall), e.layersFor(u.kind, wanted))
+		wanted := e.memoryGoal(holding, u.target.Hall)
+		layers := scarcestRange(e.coverage(holding, u.target.Hall), e.cutsFor(holding, u.target.Hall), e.layersFor(u.kind, wanted))
 		if layers.Len() == 0 {
 			continue
 		}
@@ -265,8 +264,8 @@
 	return out
 }
 
-// cutsFor returns the ends of the ranges that a hall holds, sorted; those of all
-// halls where the hall lacks layers.
+// cutsFor returns the sorted ends of the ranges that a hall holds, or those of all halls if
+// the hall lacks layers.
 func (e *Engine) cutsFor(holding []unit, hall string) []int {
 	ends := map[int]bool{0: true, e.Layers: true}
 	held := make([]bool, e.Layers)
@@ -292,7 +291,7 @@
 func (e *Engine) coverage(holding []unit, hall string) []float64 {
 	rates := make([]float64, e.Layers)
 	for _, u := range holding {
-		weight := crossRate
+		weight := otherHallRate
 		if u.target.Hall == hall {
 			weight = 1
 		}
@@ -309,14 +308,14 @@
 	}
 }
 
-// scarceFloor keeps a layer that nobody runs from counting without bound: it
-// stands for an engine a thousand times as slow as the fastest.
-const scarceFloor = 1e-3
+// minCoverage limits the scarcity of a layer that no engine runs: it represents an engine a
+// thousand times as slow as the fastest.
+const minCoverage = 1e-3
 
-// weakest returns the range between two cuts, of at most limit layers, that
-// holds the most of what few can run: each layer counts the inverse of its
-// rate. Where a gap is longer than limit, the range is the gap's beginning.
-func weakest(coverage []float64, cuts []int, limit int) config.Range {
+// scarcestRange returns the range between two cuts, of at most limit layers, with the
+// greatest scarcity: each layer counts the inverse of its rate. If a gap is longer than
+// limit, the range is the beginning of the gap.
+func scarcestRange(coverage []float64, cuts []int, limit int) config.Range {
 	best := config.Range{}
 	most := 0.0
 	for i, first := range cuts {
@@ -336,7 +335,7 @@
 func scarcity(coverage []float64, r config.Range) float64 {
 	total := 0.0
 	for _, rate := range coverage[r.First:r.Last] {
-		total += 1 / (rate + scarceFloor)
+		total += 1 / (rate + minCoverage)
 	}
 	return total
 }
--- a/internal/relay/repair.go
+++ b/internal/relay/repair.go
@@ -34,7 +34,7 @@
 // repairHall returns the moves that close the gaps of a hall: with the wanted memory for
 // requests where the engines that may move can, and else with less.
 func (e *Engine) repairHall(units []unit) []Assignment {
-	wanted := e.wantedBy(units, units[0].target.Hall)
+	wanted := e.memoryGoal(units, units[0].target.Hall)
 	step := max(int(squeezed*float64(wanted))/squeezeSteps, 1)
 	for tokens := wanted; tokens >= int(squeezed*float64(wanted)); tokens -= step {
 		if moves, whole := e.closeGaps(units, tokens); whole {
--- a/internal/relay/spare.go
+++ b/internal/relay/spare.go
@@ -37,7 +37,7 @@
 	if work == 0 {
 		return true
 	}
-	wanted := e.wantedBy(all, "")
+	wanted := e.memoryGoal(all, "")
 	for _, units := range halls {
 		if !e.hasEnough(units, wanted) {
 			return true
