--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -318,7 +318,7 @@
 	if len(units) == 0 {
 		return Capacity{}
 	}
-	moves, whole := e.closeGaps(units, int(squeezed*float64(e.memoryGoal(units, ""))))
+	moves, whole := e.closeGaps(units, int(minMemoryPart*float64(e.memoryGoal(units, ""))))
 	if !whole {
 		return Capacity{}
 	}
--- a/internal/relay/document.go
+++ b/internal/relay/document.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// Version numbers the documents; the highest one wins.
+// Version numbers the documents; the highest one is in force.
 type Version uint64
 
-// Repeat says how often a request may run.
+// Repeat is a policy for how often a request may run.
 type Repeat int
 
-// The values of Repeat.
+// The repeat policies.
 const (
-	// RepeatNever: at most one run, ever.
+	// RepeatNever allows one run at most.
 	RepeatNever Repeat = iota
-	// RepeatAlways: any number of runs.
+	// RepeatAlways allows any number of runs.
 	RepeatAlways
-	// RepeatResume: a stream that another engine may go on with.
+	// RepeatResume is for streams that another engine may continue.
 	RepeatResume
 )
 
-// String returns the value's name.
+// String returns the name of the policy.
 func (r Repeat) String() string { return [...]string{"never", "always", "resume"}[r] }
 
-// Document is one whole configuration. It is immutable.
+// Document is a complete configuration. It is immutable.
 type Document struct {
 	Version       Version
 	Routes        []Route
@@ -43,43 +43,43 @@
 	Host   string
 	Prefix string
 	Repeat Repeat
-	// Stream says that the answer is a series of events.
+	// Stream is set if the answer is a stream of events.
 	Stream bool
 	// Timeout bounds the time that a request is held.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to its first event, and Pause that
+	// Objective is the time to the answer, or to its first event, and Pause the time
 	// between two events, within which an answer is in time.
 	Objective time.Duration
 	Pause     time.Duration
-	// Class is the route's priority: a lower number is served first.
+	// Class is the route's priority: lower numbers are served first.
 	Class int
-	// MaxTargets bounds the targets that one request is sent to.
+	// MaxTargets bounds the number of targets that one request is sent to.
 	MaxTargets int
-	// Anonymous routes need no key.
+	// Anonymous routes require no key.
 	Anonymous bool
 	Shares    []Share
 }
 
-// Share is one service's part of a route's requests.
+// Share is the part of a route's requests that goes to one service.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Service is a group of targets that do the same.
+// Service is a group of interchangeable targets, or of engines that hold a model together.
 type Service struct {
 	Name       string
 	HealthPath string
 	// MaxConns bounds the connections to one target from all VMs together.
 	MaxConns int
-	// Engine is set where the targets are model engines.
+	// Engine is set if the targets are model engines.
 	Engine *Engine
 }
 
-// Engine tells how the model engines of a service work. It is the cost model
-// that plans and paths are made with.
+// Engine describes the model engines of a service. It is the cost model for plans and
+// paths.
 type Engine struct {
-	// Slots bounds the requests that an engine takes as the first of a path.
+	// Slots bounds the number of requests that an engine takes as the first of a path.
 	Slots  int
 	Model  string
 	Layers int
@@ -87,26 +87,26 @@
 	LayerBytes float64
 	// TokenBytes is the memory of one token over all layers.
 	TokenBytes float64
-	// StepBase, StepPerRequest and StepPerKilotoken add up to one step over all
-	// layers at pace 1: a constant, a part for each request that writes and one
-	// for each 1,000 tokens of context.
+	// StepBase, StepPerRequest and StepPerKilotoken add up to the time of one step over all
+	// layers at pace 1: a constant, a part for each request that writes, and a part for
+	// each 1,000 tokens of context.
 	StepBase         time.Duration
 	StepPerRequest   time.Duration
 	StepPerKilotoken time.Duration
-	// ReadPerSecond is the number of prompt tokens read in a second over all
-	// layers at a reading factor of 1.
+	// ReadPerSecond is the number of prompt tokens read in a second over all layers, at a
+	// reading factor of 1.
 	ReadPerSecond float64
-	// Chunk bounds the prompt tokens that an engine reads in one pass, and Stride is
-	// the steps that a pass with writers plays.
+	// Chunk bounds the prompt tokens that an engine reads in one pass, and Stride is the
+	// number of steps in a pass of requests that write.
 	Chunk  int
 	Stride int
 	// Load is the time to load all layers.
 	Load time.Duration
-	// LoadsAtOnce is how many loads run before they slow each other down.
+	// LoadsAtOnce is the number of loads that can run before they slow each other down.
 	LoadsAtOnce int
-	// HandOnBytes is what one token takes from one engine to the next, and
-	// PipeBits the rate of a pipe between two halls, in bits a second, that all
-	// requests share.
+	// HandOnBytes is the size of the activations of one token between two engines, and
+	// PipeBits the rate of a pipe between two halls, in bits a second, shared by all
+	// requests.
 	HandOnBytes  float64
 	PipeBits     float64
 	UsualPrompt  int
@@ -120,12 +120,12 @@
 	Name string
 	// Bytes is the memory for weights and requests together.
 	Bytes float64
-	// Pace multiplies the time of steps, and Read that of reading prompts.
+	// Pace multiplies the time of steps, and Read the time of reading prompts.
 	Pace float64
 	Read float64
 }
 
-// Slowed returns the accelerator of an engine that takes so many times longer than usual.
+// Slowed returns the accelerator of an engine whose work takes the given factor longer.
 func (a Accelerator) Slowed(times float64) Accelerator {
 	a.Pace *= times
 	a.Read *= times
@@ -138,11 +138,11 @@
 	Delay    time.Duration
 }
 
-// Organisation is whoever a set of keys belongs to.
+// Organisation is the owner of a set of keys.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Class, where HasClass, goes before that of the route.
+	// Class, if HasClass is set, overrides that of the route.
 	Class    int
 	HasClass bool
 }
@@ -160,7 +160,7 @@
 	return slices.ContainsFunc(d.Services, func(s Service) bool { return s.Name == service })
 }
 
-// Engine returns the cost model of a service's engines, or nil where the document has none.
+// Engine returns the cost model of a service's engines, or nil if the document has none.
 func (d *Document) Engine(service string) *Engine {
 	if d == nil {
 		return nil
@@ -172,7 +172,7 @@
 	return d.Services[i].Engine
 }
 
-// InvalidError says why a document can't be taken.
+// InvalidError reports why a document was not accepted.
 type InvalidError struct {
 	Subject string
 	Reason  string
@@ -206,18 +206,18 @@
 	return d.validateKeys()
 }
 
-// layersMost bounds the layers of a model: fifty times those of the largest that the users
-// run. Plans take memory for each.
-const layersMost = 4096
+// maxModelLayers bounds the layers of a model: fifty times those of the largest model that
+// the users run. Plans take memory for each layer.
+const maxModelLayers = 4096
 
-// validateEngine reports what no plan can be made with.
+// validateEngine rejects cost models that no plan can be made with.
 func (s Service) validateEngine() error {
 	e := s.Engine
 	switch {
 	case e == nil || e.Layers <= 0:
 		return nil
-	case e.Layers > layersMost:
-		return invalid("service "+s.Name, fmt.Sprintf("it has more than %d layers", layersMost))
+	case e.Layers > maxModelLayers:
+		return invalid("service "+s.Name, fmt.Sprintf("it has more than %d layers", maxModelLayers))
 	case e.LayerBytes <= 0 || e.TokenBytes <= 0:
 		return invalid("service "+s.Name, "the memory of a layer or of a token is not above 0")
 	}
@@ -274,8 +274,8 @@
 	return e.Accelerators[i], true
 }
 
-// maxLayers is how many layers of weights fit an accelerator; none where the document gives
-// layers no size.
+// maxLayers returns the number of layers whose weights fit an accelerator, or 0 if the
+// document gives layers no size.
 func (e *Engine) maxLayers(a Accelerator) int {
 	if e.LayerBytes <= 0 {
 		return 0
@@ -283,7 +283,7 @@
 	return int(min(a.Bytes/e.LayerBytes, float64(e.Layers)))
 }
 
-// tokens is the number of tokens that fit beside the weights of n layers.
+// tokens returns the number of tokens that fit beside the weights of n layers.
 func (e *Engine) tokens(a Accelerator, n int) int {
 	if n <= 0 {
 		return 0
@@ -291,7 +291,7 @@
 	return e.tokenLayers(a, n) / n
 }
 
-// tokenLayers is the memory beside the weights of n layers, in tokens times layers.
+// tokenLayers returns the memory beside the weights of n layers, in tokens times layers.
 func (e *Engine) tokenLayers(a Accelerator, n int) int {
 	if e.TokenBytes <= 0 {
 		return 0
@@ -314,15 +314,14 @@
 }
 
 const (
-	// sameHallDelay is the usual one-way delay within a hall, measured on the
-	// users' deployments.
+	// sameHallDelay is the usual one-way delay within a hall of the users' deployments.
 	sameHallDelay = 200 * time.Microsecond
-	// unknownHallDelay stands where a document is silent: a hall of the same
-	// region, with room.
+	// unknownHallDelay is used for halls between which the document gives no delay: halls
+	// of the same region, with some margin.
 	unknownHallDelay = time.Millisecond
 )
 
-// routeTable finds the route of a request.
+// routeTable looks up the route of a request.
 type routeTable struct{ hosts map[string][]*Route }
 
 func newRouteTable(d *Document) routeTable {
--- a/internal/relay/route_path.go
+++ b/internal/relay/route_path.go
@@ -9,10 +9,10 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// This file is where one request goes.
+// This file defines the path of a request.
 
-// Stage is one target of a path, with the layers that it runs. A plain service
-// has one stage and no layers.
+// Stage is one target of a path and the layers that it runs. A plain service has one stage
+// without layers.
 type Stage struct {
 	Target  TargetID
 	Address string
@@ -20,37 +20,38 @@
 	hall    string
 }
 
-// Path is where one request goes.
+// Path is the sequence of targets that serve a request.
 type Path struct {
 	Service string
 	Stages  []Stage
-	// tokens is what the request takes of a target's memory for each layer.
+	// tokens is the memory that the request takes at a target for each layer, in tokens.
 	tokens int
-	// prompt is the tokens that are to be read before the answer begins.
+	// prompt is the number of tokens to be read before the answer begins.
 	prompt int
-	// changes counts the changes of halls.
+	// changes is the number of changes of halls.
 	changes int
 	pass    passTimes
-	// permit says that a permit of the first target is reserved for the request.
+	// permit is set if a permit of the first target is reserved for the request.
 	permit bool
 }
 
 // HasPermit reports whether a permit of the first target is reserved for the request.
 func (p Path) HasPermit() bool { return p.permit }
 
-// First returns the stage that gets the request.
+// First returns the stage that the request is sent to.
 func (p Path) First() Stage { return p.Stages[0] }
 
-// Forecast returns the time of one pass over all stages by the load at the choice, without
-// waits: the least pause between two events; 0 for plain services.
+// Forecast returns the time of one pass over all stages at the load when the path was
+// chosen, without waits, which is the minimum pause between two events. It is 0 for plain
+// services.
 func (p Path) Forecast() time.Duration { return p.pass.loaded }
 
-// Passes reports whether the path runs over a target.
+// Passes reports whether the path includes a target.
 func (p Path) Passes(id TargetID) bool {
 	return slices.ContainsFunc(p.Stages, func(s Stage) bool { return s.Target == id })
 }
 
-// At returns the stage at an address.
+// At returns the stage with an address.
 func (p Path) At(address string) (Stage, bool) {
 	i := slices.IndexFunc(p.Stages, func(s Stage) bool { return s.Address == address })
 	if i < 0 {
@@ -59,7 +60,7 @@
 	return p.Stages[i], true
 }
 
-// String returns the path for the log.
+// String formats the path for the log.
 func (p Path) String() string {
 	var parts []string
 	for _, s := range p.Stages {
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -117,7 +117,7 @@
 	counts := make([]int, s.Engine.Layers)
 	for _, t := range r.members[s.Name] {
 		if condition(t) && t.Layers.Len() > 0 && t.Layers.Last <= s.Engine.Layers {
-			hold(counts, t.Layers)
+			addCopy(counts, t.Layers)
 		}
 	}
 	return slices.Min(counts) > 0
--- a/internal/relay/spare.go
+++ b/internal/relay/spare.go
@@ -1,26 +1,26 @@
 package relay
 
-// This file says whether a fleet that serves is to load more engines.
+// This file decides whether a fleet that serves requests should load more engines.
 //
-// Each load takes a part of a store that all engines share, and a fleet that was sized for
-// an event has ten times what a quiet hour asks for. What is loaded before the first
-// requests come is loaded in any case, as far as time allows.
+// All engines share a store, and each load takes a part of its bandwidth. A fleet that was
+// sized for an event has ten times what a quiet hour requires. Before the first requests
+// come, engines are loaded in any case, as far as time allows.
 
 const (
-	// enoughUse is the part of the memory for requests in use below which a hall has
-	// enough: it then bears twenty times what it is asked.
-	enoughUse = 0.05
-	// beginCopies is how often the engines of each hall could hold the model once a first
-	// plan need not wait for others: the engines that come later then take what the fewest
-	// hold, as those that are replaced do. A smaller fleet is planned as a whole.
-	beginCopies = 8
-	// enoughCopies is the engines that hold each layer in a hall that has enough: two may
-	// be lost.
-	enoughCopies = 3
+	// lowUse is the share of the memory for requests in use below which a hall has enough
+	// engines: it then bears twenty times its load.
+	lowUse = 0.05
+	// firstPlanCopies is how often the engines of each hall could hold the model from which
+	// on a first plan need not wait for others: engines that join later then get what the
+	// fewest hold, as replaced engines do. A smaller fleet is planned as a whole.
+	firstPlanCopies = 8
+	// minCopies is the number of engines that hold each layer in a hall with enough
+	// engines: two may be lost.
+	minCopies = 3
 )
 
-// NeedsMore reports whether empty engines are to load layers: while nothing is under way, or
-// where a hall that could hold the model lacks copies or is in use.
+// NeedsMore reports whether empty engines should load layers: while no requests are in
+// flight, or if a hall that could hold the model lacks copies or is in use.
 func (e *Engine) NeedsMore(targets []Target) bool {
 	halls := make(map[string][]unit)
 	var all []unit
@@ -46,8 +46,8 @@
 	return false
 }
 
-// MayBegin reports whether a first plan may be made for these engines, though more may
-// come: a fleet of thousands registers for as long as it has until the first request.
+// MayBegin reports whether a first plan may be made for these engines although more may
+// join: a fleet of thousands can take until its first request to register.
 func (e *Engine) MayBegin(targets []Target) bool {
 	layers := make(map[string]int)
 	for _, t := range targets {
@@ -56,15 +56,15 @@
 		}
 	}
 	for _, n := range layers {
-		if n < beginCopies*e.Layers {
+		if n < firstPlanCopies*e.Layers {
 			return false
 		}
 	}
 	return len(layers) > 0
 }
 
-// hasEnough reports whether a hall has enough, or could not hold the model anyway with
-// memory for so many tokens in each engine.
+// hasEnough reports whether a hall has enough engines, or could not hold the model anyway
+// with memory for the given number of tokens in each engine.
 func (e *Engine) hasEnough(units []unit, tokens int) bool {
 	size, used, room := 0, 0, 0
 	counts := make([]int, e.Layers)
@@ -76,15 +76,15 @@
 		}
 		used += u.target.Load
 		room += e.tokenLayers(u.kind, layers.Len())
-		hold(counts, layers)
+		addCopy(counts, layers)
 	}
 	if size < e.Layers {
 		return true
 	}
 	for _, copies := range counts {
-		if copies < enoughCopies {
+		if copies < minCopies {
 			return false
 		}
 	}
-	return float64(used) < enoughUse*float64(room)
+	return float64(used) < lowUse*float64(room)
 }
--- a/internal/relay/substitute.go
+++ b/internal/relay/substitute.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// This file replaces one stage of a request that runs.
+// This file replaces stages of a running request.
 //
-// An engine that is first on a path can be told to go on with another engine in the place
-// of a later one: the new one reads all tokens so far through its layers, and all other
-// stages keep what they have. A run that begins anew reads them through all stages, costs
-// a repeat, and loses the pause until then.
+// The engine that is first on a path can be told to continue with another engine in the
+// place of a later one: the new engine reads all tokens so far through its layers, and all
+// other stages keep their state. A run that starts over reads them through all stages,
+// costs a repeat, and pauses the answer until then.
 
-// stagesMost bounds the stages of a path that an engine takes.
-const stagesMost = 32
+// maxStages bounds the stages of a path that an engine accepts.
+const maxStages = 32
 
 // Substitute returns a path with other engines in the place of some of its later stages,
-// and counts the request as under way on it in place of the path given. The engines are of
-// the same hall, since a stage elsewhere crosses the pipes twice with each token.
+// and counts the request as in flight on it instead of on p. The engines are in the same
+// hall, since a stage elsewhere crosses the pipes twice with each token.
 func (r *Router) Substitute(p Path, ids []TargetID, now time.Time) (Path, bool) {
 	s, ok := r.services[p.Service]
 	if !ok || s.Engine == nil || len(ids) == 0 || !r.settings.Policy.Has(StageReplacement) {
@@ -34,7 +34,7 @@
 		if at <= 0 {
 			return Path{}, false
 		}
-		stages := r.standIns(s, Ask{Prompt: p.tokens, Avoid: avoid, answer: 1}, p.Stages[at], p.Stages[0], now)
+		stages := r.replacementStages(s, Ask{Prompt: p.tokens, Avoid: avoid, answer: 1}, p.Stages[at], p.Stages[0], now)
 		if len(stages) == 0 {
 			return Path{}, false
 		}
@@ -43,11 +43,11 @@
 		}
 		at = slices.IndexFunc(next.Stages, func(s Stage) bool { return s.Target == id })
 		if at < 0 {
-			continue // it was named twice
+			continue // the id is given twice
 		}
 		next.Stages = slices.Replace(next.Stages, at, at+1, stages...)
 	}
-	if len(next.Stages) > stagesMost {
+	if len(next.Stages) > maxStages {
 		return Path{}, false
 	}
 	r.count(p, -1)
@@ -55,17 +55,17 @@
 	return next, true
 }
 
-// Restore counts a request as under way on a path again that Substitute has replaced.
+// Restore undoes Substitute: it counts the request as in flight on the original path again.
 func (r *Router) Restore(replaced, p Path) {
 	r.count(replaced, -1)
 	r.count(p, 1)
 }
 
-// standIns returns the stages that take the place of one: a single engine, or several that
-// hold its layers between them; none where its hall has no room. A hall whose engines hold
-// unlike ranges has several more often than one.
-func (r *Router) standIns(s *Service, a Ask, lost, first Stage, now time.Time) []Stage {
-	if best := r.standIn(s, a, lost, first.hall, now); best != nil {
+// replacementStages returns the stages that replace a lost one: a single engine, or several
+// that hold its layers between them, or none if the hall has no room. A hall whose engines
+// hold different ranges more often has several than one.
+func (r *Router) replacementStages(s *Service, a Ask, lost, first Stage, now time.Time) []Stage {
+	if best := r.replacementEngine(s, a, lost, first.hall, now); best != nil {
 		return []Stage{{Target: best.ID, Address: best.Address, Layers: lost.Layers, hall: best.Hall}}
 	}
 	hall := slices.DeleteFunc(r.usable(s.Name, a, now, false), func(t *target) bool { return t.Hall != first.hall })
@@ -80,13 +80,13 @@
 	return stages
 }
 
-// standIn draws an engine of a hall that holds the layers of a stage and has room; nil if
-// there is none. An answer stands still until its new engine has read what it has so far,
-// and when an engine dies all VMs move their answers at once: each engine is drawn with a
-// probability that is proportional to the rate at which it reads, so that all are done at
-// about the same time. The least of waits that are each multiplied by an exponential variate
-// falls on one with a probability proportional to its inverse.
-func (r *Router) standIn(s *Service, a Ask, stage Stage, hall string, now time.Time) *target {
+// replacementEngine draws an engine of a hall that holds the layers of a stage and has
+// room, or returns nil if there is none. An answer stalls until its new engine has read its
+// tokens so far, and when an engine dies, all VMs move their answers at once. Each engine
+// is drawn with a probability inversely proportional to the time that it would take, so
+// that all finish at about the same time: the minimum of times that are each multiplied by
+// an exponential variate falls on one with a probability proportional to its inverse.
+func (r *Router) replacementEngine(s *Service, a Ask, stage Stage, hall string, now time.Time) *target {
 	var best *target
 	soonest := 0.0
 	for _, t := range r.usable(s.Name, a, now, false) {
