--- a/internal/relay/ask.go
+++ b/internal/relay/ask.go
@@ -2,46 +2,47 @@
 
 import "slices"
 
-// Ask is what a path is wanted for.
+// Ask describes the request that a path is wanted for.
 type Ask struct {
 	Route *Route
-	// Service is set where the request has been at one of its targets before.
+	// Service is set if the request has already been sent to a target of that service.
 	Service string
-	// Prompt is the tokens of a stream's prompt, Most the bound on its answer's, and
-	// Hint the caller's estimate of them; 0 where it says nothing.
+	// Prompt is the number of tokens of a stream's prompt, Most the limit on the tokens of
+	// its answer, and Hint the caller's estimate of them. Most and Hint are 0 if the caller
+	// gives none.
 	Prompt, Most, Hint int
 	// Avoid lists targets that have failed this request.
 	Avoid []TargetID
-	// Only lists the targets that it may begin on, also where they have failed it; empty
-	// for any.
+	// Only lists the targets that the request may begin on, even if they have failed it;
+	// empty for any.
 	Only []TargetID
-	// Begun says that the caller has a part of the answer already.
+	// Begun is set if the caller has already received a part of the answer.
 	Begun bool
-	// Resumed says that the caller has a part of it, from this answer or one before.
+	// Resumed is set if the caller has a part of it, from this answer or an earlier one.
 	Resumed bool
-	// Urgency orders requests where permits of limited targets are few, 0 first; Waiting says
-	// that this one waits for one already.
+	// Urgency orders requests when permits of limited targets are scarce, 0 first. Waiting
+	// is set if this request already waits for a permit.
 	Urgency int
 	Waiting bool
-	// permits says that limited targets have permits for it.
+	// permits is set if limited targets have permits for the request.
 	permits bool
 	// answer is the expected length of the answer, in tokens.
 	answer int
 }
 
 const (
-	// hintWeight is the part of the caller's estimate in what is expected; the
-	// rest is the usual answer. The estimate is right in the middle and often well
-	// off, so that large ones are mostly too large.
+	// hintWeight is the weight of the caller's estimate in the expected length; the usual
+	// answer has the rest. Estimates are right in the middle and often far off, so that
+	// large ones are mostly too large.
 	hintWeight = 0.6
-	// heldShare is the part of an answer that is in memory on average, with some
-	// room: it grows from nothing to its whole length, and 140 requests differ by 6 % as
-	// a whole. See memoryUse for what was tried.
-	heldShare = 0.6
+	// meanAnswerShare is the part of an answer that is in memory on average, with some
+	// margin: an answer grows from nothing to its full length, and the total of 140
+	// requests varies by 6 %.
+	meanAnswerShare = 0.6
 )
 
-// expect returns the ask with the length of answer that is expected.
-func (a Ask) expect(e *Engine) Ask {
+// withExpectedAnswer returns the ask with the expected length of the answer.
+func (a Ask) withExpectedAnswer(e *Engine) Ask {
 	answer := e.UsualAnswer
 	if a.Hint > 0 {
 		answer = int(hintWeight*float64(a.Hint) + (1-hintWeight)*float64(e.UsualAnswer))
@@ -53,10 +54,10 @@
 	return a
 }
 
-// held returns the tokens of memory that the request takes, on average.
-func (a Ask) held() int { return a.Prompt + int(heldShare*float64(a.answer)) }
+// memoryTokens returns the mean number of tokens of memory that the request takes.
+func (a Ask) memoryTokens() int { return a.Prompt + int(meanAnswerShare*float64(a.answer)) }
 
-// avoids reports whether the request may not pass a target.
+// avoids reports whether the request must not use a target.
 func (a Ask) avoids(id TargetID) bool {
 	return slices.Contains(a.Avoid, id) && !slices.Contains(a.Only, id)
 }
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -75,7 +75,7 @@
 func (e *Engine) groupsOf(units []unit) []engineGroup {
 	var all []engineGroup
 	for i := range units {
-		if u := &units[i]; e.holds(u.target.Layers) {
+		if u := &units[i]; e.contains(u.target.Layers) {
 			all = e.addToGroup(all, &u.kind, u.target.Layers, 1)
 		}
 	}
--- a/internal/relay/fault.go
+++ b/internal/relay/fault.go
@@ -7,14 +7,14 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// This file names what a service's cost model lacks for a plan.
+// This file reports what a service's cost model lacks for a plan.
 //
-// A document that can be read is taken, since what an operator may send is agreed with
-// callers of the control interface. What no plan can be made with is told by the leader,
-// and what engines hold stands.
+// Every document that can be read is accepted, since the documents that an operator may
+// send are agreed with the callers of the control interface. If no plan can be made with a
+// cost model, the leader reports why, and engines keep the layers that they hold.
 
-// Faults returns what keeps a plan from being made for targets, or from being a good one.
-// Each names the field and the remedy.
+// Faults returns the reasons why no plan can be made for targets, or no good one. Each
+// names the field and the remedy.
 func (e *Engine) Faults(targets []Target) []error {
 	var faults []error
 	add := func(wrong bool, field, reason string) {
@@ -59,7 +59,8 @@
 	return faults
 }
 
-// holds reports whether a range is one of this model. What engines say is not trusted.
-func (e *Engine) holds(layers config.Range) bool {
+// contains reports whether a range is not empty and lies within this model. Reports of
+// engines are not trusted.
+func (e *Engine) contains(layers config.Range) bool {
 	return layers.First >= 0 && layers.Len() > 0 && layers.Last <= e.Layers
 }
--- a/internal/relay/path.go
+++ b/internal/relay/path.go
@@ -153,7 +153,7 @@
 	if changes > 0 && !a.Begun && r.changing+changes > r.maxCrossings(e) {
 		return Path{}, 0, false
 	}
-	return Path{Service: s.Name, Stages: stages, tokens: a.held(), prompt: a.Prompt, changes: changes, pass: arrivals[e.Layers].pass}, time.Duration(arrivals[e.Layers].cost), true
+	return Path{Service: s.Name, Stages: stages, tokens: a.memoryTokens(), prompt: a.Prompt, changes: changes, pass: arrivals[e.Layers].pass}, time.Duration(arrivals[e.Layers].cost), true
 }
 
 // relaxRange finds the cheapest ways from the beginning of a range of layers, given in
@@ -194,7 +194,7 @@
 	out := make([]candidate, 0, len(engines))
 	for _, t := range engines {
 		kind, ok := e.accelerator(t.Accelerator)
-		if !ok || !e.holds(t.Layers) {
+		if !ok || !e.contains(t.Layers) {
 			continue
 		}
 		kind = kind.Slowed(t.slowdown(now))
@@ -281,7 +281,7 @@
 func (r *Router) layerLimit(e *Engine, kind Accelerator, a Ask, t *target) int {
 	held := t.Layers.Len()
 	room := maxMemoryShare*float64(e.tokenLayers(kind, held)) - float64(r.load(t).Tokens)
-	need := float64(max(a.held(), 1))
+	need := float64(max(a.memoryTokens(), 1))
 	sampled := !r.othersKnown && r.settings.Policy.Has(StartSampling)
 	if sampled {
 		need *= r.admissionFraction(t) * float64(r.vms)
@@ -309,7 +309,7 @@
 	context := float64(load.Tokens)/layers + float64(a.Prompt)
 	step := float64(e.StepBase) + float64(e.StepPerRequest)*float64(load.Requests+1) + float64(e.StepPerKilotoken)*context/1000
 	read := float64(time.Second) * float64(a.Prompt) / max(e.ReadPerSecond, 1) * kind.Read
-	use := (float64(load.Tokens) + float64(a.held())*layers) / float64(max(e.tokenLayers(kind, t.Layers.Len()), 1))
+	use := (float64(load.Tokens) + float64(a.memoryTokens())*layers) / float64(max(e.tokenLayers(kind, t.Layers.Len()), 1))
 	weight := r.costWeight(t, use)
 	c := candidate{
 		target:   t,
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -115,7 +115,7 @@
 	var here, all []int
 	for i := range holding {
 		u := &holding[i]
-		if !e.holds(u.target.Layers) {
+		if !e.contains(u.target.Layers) {
 			continue
 		}
 		tokens := e.tokens(u.kind, u.target.Layers.Len())
--- a/internal/relay/policy.go
+++ b/internal/relay/policy.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// This file names the mechanisms of the decision logic, so that each can be switched off
-// by itself: docs/ABLATION.md says what each of them is worth.
+// This file names the mechanisms of the decision logic, each of which can be switched off
+// separately. docs/ABLATION.md shows the effect of each.
 //
-// A Policy is read on the path of every request. It is a word of bits in a value, so that
-// a look at it costs a shift.
+// A Policy is read on the path of every request. It is a value with one bit for each
+// mechanism, so that a check costs one shift.
 
 // Mechanism is a part of the decision logic that can be switched off.
 type Mechanism int
 
-// The mechanisms. The table below says what a router does without each of them.
+// The mechanisms. The table below describes the behaviour of a router without each of them.
 const (
 	HallDraw Mechanism = iota
 	OwnHall
@@ -45,7 +45,7 @@
 	mechanismCount
 )
 
-// description is what operators read of a mechanism.
+// description is the text about a mechanism for operators.
 type description struct{ name, off string }
 
 var descriptions = [mechanismCount]description{
@@ -76,13 +76,13 @@
 	PipeCaution:      {"pipe_caution", "a pipe between halls costs the time of one request"},
 }
 
-// String returns the mechanism's name.
+// String returns the name of the mechanism.
 func (m Mechanism) String() string { return descriptions[m].name }
 
-// Off says what a router does without the mechanism.
+// Off describes the behaviour of a router without the mechanism.
 func (m Mechanism) Off() string { return descriptions[m].off }
 
-// Mechanisms returns all mechanisms, in their order.
+// Mechanisms returns all mechanisms in the order of their values.
 func Mechanisms() []Mechanism {
 	all := make([]Mechanism, mechanismCount)
 	for i := range all {
@@ -91,14 +91,14 @@
 	return all
 }
 
-// Policy says which mechanisms are in force. The zero value has all of them. It is
+// Policy is the set of mechanisms in force. The zero value includes all of them. It is
 // immutable.
 type Policy struct{ off uint64 }
 
 // Has reports whether a mechanism is in force.
 func (p Policy) Has(m Mechanism) bool { return p.off>>m&1 == 0 }
 
-// With returns the policy with a mechanism on or off.
+// With returns the policy with a mechanism switched on or off.
 func (p Policy) With(m Mechanism, on bool) Policy {
 	if on {
 		return Policy{off: p.off &^ (1 << m)}
@@ -106,7 +106,7 @@
 	return Policy{off: p.off | 1<<m}
 }
 
-// String returns what differs from the default as NAME=off, separated by commas.
+// String returns the mechanisms that are off as NAME=off, separated by commas.
 func (p Policy) String() string {
 	var off []string
 	for _, m := range Mechanisms() {
@@ -117,7 +117,7 @@
 	return strings.Join(off, ",")
 }
 
-// PolicyError is a switch that can't be read. It names what could stand in its place.
+// PolicyError reports a switch with an unknown name or value, and lists the valid ones.
 type PolicyError struct{ Name, Value string }
 
 // Error implements error.
@@ -132,8 +132,8 @@
 	return fmt.Sprintf("there is no mechanism %q; use one of %s", e.Name, strings.Join(names, ", "))
 }
 
-// Switched returns the policy with the named mechanism set to "on" or "off". Its error is
-// a PolicyError.
+// Switched returns the policy with the named mechanism set to "on" or "off". The error is a
+// PolicyError.
 func (p Policy) Switched(name, value string) (Policy, error) {
 	for _, m := range Mechanisms() {
 		if m.String() == name && (value == "on" || value == "off") {
--- a/internal/relay/refusal.go
+++ b/internal/relay/refusal.go
@@ -5,61 +5,63 @@
 	"time"
 )
 
-// RefusalKind says why a request was not served.
+// RefusalKind is the reason why a request was not served.
 type RefusalKind int
 
-// The kinds of refusals. All but RefusedUnknownRun, RefusedTimeout and RefusedCrashes say that
-// the request has not run and will not.
+// The kinds of refusals. All except RefusedUnknownRun, RefusedTimeout and RefusedCrashes
+// mean that the request has not run and will not run.
 const (
-	// RefusedNoDocument: this VM knows no configuration that it may act by.
+	// RefusedNoDocument: this VM has no configuration that it may act on.
 	RefusedNoDocument RefusalKind = iota
-	// RefusedNoRoute: no route leads to the path.
+	// RefusedNoRoute: no route matches the path.
 	RefusedNoRoute
-	// RefusedKey: the key is missing or belongs to nobody.
+	// RefusedKey: the key is missing or belongs to no organisation.
 	RefusedKey
 	// RefusedTooLarge: the body is over the limit.
 	RefusedTooLarge
 	// RefusedNoRoom: no target has room, or none is known.
 	RefusedNoRoom
-	// RefusedNotTaken: targets were asked and none ran it.
+	// RefusedNotTaken: targets were tried and none ran the request.
 	RefusedNotTaken
-	// RefusedUnknownRun: it was sent, and whether it ran is not known.
+	// RefusedUnknownRun: the request was sent, and it is unknown whether it ran.
 	RefusedUnknownRun
-	// RefusedTimeout: the route's time ran out while it was under way.
+	// RefusedTimeout: the route's timeout expired while the request was in flight.
 	RefusedTimeout
 	// RefusedNoMemory: this VM has no memory left for the request.
 	RefusedNoMemory
-	// RefusedCrashes: it has ended the targets that ran it, and is sent to no other.
+	// RefusedCrashes: the request has ended the targets that ran it, and is sent to no
+	// other.
 	RefusedCrashes
-	// RefusedUnreadable: the request could not be read whole.
+	// RefusedUnreadable: the request could not be read completely.
 	RefusedUnreadable
 )
 
-// String returns the kind's name.
+// String returns the name of the kind.
 func (k RefusalKind) String() string {
 	return [...]string{"no document", "no route", "key", "too large", "no room", "not taken", "unknown run", "timeout", "no memory", "crashes its targets", "unreadable"}[k]
 }
 
-// Refusal is a final answer that is not the one that was asked for.
+// Refusal is a final answer other than the requested one.
 type Refusal struct {
 	Kind RefusalKind
-	// RetryAt is when to come back; zero where coming back is of no use.
+	// RetryAt is when the caller should retry; zero if a retry is of no use.
 	RetryAt time.Time
-	// NotBefore is when the next look for a target is of use; zero where any may be.
+	// NotBefore is the earliest time at which another search for a target may succeed; zero
+	// if any may.
 	NotBefore time.Time
-	// NoPermit says that targets would have served it, but for the requests a second that they
-	// take.
+	// NoPermit is set if targets would have served the request but for their limits on
+	// requests a second.
 	NoPermit bool
-	// Service is the one whose targets they are.
+	// Service is the service of these targets.
 	Service string
-	// Reason is for the log and the caller.
+	// Reason is the text for the log and the caller.
 	Reason string
 }
 
 // Error implements error.
 func (r *Refusal) Error() string { return fmt.Sprintf("%s: %s", r.Kind, r.Reason) }
 
-// NotRun reports whether the refusal says that the request has not run.
+// NotRun reports whether the refusal means that the request has not run.
 func (r *Refusal) NotRun() bool {
 	return r.Kind != RefusedUnknownRun && r.Kind != RefusedTimeout && r.Kind != RefusedCrashes
 }
--- a/internal/relay/repair.go
+++ b/internal/relay/repair.go
@@ -104,7 +104,7 @@
 func (e *Engine) copiesOf(units []unit, which func(*unit) bool) []int {
 	counts := make([]int, e.Layers)
 	for i := range units {
-		if u := &units[i]; e.holds(u.target.Layers) && which(u) {
+		if u := &units[i]; e.contains(u.target.Layers) && which(u) {
 			addCopy(counts, u.target.Layers)
 		}
 	}
--- a/internal/relay/repeat.go
+++ b/internal/relay/repeat.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// Attempts is what became of a request so far.
+// Attempts is the state of a request after the attempts so far.
 type Attempts struct {
 	Route   *Route
 	Service string
-	// Begun says that the caller has a part of its answer.
+	// Begun is set if the caller has received a part of the answer.
 	Begun bool
-	// Asked counts the targets that were tried in vain, and Sent those of them that a byte
-	// of the request went to.
+	// Asked counts the targets that were tried without success, and Sent those of them that
+	// any byte of the request was sent to.
 	Asked, Sent int
-	// Ran holds the targets that may have run it, each once, without those that were found
-	// to have ended since.
+	// Ran lists the targets that may have run the request, each once, without those that
+	// were later found to have ended.
 	Ran []TargetID
-	// Reached says that the last one is among Sent.
+	// Reached is set if the last target tried is counted in Sent.
 	Reached bool
 }
 
-// Denial is why a request may not go to another target.
+// Denial is the reason why a request may not go to another target.
 type Denial int
 
 // The denials.
 const (
-	// NotDenied: it may.
+	// NotDenied: the request may go to another target.
 	NotDenied Denial = iota
-	// DeniedRunsOnce: it may have run, and may run once only.
+	// DeniedRunsOnce: the request may have run, and may run only once.
 	DeniedRunsOnce
-	// DeniedAsked: several targets were asked in vain.
+	// DeniedAsked: several targets were tried without success.
 	DeniedAsked
 	// DeniedRoute: its route allows no more targets.
 	DeniedRoute
-	// DeniedBudget: the budget of repeats is used up for now.
+	// DeniedBudget: the repeat budget is used up for now.
 	DeniedBudget
 )
 
-// String returns the reason that callers and logs are given.
+// String returns the reason for callers and logs.
 func (d Denial) String() string {
 	return [...]string{
 		"allowed",
@@ -46,10 +46,11 @@
 	}[d]
 }
 
-// Passes reports whether the denial is over once others have repeated less.
+// Passes reports whether the denial is temporary: it ends once other requests repeat less.
 func (d Denial) Passes() bool { return d == DeniedBudget }
 
-// CouldRepeat reports whether MayRepeat would allow it, and takes nothing.
+// CouldRepeat reports whether MayRepeat would allow a repeat, without taking one from the
+// budget.
 func (r *Router) CouldRepeat(a Attempts, now time.Time) bool {
 	b := r.budget(a.Service)
 	kept := *b
@@ -58,20 +59,20 @@
 	return denial == NotDenied
 }
 
-// askedMost bounds the targets that are asked in vain for one request that has not begun:
-// its caller can be told to come back. One whose caller has a part is asked for until the
+// maxAsked bounds the targets that are tried for a request that has not begun: its caller
+// can be told to retry. A request whose caller has a part of the answer is tried until the
 // wait for it is over.
-const askedMost = 4
+const maxAsked = 4
 
-// MayRepeat returns why a request may not go to another target, and takes the repeat from
-// the budget where it may. Where nothing was sent, nothing is repeated: a target that can't
-// be connected to costs neither the budget nor one of the targets that the route allows.
+// MayRepeat returns why a request may not go to another target, or takes the repeat from
+// the budget if it may. If nothing was sent, nothing is repeated: a target that cannot be
+// connected to costs neither budget nor one of the targets that the route allows.
 func (r *Router) MayRepeat(a Attempts, now time.Time) Denial {
 	most := max(a.Route.MaxTargets, 1)
 	switch {
 	case len(a.Ran) > 0 && a.Route.Repeat == RepeatNever:
 		return DeniedRunsOnce
-	case a.Asked >= askedMost && !a.Begun:
+	case a.Asked >= maxAsked && !a.Begun:
 		return DeniedAsked
 	case len(a.Ran) >= most && !a.Begun, most == 1 && a.Sent >= 1:
 		return DeniedRoute
@@ -81,10 +82,10 @@
 	return NotDenied
 }
 
-// OnlyOn returns the targets that a request may still begin on; nil for any. A request may
-// run on as many targets as its route allows, and an answer in the middle goes on with
-// those that it has run on. Those that have signed off since do not count; one that is
-// silent, or that VMs find dead, may live.
+// OnlyOn returns the targets that a request may still begin on, or nil for any. A request
+// may run on as many targets as its route allows; after that, an answer that has begun
+// continues on targets that have run it. Targets that have signed off since do not count. A
+// target that is silent, or that VMs find dead, may still be live.
 func (r *Router) OnlyOn(a Attempts) []TargetID {
 	if len(a.Ran) == 0 {
 		return nil
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -180,7 +180,7 @@
 	a.permits = r.permitsFor(name, a, now)
 	var path Path
 	if service.Engine != nil && service.Engine.Layers > 0 {
-		path, ok = r.choosePath(service, a.expect(service.Engine), now)
+		path, ok = r.choosePath(service, a.withExpectedAnswer(service.Engine), now)
 	} else {
 		path, ok = r.chooseTarget(service, a, now)
 	}
--- a/internal/relay/shortlist.go
+++ b/internal/relay/shortlist.go
@@ -6,45 +6,49 @@
 	"slices"
 )
 
-// This file says which engines entry VMs are told of.
+// This file selects the engines that are advertised to entry VMs.
 //
-// Problem: a fleet has more engines than its requests need. Were each entry VM told of all of
-// them, and of all that changes at them, bytes and memory would grow with VMs times engines,
-// and so would the sums of the work at them; a path would be searched among thousands.
+// Problem: a fleet has more engines than its requests need. If each entry VM received all
+// of them and all of their updates, traffic and memory would grow with the number of VMs
+// times the number of engines, and so would the totals of work. A path would be searched
+// among thousands of engines.
 //
-// Algorithm: a control VM withholds engines until they are on the shortlist of their hall: the
-// fastest ones that hold memory at each layer for shortlistRoom times the answers in progress,
-// and ShortlistLeast at least. Control VMs work it out alike, from what all of them know. It is
-// worked out anew as load and engines change, and what was listed once stays so: who was told of
-// an engine is told of what becomes of it.
+// Algorithm: a control VM withholds engines until they are on the shortlist of their hall:
+// the fastest engines that hold memory at each layer for shortlistRoom times the answers in
+// progress, and at least ShortlistLeast engines. All control VMs compute the same list from
+// state that they share. The list is recomputed as load and engines change, and an engine
+// that was listed stays listed: a VM that has received an engine keeps receiving its
+// updates.
 //
-// Invariants: where a hall has no more than ShortlistLeast engines that hold layers, all of them
-// are listed; an engine that leaves is told of, listed or not; who was told of an incarnation is
-// told of the one that replaces it.
+// Invariants: in a hall with no more than ShortlistLeast engines that hold layers, all of
+// them are listed. An engine that leaves is advertised, listed or not. A VM that has
+// received an incarnation also receives the one that replaces it.
 //
-// Limits: a list is up to a renewal behind the load, which shortlistRoom allows for. Lists grow
-// while a process lives, by as many engines as have taken the places of others.
+// Limits: a list is up to one lease renewal behind the load, which shortlistRoom allows
+// for. During the life of a process, lists grow by the number of engines that have replaced
+// others.
 
 const (
-	// shortlistRoom is how many times the answers in progress the listed engines of a hall
-	// have memory for: the load may double and a third of them be lost until more are listed.
+	// shortlistRoom is the memory of the listed engines of a hall, as a multiple of the
+	// answers in progress: the load may double and a third of the engines be lost before
+	// more are listed.
 	shortlistRoom = 3
-	// ShortlistLeast is the number of engines of a hall that are listed whatever the load, which an
-	// entry VM can afford to know at any time.
+	// ShortlistLeast is the number of engines of a hall that are listed at any load, which
+	// an entry VM can always afford to know.
 	ShortlistLeast = 64
 )
 
 // isEngine reports whether a target runs a part of a model.
 func (t Target) isEngine() bool { return t.Accelerator != "" }
 
-// listed reports whether those who follow for themselves are told of a target.
+// listed reports whether VMs that follow the registry receive a target.
 func (e entry) listed() bool { return !e.withheld || !e.target.Takes() }
 
-// WithholdEngines has the registry withhold engines that it doesn't know yet until they are
-// listed.
+// WithholdEngines makes the registry withhold engines that it does not know yet until they
+// are listed.
 func (r *Registry) WithholdEngines() { r.withholds = true }
 
-// Withheld reports whether an engine is withheld.
+// Withheld reports whether any engine is withheld.
 func (r *Registry) Withheld() bool {
 	for _, e := range r.targets {
 		if e.withheld {
@@ -54,7 +58,7 @@
 	return false
 }
 
-// List has those who follow told of an engine, and reports whether it was withheld.
+// List advertises an engine to followers and reports whether it was withheld.
 func (r *Registry) List(id TargetID) bool {
 	e, known := r.targets[id]
 	if !known || !e.withheld {
@@ -67,12 +71,13 @@
 	return true
 }
 
-// Shortlist returns the engines that entry VMs are to know, of those that hold layers and take
-// work: in each hall the fastest, as far as the answers in progress in all halls want them.
+// Shortlist returns the engines that entry VMs should know, of those that hold layers and
+// take work: in each hall the fastest, as many as the answers in progress in all halls
+// require.
 func (e *Engine) Shortlist(engines []Target, answers float64) []TargetID {
 	halls := make(map[string][]unit)
 	for _, t := range engines {
-		if kind, ok := e.accelerator(t.Accelerator); ok && e.holds(t.Layers) {
+		if kind, ok := e.accelerator(t.Accelerator); ok && e.contains(t.Layers) {
 			halls[t.Hall] = append(halls[t.Hall], unit{target: t, kind: kind})
 		}
 	}
@@ -84,7 +89,8 @@
 	return listed
 }
 
-// shortlistOf lists the engines of one hall that hold memory for so many answers.
+// shortlistOf returns the engines of one hall that hold memory for the given number of
+// answers.
 func (e *Engine) shortlistOf(units []unit, need float64) []TargetID {
 	slices.SortFunc(units, func(a, b unit) int {
 		return cmp.Or(cmp.Compare(a.kind.Pace, b.kind.Pace), cmp.Compare(a.target.ID, b.target.ID))
@@ -102,7 +108,8 @@
 	return listed
 }
 
-// InProgress returns the answers that engines have in progress, by the work at them.
+// InProgress returns the number of answers that engines have in progress, by the work at
+// them.
 func (e *Engine) InProgress(engines []Target, work map[TargetKey]Work) float64 {
 	passes := 0.0
 	for i := range engines {
--- a/internal/relay/spare.go
+++ b/internal/relay/spare.go
@@ -71,7 +71,7 @@
 	for _, u := range units {
 		size += e.layersFor(u.kind, tokens)
 		layers := u.target.Layers
-		if !e.holds(layers) {
+		if !e.contains(layers) {
 			continue
 		}
 		used += u.target.Load
