--- a/internal/relay/capacity_test.go
+++ b/internal/relay/capacity_test.go
@@ -14,26 +14,27 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// mixed is a fleet of many small engines beside few large ones: one copy of the weights
-// fills a third of the large engines of a hall, or eighteen of the small ones, which have
-// memory for 5 layers and 180 requests, or for 8 layers and no request. Nine large, 48
-// small fast and 36 small slow engines in three halls, uneven in each. Figures of the kind
-// that the users give for such fleets; 239 answers a second came to one of 93 engines.
+// mixed is a fleet of many small engines and few large ones. One copy of the weights fills
+// a third of the large engines of a hall, or eighteen of the small ones, which have memory
+// for 5 layers and 180 requests, or for 8 layers and no request. There are 9 large, 48
+// small fast and 36 small slow engines, unevenly spread over three halls. The figures are
+// of the kind that users give for such fleets; 239 answers a second came to one of 93
+// engines.
 var mixed = layout{
 	"a": {"large": 3, "quick": 14, "slow": 16},
 	"b": {"large": 4, "quick": 10, "slow": 11},
 	"c": {"large": 2, "quick": 24, "slow": 9},
 }
 
-// sparse is a fleet whose large engines are half as big, and few: most of the model lies on
-// slow engines.
+// sparse is a fleet whose large engines are half as big, and few: slow engines hold most of
+// the model.
 var sparse = layout{
 	"a": {"middle": 4, "small": 9, "tiny": 14},
 	"b": {"middle": 2, "small": 13, "tiny": 22},
 	"c": {"middle": 1, "small": 22, "tiny": 12},
 }
 
-// mixedEngine is the cost model of the mixed fleet.
+// mixedEngine returns the cost model of the mixed fleet.
 func mixedEngine() *relay.Engine {
 	e := engine()
 	e.TokenBytes, e.StepBase, e.Stride, e.UsualPrompt, e.UsualAnswer = 492000, 1020*time.Microsecond, 5, 770, 230
@@ -45,10 +46,11 @@
 	return e
 }
 
-// Engines were cut after the large ones of one hall, and 70 of 80 layers had one holder in
-// each hall: the loss of nearly any engine took the hall with it. Two engines of a hall began
-// all answers, and a large engine kept its memory for answers that waited for slow ones.
-func TestAPlanForManySmallEnginesBearsLosses(t *testing.T) {
+// All cuts were those of the large engines of one hall, and 70 of 80 layers had one holder
+// in each hall: the loss of nearly any engine took down its hall. Two engines of a hall
+// began all answers, and the memory of a large engine was occupied by answers that waited
+// for slow engines.
+func TestPlanForManySmallEnginesSurvivesLosses(t *testing.T) {
 	e := mixedEngine()
 	targets := engines(mixed)
 	held := holding(targets, relay.Plan(e, targets))
@@ -67,10 +69,11 @@
 	}
 }
 
-// A plan holds no more than any plan could, and the command that says so relies on it.
-func TestNoPlanHoldsMoreThanTheBound(t *testing.T) {
+// The capacity of a plan does not exceed the upper bound, on which the command that prints
+// it relies.
+func TestPlanStaysWithinUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := drawSoundEngine(t)
+		e := drawValidEngine(t)
 		targets := drawFleet(t, e.Layers)
 		held := holding(targets, relay.Plan(e, targets))
 		most, holds := e.UpperBound(targets), e.Hold(held)
@@ -80,8 +83,8 @@
 	})
 }
 
-// drawSoundEngine draws a cost model without nonsense.
-func drawSoundEngine(t *rapid.T) *relay.Engine {
+// drawValidEngine draws a valid cost model.
+func drawValidEngine(t *rapid.T) *relay.Engine {
 	e := mixedEngine()
 	e.Layers = rapid.IntRange(2, 80).Draw(t, "layers")
 	e.LayerBytes = rapid.Float64Range(1e8, 4e9).Draw(t, "layer")
@@ -93,8 +96,8 @@
 	return e
 }
 
-// In progress are the rate times the time of an answer at that load; a fleet that can't
-// bear the rate says so.
+// The answers in progress are the rate times the time of an answer at that load. A fleet
+// that does not bear the rate reports so.
 func TestNeededFollowsLittlesLaw(t *testing.T) {
 	e := mixedEngine()
 	targets := engines(mixed)
@@ -114,10 +117,11 @@
 	require.InEpsilon(t, whole.Answers, needed, 0.01)
 }
 
-// A hall that can hold the model holds every layer of it, wherever layers fit.
-func TestAnyHallThatCanHoldTheModelDoes(t *testing.T) {
+// A hall that can hold the model holds every layer of it, whatever the memory of its
+// engines.
+func TestPlanCoversEachHallThatFitsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := drawSoundEngine(t)
+		e := drawValidEngine(t)
 		targets := slices.DeleteFunc(drawFleet(t, e.Layers), func(x relay.Target) bool { return x.Leaving })
 		for i := range targets {
 			targets[i].Layers = config.Range{}
@@ -140,7 +144,7 @@
 	})
 }
 
-// layersWithRoom is the most layers that leave a kind memory for a usual request.
+// layersWithRoom returns the most layers that leave a kind memory for a usual request.
 func layersWithRoom(e *relay.Engine, kind string) int {
 	most := 0
 	for _, a := range e.Accelerators {
@@ -157,11 +161,11 @@
 	return most
 }
 
-// What serves is not moved: an engine is given other layers only where its hall lacks some,
-// and where all that it gives up is held by another.
-func TestWhatServesIsNotMoved(t *testing.T) {
+// Engines that serve are not moved: an engine gets other layers only if its hall lacks
+// some, and if another engine holds every layer that it gives up.
+func TestPlanMovesEnginesOnlyForRepair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := drawSoundEngine(t)
+		e := drawValidEngine(t)
 		targets := drawFleet(t, e.Layers)
 		before := make(map[relay.TargetID]relay.Target)
 		for _, x := range targets {
@@ -183,15 +187,15 @@
 			if x.Layers.Len() <= 0 || x.Layers.Last > e.Layers {
 				continue
 			}
-			require.Contains(t, counts[x.Hall], 0, "%s moves from %s to %s in a hall that is whole", x.ID, x.Layers, a.Layers)
-			require.Greater(t, slices.Min(counts[x.Hall][x.Layers.First:x.Layers.Last]), 1, "%s alone held some of %s", x.ID, x.Layers)
+			require.Contains(t, counts[x.Hall], 0, "%s moves from %s to %s in a hall that lacks no layer", x.ID, x.Layers, a.Layers)
+			require.Greater(t, slices.Min(counts[x.Hall][x.Layers.First:x.Layers.Last]), 1, "%s is the only holder of some of %s", x.ID, x.Layers)
 		}
 	})
 }
 
-// On fleets that are small enough to try every plan, the plan bears at least most of what
-// the best one does, in the mean over the losses of 0 to 3 engines.
-func TestAPlanIsNearTheBestOfAll(t *testing.T) {
+// On fleets small enough to try every plan, the plan bears most of the rate of the best
+// one, as the mean over the losses of 0 to 3 engines.
+func TestPlanIsNearExhaustiveOptimum(t *testing.T) {
 	e := mixedEngine()
 	e.Layers, e.LayerBytes, e.TokenBytes = 4, 14000e6, 492000
 	for _, kinds := range []map[string]int{
@@ -199,7 +203,7 @@
 	} {
 		targets := engines(layout{"a": kinds})
 		planned := meanRate(e, holding(targets, relay.Plan(e, targets)))
-		best := bestOfAll(e, targets, 0)
+		best := exhaustiveBest(e, targets, 0)
 		t.Logf("%v: %.1f of %.1f answers a second", kinds, planned, best)
 		require.GreaterOrEqual(t, planned, 0.75*best, "%v", kinds)
 	}
@@ -213,8 +217,8 @@
 	return total / 4
 }
 
-// bestOfAll tries every range for every engine from the i-th on.
-func bestOfAll(e *relay.Engine, targets []relay.Target, i int) float64 {
+// exhaustiveBest tries every range for every engine from the i-th on.
+func exhaustiveBest(e *relay.Engine, targets []relay.Target, i int) float64 {
 	if i == len(targets) {
 		return meanRate(e, targets)
 	}
@@ -222,7 +226,7 @@
 	for first := range e.Layers {
 		for last := first + 1; last <= min(e.Layers, first+layersWithRoom(e, targets[i].Accelerator)); last++ {
 			targets[i].Layers = config.Range{First: first, Last: last}
-			best = max(best, bestOfAll(e, targets, i+1))
+			best = max(best, exhaustiveBest(e, targets, i+1))
 		}
 	}
 	targets[i].Layers = config.Range{}
--- a/internal/relay/path_test.go
+++ b/internal/relay/path_test.go
@@ -11,9 +11,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// An engine may run a part of what it holds: ranges that overlap join too. Before, the
-// ranges of a path had to end where the next ones began.
-func TestPathsPassBetweenRangesThatOverlap(t *testing.T) {
+// An engine may run a part of its layers, so overlapping ranges can be joined. The ranges
+// of a path used to have to end where the next ones began.
+func TestPathsJoinOverlappingRanges(t *testing.T) {
 	r, route := newRouter(nil)
 	r.TakeTargets(placed("large", config.Range{First: 0, Last: 35}, config.Range{First: 30, Last: 60}, config.Range{First: 50, Last: 80}))
 	path := choose(t, r, ask(route), start)
@@ -21,8 +21,8 @@
 	require.Len(t, path.Stages, 3)
 }
 
-// What an engine's memory bears depends on the layers that it runs of each request.
-func TestAPartOfARangeTakesAPartOfTheMemory(t *testing.T) {
+// The memory that a request takes depends on the layers that the engine runs of it.
+func TestPartialRangeTakesPartOfMemory(t *testing.T) {
 	admitted := func(ranges ...config.Range) int {
 		r, route := newRouter(nil)
 		r.TakeOthers(nil, true)
@@ -40,9 +40,9 @@
 	require.Greater(t, overlapping, whole)
 }
 
-// Whatever engines hold, a path runs each layer once, in order, within what its engines
+// For any layout, a path runs each layer once, in order, within the layers that its engines
 // hold, and names no engine twice.
-func TestAnyPathIsWhole(t *testing.T) {
+func TestPathsCoverAllLayersInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kinds := []string{"large", "middle", "small", "tiny"}
 		halls := []string{"a", "b", "c"}
--- a/internal/relay/plan_test.go
+++ b/internal/relay/plan_test.go
@@ -15,7 +15,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// engine is a model of 80 layers that no engine can hold alone.
+// engine returns a model of 80 layers that no engine can hold alone.
 func engine() *relay.Engine {
 	return &relay.Engine{
 		Slots: 192, Model: "m", Layers: 80, LayerBytes: 1750e6, TokenBytes: 590000,
@@ -33,7 +33,7 @@
 // layout counts engines by hall and kind.
 type layout map[string]map[string]int
 
-// today is the users' present fleet, and grown what it becomes.
+// today is the users' present fleet, and grown the fleet that it becomes.
 var (
 	today = layout{
 		"a": {"middle": 2, "small": 4, "tiny": 7},
@@ -81,7 +81,7 @@
 	return out
 }
 
-// covered counts, for each layer, the engines that hold it.
+// covered returns the number of engines that hold each layer.
 func covered(targets []relay.Target) []int {
 	count := make([]int, 80)
 	for _, t := range targets {
@@ -100,9 +100,9 @@
 	}{
 		{"today", today, 3},
 		{"grown", grown, 5},
-		{"slow ones alone", layout{"a": {"small": 20}}, 2},
+		{"slow engines only", layout{"a": {"small": 20}}, 2},
 		{"barely enough", layout{"a": {"small": 7}}, 1},
-		{"one in each of many halls", layout{"a": {"large": 1}, "b": {"large": 1}, "c": {"large": 1}}, 1},
+		{"one engine in each of several halls", layout{"a": {"large": 1}, "b": {"large": 1}, "c": {"large": 1}}, 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -116,11 +116,12 @@
 	}
 }
 
-// On the users' grown fleet a token takes two thirds of the memory of today. The slow
-// kinds had room for 140 requests then, and the fast ones that share a path with them
-// refused what came after 93. At each layer the fleet has memory for as many requests as
-// it had with like memory in all engines, and no layer of a hall has much less than others.
-func TestPlanGivesAllLayersLikeMemoryForRequests(t *testing.T) {
+// On the users' grown fleet, a token takes two thirds of the memory that it takes today.
+// The slow kinds then had room for 140 requests, while the fast ones on the same paths
+// refused more than 93. At each layer, the fleet has memory for at least as many requests
+// as with equal memory in all engines, and no layer of a hall has much less than the
+// others.
+func TestPlanBalancesRequestMemoryOverLayers(t *testing.T) {
 	const before = 1326
 	e := engine()
 	e.TokenBytes = 393000
@@ -141,7 +142,8 @@
 	}
 }
 
-// requestsAt returns the usual requests that engines have memory for at each layer.
+// requestsAt returns the number of usual requests that engines have memory for at each
+// layer.
 func requestsAt(e *relay.Engine, targets []relay.Target) []float64 {
 	requests := make([]float64, e.Layers)
 	for _, target := range targets {
@@ -159,9 +161,9 @@
 	return requests
 }
 
-// The pipes between halls bear some 40 requests a second, so each hall that can
-// hold the model has to.
-func TestPlanGivesEachHallTheWholeModel(t *testing.T) {
+// The pipes between halls carry about 40 requests a second, so each hall that can hold the
+// model must do so.
+func TestPlanGivesEachHallWholeModel(t *testing.T) {
 	for _, l := range []layout{today, grown} {
 		targets := engines(l)
 		held := holding(targets, relay.Plan(engine(), targets))
@@ -186,15 +188,15 @@
 	}
 }
 
-func TestPlanDoesNotMoveWhatWorks(t *testing.T) {
+func TestPlanDoesNotMoveServingEngines(t *testing.T) {
 	targets := engines(today)
 	held := holding(targets, relay.Plan(engine(), targets))
 	held = holding(held, relay.Plan(engine(), held))
 	require.Empty(t, relay.Plan(engine(), held))
 }
 
-// bestTime is the time of the fastest way through all layers within a hall, in
-// layers at pace 1.
+// bestTime returns the time of the fastest path through all layers within a hall, in layers
+// at pace 1.
 func bestTime(targets []relay.Target) float64 {
 	pace := map[string]float64{"large": 1.4, "middle": 3.1, "small": 16, "tiny": 15}
 	best := make([]float64, 81)
@@ -211,8 +213,8 @@
 	return best[80]
 }
 
-// A fast engine that comes back empty makes its hall as fast as it was.
-func TestPlanMakesUpForALostEngine(t *testing.T) {
+// A fast engine that returns empty restores the speed of its hall.
+func TestPlanRestoresSpeedAfterEngineLoss(t *testing.T) {
 	targets := engines(today)
 	held := holding(targets, relay.Plan(engine(), targets))
 	for i, lost := range held {
@@ -227,13 +229,13 @@
 	}
 }
 
-func TestPlanWithTooFewEnginesPlacesNothing(t *testing.T) {
+func TestPlanWithTooFewEnginesIsEmpty(t *testing.T) {
 	require.Empty(t, relay.Plan(engine(), engines(layout{"a": {"tiny": 3}})))
 }
 
-// On a day of the users' a release took engines whose ranges nobody else in their
-// hall held, and the hall stayed without them to the end.
-func TestPlanGivesAHallItsLostLayersBack(t *testing.T) {
+// On one of the users' days, a release removed engines that were the only holders of their
+// ranges in the hall, and the hall lacked these layers to the end.
+func TestPlanRestoresLostLayers(t *testing.T) {
 	targets := engines(today)
 	held := holding(targets, relay.Plan(engine(), targets))
 	for hall := range today {
@@ -249,10 +251,10 @@
 	}
 }
 
-// A hall whose fastest engine died had enough memory without it only for less requests at
-// once, and stayed without layers until the engine was back and had loaded, ten seconds.
-// What it takes over is ordered at once, and not one engine after the other.
-func TestALostEngineIsMadeUpForAtOnce(t *testing.T) {
+// A hall whose fastest engine died had enough memory without it for fewer requests at once,
+// but lacked layers for ten seconds, until the engine was back and had loaded. All moves
+// are ordered at once, not one engine after the other.
+func TestPlanOrdersAllRepairMovesAtOnce(t *testing.T) {
 	l := layout{"a": {"large": 1, "tiny": 10, "small": 4}}
 	targets := engines(l)
 	held := holding(targets, relay.Plan(engine(), targets))
@@ -266,9 +268,9 @@
 	requireFits(t, left, moves)
 }
 
-// The plan of a fleet of 3,000 engines copied all that were left for each of 1,500 groups: 774
-// MB and 0.6 s of a core, in which a leader gives no heartbeat.
-func TestAPlanOfThousandsCopiesLittle(t *testing.T) {
+// The plan of a fleet of 3,000 engines copied all remaining engines for each of 1,500
+// groups: 774 MB and 0.6 s of one core, during which a leader sends no heartbeat.
+func TestPlanOfLargeFleetAllocatesLittle(t *testing.T) {
 	targets := engines(scaled(77))
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(5000, 0)
 
-// newRouter returns a Router of hall "a" over today's engines, placed as planned.
+// newRouter returns a Router of hall "a" with engines that hold their planned layers.
 func newRouter(targets []relay.Target) (*relay.Router, *relay.Route) {
 	return newRouterWithSeed(targets, 1)
 }
@@ -62,7 +62,7 @@
 	return halls
 }
 
-func TestPathsRunEachLayerOnceAndStayInAHall(t *testing.T) {
+func TestPathsRunEachLayerOnceWithinOneHall(t *testing.T) {
 	r, route := newRouter(engines(today))
 	for range 150 {
 		path := choose(t, r, ask(route), start)
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestPathsRefuseWhenMemoryIsTaken(t *testing.T) {
+func TestChooseRefusesWhenMemoryIsFull(t *testing.T) {
 	r, route := newRouter(engines(today))
 	var refusal *relay.Refusal
 	taken := 0
@@ -86,7 +86,7 @@
 	require.True(t, refusal.RetryAt.After(start))
 }
 
-func TestReleasedPathsGiveTheirRoomBack(t *testing.T) {
+func TestReleaseFreesMemory(t *testing.T) {
 	r, route := newRouter(engines(today))
 	for range 2000 {
 		r.Release(choose(t, r, ask(route), start), false)
@@ -94,8 +94,8 @@
 	require.Empty(t, r.Own())
 }
 
-// An engine that refused a request was taken for dead, and what ran there was cut.
-func TestRefusingIsNotDying(t *testing.T) {
+// A refused request made its engine count as dead, and the requests running there were cut.
+func TestRefusalDoesNotMakeTargetSuspect(t *testing.T) {
 	r, route := newRouter(engines(today))
 	full := choose(t, r, ask(route), start).First().Target
 	r.Refused(full, start)
@@ -111,7 +111,7 @@
 	require.True(t, seen)
 }
 
-func TestDeadEnginesAreLeftOut(t *testing.T) {
+func TestPathsAvoidDeadEngines(t *testing.T) {
 	r, route := newRouter(engines(today))
 	dead := choose(t, r, ask(route), start).First().Target
 	r.Failed(dead, true, start)
@@ -125,8 +125,9 @@
 	require.False(t, r.Suspect(dead, start))
 }
 
-// All VMs turned to one hall at once, on counts that were half a second old.
-func TestOtherVMsAreTakenToDoAsThisOneDoes(t *testing.T) {
+// All VMs switched to one hall at once on load reports that were half a second old. A VM
+// assumes that since the last report, the others have done as it did.
+func TestLoadExtrapolatesOwnWorkToOtherVMs(t *testing.T) {
 	r, route := newRouter(engines(today))
 	r.TakeVMs(11)
 	r.TakeOthers(nil, true)
@@ -137,7 +138,7 @@
 	require.Len(t, used, 3)
 }
 
-func TestLeavingTargetsGetNothing(t *testing.T) {
+func TestLeavingTargetsGetNoRequests(t *testing.T) {
 	r, route := newRouter(engines(today))
 	leaving := choose(t, r, ask(route), start).First().Target
 	r.TakeTargets([]relay.Target{{ID: leaving, Call: 9, Leaving: true}})
@@ -146,7 +147,7 @@
 	}
 }
 
-func TestRepeatsStayWithinTheBudget(t *testing.T) {
+func TestRepeatsStayWithinBudget(t *testing.T) {
 	r, _ := newRouter(engines(today))
 	r.TakeVMs(10)
 	for range 100 {
@@ -173,9 +174,9 @@
 	require.True(t, r.Repeat("s", true, later.Add(11*time.Second)))
 }
 
-// At 300 VMs each had 2.6 repeats of its own in ten seconds, and turned callers away after a
-// loss of engines while a tenth of the bound was used by all of them together.
-func TestVMsShareWhatIsLeftOfTheBudget(t *testing.T) {
+// At 300 VMs, each had 2.6 repeats of its own in ten seconds and refused callers after a
+// loss of engines, while all of them together used a tenth of the bound.
+func TestVMsShareRemainingBudget(t *testing.T) {
 	const vms = 300
 	bound := 0.2*3400 + 200.0
 	routers := make([]*relay.Router, vms)
@@ -189,7 +190,7 @@
 			total++
 		}
 	}
-	// A few VMs may repeat more than their part, and all of them together keep the bound.
+	// Some VMs may repeat more than their share; all together stay within the bound.
 	for step := range 18 {
 		now := start.Add(time.Duration(step) * 500 * time.Millisecond)
 		told := map[string]relay.Usage{"s": {Requests: 3400}}
@@ -200,7 +201,7 @@
 			r.TakeUsage(told, vms, now)
 		}
 		if step == 1 {
-			require.GreaterOrEqual(t, total, 2*40, "40 VMs that meet a lost target, of which none has a part of one")
+			require.GreaterOrEqual(t, total, 2*40, "40 VMs that meet a lost target have at least 2 repeats each")
 		}
 		for i, r := range routers {
 			if step > 1 || i < 40 {
@@ -209,13 +210,13 @@
 		}
 		require.LessOrEqual(t, float64(total), bound)
 	}
-	// They stop where less than one is left for each.
+	// They stop when less than one is left for each.
 	require.Greater(t, float64(total), 0.95*bound-vms)
 }
 
-// Pattern: a fleet of more VMs than there are repeats, all of which meet a lost target within the
-// same second, with sums and without. No part is one, and nobody repeated anything.
-func TestAFleetOfMoreVMsThanRepeatsUsesItsBudget(t *testing.T) {
+// A fleet of more VMs than repeats, all of which meet a lost target within the same second,
+// with sums and without: no VM had a share of a whole repeat, so none repeated anything.
+func TestBudgetIsUsedByMoreVMsThanRepeats(t *testing.T) {
 	const vms = 2000
 	for name, test := range map[string]struct {
 		usage map[string]relay.Usage
@@ -252,8 +253,8 @@
 	}
 }
 
-// The parts of VMs that nobody hears of are left to them.
-func TestPartsOfVMsThatAreNotHeardOfAreLeftToThem(t *testing.T) {
+// The shares of VMs that are not in the sums are reserved for them.
+func TestBudgetReservesSharesOfUnreportedVMs(t *testing.T) {
 	r, _ := newRouter(nil)
 	r.TakeVMs(10)
 	r.TakeUsage(map[string]relay.Usage{"s": {Repeats: 95}}, 5, start)
@@ -262,8 +263,8 @@
 	require.True(t, r.Repeat("s", true, start))
 }
 
-// Sums that are old count no more.
-func TestWithoutFreshSumsAVMKeepsToItsPart(t *testing.T) {
+// Old sums are ignored.
+func TestBudgetWithoutFreshSumsIsOwnShare(t *testing.T) {
 	r, _ := newRouter(nil)
 	r.TakeVMs(100)
 	r.TakeUsage(nil, 100, start)
@@ -275,8 +276,8 @@
 	require.LessOrEqual(t, granted, 2)
 }
 
-// A process does not know what the one before it on its VM has used.
-func TestAYoungProcessRepeatsLess(t *testing.T) {
+// A process does not know how much budget its predecessor on the VM has used.
+func TestNewProcessHasReducedBudget(t *testing.T) {
 	r, _ := newRouter(engines(today))
 	r.TakeVMs(10)
 	granted := 0
@@ -287,9 +288,9 @@
 	require.Less(t, granted, 200/10/2)
 }
 
-// On the grown fleet all VMs took the same hall until the next report of their
-// loads: halls filled up in turn, and first events came a second late.
-func TestVMsWithTheSamePictureSpreadOverHalls(t *testing.T) {
+// On the grown fleet, all VMs took the same hall until the next load report: halls filled
+// up in turn, and first events came a second late.
+func TestVMsWithSameViewSpreadOverHalls(t *testing.T) {
 	used := make(map[byte]int)
 	for vm := range 60 {
 		r, route := newRouterWithSeed(engines(today), uint64(vm))
@@ -301,8 +302,8 @@
 	}
 }
 
-// A prompt that waits makes the next first event late, long before memory is full.
-func TestUnreadPromptsWeighUntilTheyAreRead(t *testing.T) {
+// A waiting prompt delays the next first event long before memory is full.
+func TestUnreadPromptsCountUntilAnswerBegins(t *testing.T) {
 	r, route := newRouter(engines(today))
 	paths := make([]relay.Path, 0, 40)
 	for range 40 {
@@ -325,9 +326,9 @@
 	require.Empty(t, r.Own())
 }
 
-// After a loss of power a VM had its lease before it had heard of any target, and
-// refused all callers for want of room.
-func TestARouterIsInformedOnceItKnowsTargetsForAll(t *testing.T) {
+// After a power loss, a VM had its lease before it had received any target, and refused all
+// callers for lack of room.
+func TestInformedRequiresTargetsForEachService(t *testing.T) {
 	targets := engines(today)
 	held := holding(targets, relay.Plan(engine(), targets))
 	r := relay.NewRouter(relay.Settings{Hall: "a", Budget: relay.BudgetTerms{Window: time.Second}})
@@ -340,9 +341,10 @@
 	require.True(t, r.Informed())
 }
 
-// An engine that gives its layers up says for many seconds that it holds them, and
-// refuses what comes for them: on a grown day 150 requests a second met two such.
-func TestMovingAndSilentEnginesGetNothing(t *testing.T) {
+// An engine that gives up its layers reports them for many seconds more and refuses
+// requests for them: on a day of the grown fleet, 150 requests a second reached two such
+// engines.
+func TestMovingAndSilentEnginesGetNoRequests(t *testing.T) {
 	r, route := newRouter(engines(today))
 	moving := choose(t, r, ask(route), start).First().Target
 	r.TakeMarks(map[relay.TargetKey]relay.Mark{moving.Key(): relay.MarkMoving}, true)
@@ -357,7 +359,7 @@
 	require.True(t, r.Suspect(silent, start))
 }
 
-func TestFindingsTellDeadFromWell(t *testing.T) {
+func TestFindingsSeparateDeadFromSound(t *testing.T) {
 	r, route := newRouter(engines(today))
 	path := choose(t, r, ask(route), start)
 	bad, good := path.Stages[0].Target, path.Stages[1].Target
@@ -376,9 +378,9 @@
 	require.Equal(t, []relay.TargetKey{good.Key()}, found.Dead)
 }
 
-// After a loss of power of all VMs 1,000 callers came back at once, and each of 76 VMs
-// chose by its own work alone: 850 of them were turned away by engines that were full.
-func TestVMsThatStartTogetherShareTheEngines(t *testing.T) {
+// After a power loss of all VMs, 1,000 callers returned at once. Each of 76 VMs chose by
+// its own work alone, and 850 of the callers were refused by full engines.
+func TestVMsStartingTogetherShareEngines(t *testing.T) {
 	const vms, calls = 76, 12
 	e := engine()
 	e.TokenBytes = 393000
@@ -411,9 +413,9 @@
 	require.Greater(t, served, vms*calls*2/3)
 }
 
-// On the users' grown Kyklos fleet callers were refused for want of memory while a seventh
-// of it was free on average.
-func TestEnginesAreFilledBeforeCallersAreRefused(t *testing.T) {
+// On the users' grown Kyklos fleet, callers were refused for lack of memory while on
+// average a seventh of it was free.
+func TestEnginesFillBeforeCallersAreRefused(t *testing.T) {
 	e := engine()
 	targets := engines(layout{"a": {"large": 1, "middle": 4}})
 	r, route := newRouterWithSeed(targets, 1)
@@ -434,7 +436,7 @@
 		}
 		admitted++
 	}
-	// On average half of an answer is in memory.
+	// On average, half of an answer is in memory.
 	usual := float64(e.UsualPrompt) + float64(e.UsualAnswer)/2
 	require.Greater(t, float64(admitted)*usual, 0.9*room)
 	require.Less(t, float64(admitted)*usual, room)
