--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// scaled is today's fleet n times over in each hall.
+// scaled returns a fleet with n times the engines of today in each hall.
 func scaled(n int) layout {
 	l := make(layout)
 	for hall, kinds := range today {
@@ -20,7 +20,7 @@
 	return l
 }
 
-// BenchmarkChoose gives the cost of one path at three sizes of the fleet.
+// BenchmarkChoose measures the choice of one path for fleets of three sizes.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{1, 3, 15} {
 		targets := engines(scaled(n))
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkPlan gives the cost of a plan for a fleet that holds nothing.
+// BenchmarkPlan measures a plan for a fleet that holds no layers.
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range []int{1, 3, 15, 77} {
 		targets := engines(scaled(n))
@@ -51,8 +51,9 @@
 	}
 }
 
-// BenchmarkPlanHolds gives what the plan of each kind of fleet holds: answers a second, with
-// all engines and without the three whose loss costs most, and the least copies of a layer.
+// BenchmarkPlanHolds reports the capacity of the plan for each kind of fleet: answers a
+// second with all engines and without the three whose loss costs most, and the fewest
+// copies of a layer.
 func BenchmarkPlanHolds(b *testing.B) {
 	for _, fleet := range []struct {
 		name   string
@@ -75,8 +76,8 @@
 	}
 }
 
-// BenchmarkLendSecond gives what a second costs a leader that lends: each VM renews twice, and
-// speaks of the targets with limits that its requests want.
+// BenchmarkLendSecond measures one second of a leader that grants permits: each VM renews
+// twice and asks for permits of the limited targets that its requests want.
 func BenchmarkLendSecond(b *testing.B) {
 	for _, size := range []struct{ vms, targets int }{{10, 3}, {300, 1}, {360, 600}} {
 		b.Run(fmt.Sprintf("vms=%d/limited=%d", size.vms, size.targets), func(b *testing.B) {
--- a/internal/relay/fault_test.go
+++ b/internal/relay/fault_test.go
@@ -13,13 +13,13 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// A cost model with which no plan can be made, or no good one, is told with the field; what
-// engines hold stands, and nothing falls.
-func TestFaultsOfACostModelNameTheField(t *testing.T) {
+// A cost model with which no plan can be made, or no good one, is reported with its field.
+// Engines keep their layers, and nothing panics.
+func TestFaultsNameTheField(t *testing.T) {
 	tests := []struct {
 		name, field string
-		spoil       func(*relay.Engine)
-		// none says that no plan can be made.
+		invalidate  func(*relay.Engine)
+		// none is set if no plan can be made.
 		none bool
 	}{
 		{"layers without a size", "size of a layer", func(e *relay.Engine) { e.LayerBytes = 0 }, true},
@@ -41,7 +41,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			e := engine()
-			test.spoil(e)
+			test.invalidate(e)
 			faults := e.Faults(targets)
 			require.NotEmpty(t, faults)
 			var invalid *relay.InvalidError
@@ -51,38 +51,38 @@
 			if test.none {
 				require.Empty(t, plan)
 			}
-			require.Empty(t, relay.Plan(e, held), "what serves stands")
+			require.Empty(t, relay.Plan(e, held), "engines that serve keep their layers")
 			e.NeedsMore(held)
 			e.Hold(held)
 		})
 	}
 }
 
-// What engines say of themselves is not trusted: layers that are none, memory and pace of
-// kinds that they are not, work without bound.
-func TestEnginesThatLieBreakNoPlan(t *testing.T) {
-	lies := []struct {
-		name string
-		lie  func(*relay.Target)
+// Reports of engines are not trusted: layers that do not exist, memory and pace of another
+// kind, unbounded work.
+func TestPlanToleratesFalseReports(t *testing.T) {
+	reports := []struct {
+		name    string
+		falsify func(*relay.Target)
 	}{
-		{"layers before the first", func(x *relay.Target) { x.Layers = config.Range{First: -5, Last: 10} }},
-		{"layers after the last", func(x *relay.Target) { x.Layers = config.Range{First: 70, Last: 1 << 40} }},
-		{"layers the wrong way", func(x *relay.Target) { x.Layers = config.Range{First: 60, Last: 20} }},
-		{"layers without bounds", func(x *relay.Target) { x.Layers = config.Range{First: math.MinInt, Last: math.MaxInt} }},
+		{"layers below the first", func(x *relay.Target) { x.Layers = config.Range{First: -5, Last: 10} }},
+		{"layers above the last", func(x *relay.Target) { x.Layers = config.Range{First: 70, Last: 1 << 40} }},
+		{"reversed layers", func(x *relay.Target) { x.Layers = config.Range{First: 60, Last: 20} }},
+		{"unbounded layers", func(x *relay.Target) { x.Layers = config.Range{First: math.MinInt, Last: math.MaxInt} }},
 		{"more layers than fit", func(x *relay.Target) { x.Layers = config.Range{First: 0, Last: 80} }},
-		{"a kind that nobody knows", func(x *relay.Target) { x.Accelerator = "enormous" }},
+		{"unknown kind", func(x *relay.Target) { x.Accelerator = "enormous" }},
 		{"no kind", func(x *relay.Target) { x.Accelerator = "" }},
-		{"work without bound", func(x *relay.Target) { x.Load = math.MaxInt }},
+		{"unbounded work", func(x *relay.Target) { x.Load = math.MaxInt }},
 		{"negative work and slots", func(x *relay.Target) { x.Load, x.Slots = -1, -1 }},
 	}
-	for _, test := range lies {
+	for _, test := range reports {
 		t.Run(test.name, func(t *testing.T) {
 			e := engine()
 			targets := engines(today)
 			held := holding(targets, relay.Plan(e, targets))
 			for i := range held {
 				if held[i].Hall == "a" && i%2 == 0 {
-					test.lie(&held[i])
+					test.falsify(&held[i])
 				}
 			}
 			after := holding(held, relay.Plan(e, held))
@@ -111,25 +111,25 @@
 	}
 }
 
-// An engine that says that it holds more than it can does not lower what others are given
-// memory for: those that come later would have none for requests.
-func TestALieAboutLayersTakesNoMemoryFromOthers(t *testing.T) {
+// An engine that reports more layers than it can hold does not lower the memory goal of the
+// others: engines that join later would have no memory for requests.
+func TestFalseLayerReportKeepsMemoryGoal(t *testing.T) {
 	e := mixedEngine()
 	targets := engines(mixed)
 	held := holding(targets, relay.Plan(e, targets))
-	before := requestsLeast(e, held)
-	liar := &held[len(held)-1]
-	liar.Layers = config.Range{First: 0, Last: 80}
+	before := minRequests(e, held)
+	wrong := &held[len(held)-1]
+	wrong.Layers = config.Range{First: 0, Last: 80}
 	for i := range 3 {
 		held[i].Layers = config.Range{}
 	}
 	after := holding(held, relay.Plan(e, held))
 	after = after[:len(after)-1]
-	require.GreaterOrEqual(t, requestsLeast(e, after), 0.5*before)
+	require.GreaterOrEqual(t, minRequests(e, after), 0.5*before)
 }
 
-// requestsLeast is the least memory for requests of an engine that holds layers.
-func requestsLeast(e *relay.Engine, targets []relay.Target) float64 {
+// minRequests returns the least memory for requests of any engine that holds layers.
+func minRequests(e *relay.Engine, targets []relay.Target) float64 {
 	least := math.Inf(1)
 	for _, x := range targets {
 		if x.Layers.Len() > 0 {
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -12,7 +12,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// drawEngine draws a cost model, nonsense among it.
+// drawEngine draws a cost model, which may be invalid.
 func drawEngine(t *rapid.T) *relay.Engine {
 	e := &relay.Engine{
 		Slots: rapid.IntRange(0, 300).Draw(t, "slots"), Layers: rapid.IntRange(1, 100).Draw(t, "layers"),
@@ -54,9 +54,9 @@
 	return targets
 }
 
-// Whatever a fleet and its figures are, a plan gives each engine at most one range, one that
-// fits its weights and the model, and nothing to engines of an unknown kind or that leave.
-func TestAnyFleetGetsAPlanThatFits(t *testing.T) {
+// For any fleet and cost model, a plan gives each engine at most one range, which fits its
+// memory and the model, and nothing to engines that leave or are of an unknown kind.
+func TestPlanFitsAnyFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := drawEngine(t)
 		targets := drawFleet(t, e.Layers)
@@ -81,8 +81,8 @@
 	})
 }
 
-// Nor does any fleet make the choice of a path fail in another way than by a refusal.
-func TestAnyFleetGivesAPathOrARefusal(t *testing.T) {
+// For any fleet, the choice of a path succeeds or returns a refusal.
+func TestChooseReturnsPathOrRefusalForAnyFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := drawEngine(t)
 		r, route := newRouter(nil)
--- a/internal/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -12,8 +12,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// routerUnder is newRouter under a policy, as one VM of ten that knows what others do.
-func routerUnder(p relay.Policy, targets []relay.Target) (*relay.Router, *relay.Route) {
+// routerWithPolicy returns a router like newRouter under a policy, as one VM of ten with a
+// report of the work of the others.
+func routerWithPolicy(p relay.Policy, targets []relay.Target) (*relay.Router, *relay.Route) {
 	_, route := newRouter(nil)
 	services := []relay.Service{{Name: "s", MaxConns: 1000, Engine: engine()}, {Name: "plain", MaxConns: 20}}
 	r := relay.NewRouter(relay.Settings{Hall: "a", Seed: 1, Started: start, Policy: p, Budget: relay.BudgetTerms{Share: 0.2, Fixed: 200, Window: 10 * time.Second}})
@@ -24,7 +25,7 @@
 	return r, route
 }
 
-// paths returns the paths of n requests that stay under way, each at another moment.
+// paths returns the paths of n requests that stay in flight, each chosen at another time.
 func paths(r *relay.Router, route *relay.Route, n int) []string {
 	var chosen []string
 	for i := range n {
@@ -42,7 +43,7 @@
 	return holding(engines(today), relay.Plan(engine(), engines(today)))
 }
 
-// plain are targets of a plain service.
+// plain returns targets of a plain service.
 func plain(n int) []relay.Target {
 	var targets []relay.Target
 	for i := range n {
@@ -51,9 +52,9 @@
 	return targets
 }
 
-// afterFailure is what a VM chooses right after a target has failed or refused.
+// afterFailure reports whether a VM chooses a target right after a failure or refusal.
 func afterFailure(p relay.Policy, fail func(*relay.Router, relay.TargetID)) any {
-	r, route := routerUnder(p, plain(2))
+	r, route := routerWithPolicy(p, plain(2))
 	a := relay.Ask{Route: route, Service: "plain"}
 	fail(r, "p0")
 	used := 0
@@ -67,15 +68,15 @@
 	return used > 0
 }
 
-// decisions are, by mechanism, decisions that it takes part in. Those that are made outside
-// this package are not among them: StartWait, StopAdmission and StallProbe.
+// decisions maps each mechanism to a decision that depends on it. StartWait, StopAdmission
+// and StallProbe are missing, since their decisions are made outside this package.
 var decisions = map[relay.Mechanism]func(relay.Policy) any{
-	relay.HallDraw:  func(p relay.Policy) any { return pathsUnder(p, placedToday(), 40) },
-	relay.OwnHall:   func(p relay.Policy) any { return pathsUnder(p, placedToday(), 40) },
-	relay.Crowding:  func(p relay.Policy) any { return pathsUnder(p, placedToday(), 40) },
-	relay.HerdGuess: func(p relay.Policy) any { return pathsUnder(p, placedToday(), 40) },
+	relay.HallDraw:  func(p relay.Policy) any { return pathsWithPolicy(p, placedToday(), 40) },
+	relay.OwnHall:   func(p relay.Policy) any { return pathsWithPolicy(p, placedToday(), 40) },
+	relay.Crowding:  func(p relay.Policy) any { return pathsWithPolicy(p, placedToday(), 40) },
+	relay.HerdGuess: func(p relay.Policy) any { return pathsWithPolicy(p, placedToday(), 40) },
 	relay.PartRanges: func(p relay.Policy) any {
-		return pathsUnder(p, placed("large", config.Range{First: 0, Last: 35}, config.Range{First: 30, Last: 60}, config.Range{First: 50, Last: 80}), 1)
+		return pathsWithPolicy(p, placed("large", config.Range{First: 0, Last: 35}, config.Range{First: 30, Last: 60}, config.Range{First: 50, Last: 80}), 1)
 	},
 	relay.PipeCaution: func(p relay.Policy) any {
 		last := config.Range{First: 60, Last: 80}
@@ -83,26 +84,26 @@
 		targets[1].Hall = "b"
 		slower := placed("middle", last)[0]
 		slower.Hall = "b"
-		r, route := routerUnder(p, append(targets, slower))
+		r, route := routerWithPolicy(p, append(targets, slower))
 		a := ask(route)
 		a.Begun = true
 		path, _ := r.Choose(a, start)
 		return path.Passes(slower.ID)
 	},
 	relay.PauseAdmission: func(p relay.Policy) any {
-		r, route := routerUnder(p.With(relay.HerdGuess, false), placed("large", config.Range{First: 0, Last: 15}, config.Range{First: 15, Last: 30}, config.Range{First: 30, Last: 45}, config.Range{First: 45, Last: 60}, config.Range{First: 60, Last: 80}))
+		r, route := routerWithPolicy(p.With(relay.HerdGuess, false), placed("large", config.Range{First: 0, Last: 15}, config.Range{First: 15, Last: 30}, config.Range{First: 30, Last: 45}, config.Range{First: 45, Last: 60}, config.Range{First: 60, Last: 80}))
 		route.Pause = 12 * time.Millisecond
 		return slices.Index(paths(r, route, 900), "refused")
 	},
 	relay.StartSampling: func(p relay.Policy) any {
-		r, route := routerUnder(p, nil)
+		r, route := routerWithPolicy(p, nil)
 		fresh := relay.NewRouter(relay.Settings{Hall: "a", Seed: 1, Started: start, Policy: p})
 		fresh.TakeDocument(r.Document())
 		fresh.TakeTargets(placedToday())
 		fresh.TakeVMs(100)
 		return slices.Index(paths(fresh, route, 900), "refused")
 	},
-	relay.UnreadPrompts: func(p relay.Policy) any { return pathsUnder(p, placedToday(), 40) },
+	relay.UnreadPrompts: func(p relay.Policy) any { return pathsWithPolicy(p, placedToday(), 40) },
 	relay.FailureMean: func(p relay.Policy) any {
 		return afterFailure(p, func(r *relay.Router, id relay.TargetID) { r.Failed(id, false, start) })
 	},
@@ -113,13 +114,13 @@
 		return afterFailure(p, func(r *relay.Router, id relay.TargetID) { r.Refused(id, start) })
 	},
 	relay.SharedFindings: func(p relay.Policy) any {
-		r, _ := routerUnder(p, plain(2))
+		r, _ := routerWithPolicy(p, plain(2))
 		r.Failed("p0", true, start)
 		dead := r.Findings(start).Dead
 		return len(dead)
 	},
 	relay.RepeatShares: func(p relay.Policy) any {
-		r, _ := routerUnder(p, nil)
+		r, _ := routerWithPolicy(p, nil)
 		repeats := 0
 		for r.Repeat("s", false, start.Add(time.Minute)) {
 			repeats++
@@ -127,7 +128,7 @@
 		return repeats
 	},
 	relay.PooledRepeats: func(p relay.Policy) any {
-		r, _ := routerUnder(p, nil)
+		r, _ := routerWithPolicy(p, nil)
 		r.TakeVMs(100)
 		r.TakeUsage(nil, 100, start)
 		granted := 0
@@ -137,35 +138,35 @@
 		return granted
 	},
 	relay.ConnectionShares: func(p relay.Policy) any {
-		r, _ := routerUnder(p, nil)
+		r, _ := routerWithPolicy(p, nil)
 		return r.ConnLimit("plain")
 	},
 	relay.SpreadReturns: func(p relay.Policy) any {
-		r, route := routerUnder(p, nil)
+		r, route := routerWithPolicy(p, nil)
 		_, first := r.Choose(ask(route), start)
 		_, second := r.Choose(ask(route), start)
 		return first.RetryAt.Equal(second.RetryAt)
 	},
 	relay.StageReplacement: func(p relay.Policy) any {
-		r, route := routerUnder(p, twoOfEach())
+		r, route := routerWithPolicy(p, twoOfEach())
 		path, _ := r.Choose(ask(route), start)
 		_, ok := r.Substitute(path, []relay.TargetID{path.Stages[1].Target}, start)
 		return ok
 	},
 	relay.LeaveMoving: func(p relay.Policy) any {
-		r, route := routerUnder(p, twoOfEach())
+		r, route := routerWithPolicy(p, twoOfEach())
 		path, _ := r.Choose(ask(route), start)
 		r.TakeMarks(map[relay.TargetKey]relay.Mark{path.Stages[1].Target.Key(): relay.MarkMoving}, true)
 		_, moving := r.MovingOn(path)
 		return moving
 	},
 	relay.OverdueRepair: func(p relay.Policy) any {
-		r, _ := routerUnder(p, nil)
+		r, _ := routerWithPolicy(p, nil)
 		_, known := r.OverdueAfter(pacedAt(10, 50*time.Millisecond))
 		return known
 	},
 	relay.SlowEngines: func(p relay.Policy) any {
-		r, _ := routerUnder(p, twoOfEach())
+		r, _ := routerWithPolicy(p, twoOfEach())
 		r.TakePace("a-large-0", 12, start)
 		return len(r.Findings(start).Slow)
 	},
@@ -175,12 +176,12 @@
 	},
 }
 
-func pathsUnder(p relay.Policy, targets []relay.Target, n int) any {
-	r, route := routerUnder(p, targets)
+func pathsWithPolicy(p relay.Policy, targets []relay.Target, n int) any {
+	r, route := routerWithPolicy(p, targets)
 	return paths(r, route, n)
 }
 
-// What is switched off is really off: a decision differs.
+// Switching off a mechanism changes a decision.
 func TestEachMechanismChangesADecision(t *testing.T) {
 	outside := []relay.Mechanism{relay.StartWait, relay.StopAdmission, relay.StallProbe}
 	for _, m := range relay.Mechanisms() {
@@ -189,12 +190,12 @@
 			require.Contains(t, outside, m)
 			continue
 		}
-		require.Equal(t, decide(relay.Policy{}), decide(relay.Policy{}), "%s: the decision is a function of the seed", m)
+		require.Equal(t, decide(relay.Policy{}), decide(relay.Policy{}), "%s: the decision depends only on the seed", m)
 		require.NotEqual(t, decide(relay.Policy{}), decide(relay.Policy{}.With(m, false)), m)
 	}
 }
 
-func TestPoliciesAreReadByName(t *testing.T) {
+func TestSwitchedParsesMechanisms(t *testing.T) {
 	p, err := relay.Policy{}.Switched("own_hall", "off")
 	require.NoError(t, err)
 	require.False(t, p.Has(relay.OwnHall))
--- a/internal/relay/repeat_test.go
+++ b/internal/relay/repeat_test.go
@@ -9,9 +9,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// Where a dark engine took no connection, callers were refused for want of a budget that
-// nothing had been spent of.
-func TestWhatWasNotSentIsNoRepeat(t *testing.T) {
+// When an unreachable engine accepted no connection, callers were refused for lack of a
+// budget of which nothing had been spent.
+func TestUnsentRequestIsNotARepeat(t *testing.T) {
 	r, route := newRouter(engines(today))
 	r.TakeVMs(100000)
 	denial := r.MayRepeat(relay.Attempts{Route: route, Service: "s", Asked: 1, Sent: 1, Reached: true}, start)
@@ -20,10 +20,10 @@
 	denial = r.MayRepeat(relay.Attempts{Route: route, Service: "s", Asked: 1}, start)
 	require.Equal(t, relay.NotDenied, denial)
 	denial = r.MayRepeat(relay.Attempts{Route: route, Service: "s", Asked: 4}, start)
-	require.Equal(t, relay.DeniedAsked, denial, "not without end")
+	require.Equal(t, relay.DeniedAsked, denial, "attempts are bounded")
 }
 
-func TestWhoMayBeAskedAgain(t *testing.T) {
+func TestMayRepeat(t *testing.T) {
 	once := relay.Route{Repeat: relay.RepeatNever, MaxTargets: 1}
 	never := relay.Route{Repeat: relay.RepeatNever, MaxTargets: 3}
 	resume := relay.Route{Repeat: relay.RepeatResume, MaxTargets: 2}
@@ -41,8 +41,8 @@
 		{"may run once, may have run, then not reached", relay.Attempts{Route: &never, Asked: 2, Sent: 1, Ran: one}, false},
 		{"resumes, ran once", relay.Attempts{Route: &resume, Asked: 1, Sent: 1, Ran: one, Reached: true}, true},
 		{"resumes, ran twice", relay.Attempts{Route: &resume, Asked: 2, Sent: 2, Ran: twice, Reached: true}, false},
-		{"resumes, asked by many in vain", relay.Attempts{Route: &resume, Asked: 5, Sent: 5, Ran: one, Reached: true}, false},
-		{"in the middle, asked by many in vain", relay.Attempts{Route: &resume, Asked: 5, Sent: 5, Ran: one, Begun: true, Reached: true}, true},
+		{"resumes, many targets tried without success", relay.Attempts{Route: &resume, Asked: 5, Sent: 5, Ran: one, Reached: true}, false},
+		{"begun, many targets tried without success", relay.Attempts{Route: &resume, Asked: 5, Sent: 5, Ran: one, Begun: true, Reached: true}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -54,13 +54,14 @@
 	}
 }
 
-// An answer whose engines had said nothing for 60 ms was given up at a start, when its VM
-// had no repeat left: it could not go on elsewhere, and its caller lost it.
-func TestWhetherItCouldBeRepeatedIsKnownBeforeATryIsGivenUp(t *testing.T) {
+// At a start, an answer was abandoned after 60 ms without an event from its engines,
+// although its VM had no repeat left: it could not continue elsewhere, and its caller lost
+// it.
+func TestCouldRepeatTakesNothingFromBudget(t *testing.T) {
 	r, route := newRouter(engines(today))
 	sent := relay.Attempts{Route: route, Service: "s", Asked: 1, Sent: 1, Ran: []relay.TargetID{"i-1"}, Reached: true, Begun: true}
 	for range 1000 {
-		require.True(t, r.CouldRepeat(sent, start), "to look takes nothing")
+		require.True(t, r.CouldRepeat(sent, start), "the check takes nothing from the budget")
 	}
 	r.TakeVMs(100000)
 	require.False(t, r.CouldRepeat(sent, start))
@@ -71,10 +72,10 @@
 	require.False(t, r.CouldRepeat(ran, start))
 }
 
-// A day that replaced 16 engines one after the other: requests that had not begun took the
-// budget as they were refused by full engines, 997 times in 34 s, and 26 streams that broke
-// off in the middle were cut for want of it.
-func TestStreamsInTheMiddleHaveBudgetThatOthersMayNotTake(t *testing.T) {
+// On a day that replaced 16 engines one after the other, requests that had not begun used
+// up the budget when full engines refused them, 997 times in 34 s. 26 streams that had
+// begun and broke off were then cut for lack of budget.
+func TestBudgetReservesRepeatsForBegunStreams(t *testing.T) {
 	r, _ := newRouter(nil)
 	r.TakeVMs(10)
 	r.TakeUsage(map[string]relay.Usage{"s": {Requests: 1000, Repeats: 340}}, 10, start)
@@ -82,31 +83,31 @@
 	for r.Repeat("s", false, start) {
 		granted++
 	}
-	require.Zero(t, granted, "340 of 400 are used, and a request that has not begun can come back")
+	require.Zero(t, granted, "340 of 400 are used, and the caller of a request that has not begun can retry")
 	for r.Repeat("s", true, start) {
 		granted++
 	}
-	require.Equal(t, 4, granted, "a tenth of what is left")
+	require.Equal(t, 4, granted, "a tenth of the rest")
 }
 
-// An answer in the middle that has run on as many targets as its route allows goes on with
-// those: 5 of 26 that were cut had no other way.
-func TestAnAnswerInTheMiddleGoesOnWithTargetsThatRanIt(t *testing.T) {
+// An answer that has begun and has run on as many targets as its route allows continues on
+// one of those: 5 of 26 answers that were cut had no other target.
+func TestOnlyOnReturnsTargetsThatRanBegunAnswer(t *testing.T) {
 	r, route := newRouter(nil)
 	r.TakeTargets(twoOfEach())
 	ran := relay.Attempts{Route: route, Service: "s", Ran: []relay.TargetID{"a-large-0"}, Begun: true}
-	require.Empty(t, r.OnlyOn(ran), "one target more is allowed")
+	require.Empty(t, r.OnlyOn(ran), "one more target is allowed")
 	ran.Ran = []relay.TargetID{"a-large-0", "a-large-3"}
 	only := r.OnlyOn(ran)
 	require.Equal(t, ran.Ran, only)
 	a := ask(route)
 	a.Avoid = []relay.TargetID{"a-large-0"}
 	a.Only = []relay.TargetID{"a-large-0"}
-	require.Equal(t, relay.TargetID("a-large-0"), choose(t, r, a, start).First().Target, "also where it broke off")
+	require.Equal(t, relay.TargetID("a-large-0"), choose(t, r, a, start).First().Target, "even if the answer broke off there")
 
 	r.TakeMarks(map[relay.TargetKey]relay.Mark{relay.TargetID("a-large-0").Key(): relay.MarkSilent}, true)
-	require.Equal(t, ran.Ran, r.OnlyOn(ran), "one that VMs find dead may live")
-	require.Equal(t, relay.TargetID("a-large-0"), choose(t, r, a, start).First().Target, "and is asked")
+	require.Equal(t, ran.Ran, r.OnlyOn(ran), "a target that VMs find dead may be live")
+	require.Equal(t, relay.TargetID("a-large-0"), choose(t, r, a, start).First().Target, "and is tried")
 	r.TakeTargets([]relay.Target{{ID: "a-large-3", Call: 9, Leaving: true, Gone: true}})
-	require.Empty(t, r.OnlyOn(ran), "one that has signed off does not count")
+	require.Empty(t, r.OnlyOn(ran), "a target that has signed off does not count")
 }
--- a/internal/relay/shortlist_test.go
+++ b/internal/relay/shortlist_test.go
@@ -10,7 +10,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// replicas returns so many engines of a kind that hold each eighth of the layers in a hall.
+// replicas returns engines of a kind in a hall: the given number for each eighth of the
+// layers.
 func replicas(hall, kind string, each int) []relay.Target {
 	var targets []relay.Target
 	for part := range 8 {
@@ -25,9 +26,9 @@
 	return targets
 }
 
-// Pattern: halls with hundreds of engines before few requests. The fastest are listed, as many
-// as the answers in progress want, and each layer is held by as many of them.
-func TestTheFastestEnginesAreListedAsFarAsTheLoadWantsThem(t *testing.T) {
+// In halls with hundreds of engines and few requests, the fastest engines are listed, as
+// many as the answers in progress require, with the same number of holders for each layer.
+func TestShortlistTakesFastestEnginesForLoad(t *testing.T) {
 	targets := append(replicas("a", "small", 30), replicas("a", "middle", 10)...)
 	few := replicas("b", "small", 4)
 	kinds := func(listed []relay.TargetID) map[string]int {
@@ -42,9 +43,9 @@
 		return counts
 	}
 	idle := kinds(engine().Shortlist(append(targets, few...), 0))
-	require.Equal(t, relay.ShortlistLeast, idle["a middle"], "the fast ones first")
+	require.Equal(t, relay.ShortlistLeast, idle["a middle"], "the fastest engines first")
 	require.Zero(t, idle["a small"])
-	require.Len(t, few, idle["b small"], "a hall of few lists them all")
+	require.Len(t, few, idle["b small"], "a hall with few engines lists all of them")
 
 	busy := kinds(engine().Shortlist(targets, 900))
 	require.Equal(t, 80, busy["a middle"])
@@ -59,11 +60,11 @@
 		}
 	}
 	for _, n := range counts {
-		require.Equal(t, counts[0], n, "no layer is held by fewer")
+		require.Equal(t, counts[0], n, "all layers have the same number of holders")
 	}
 }
 
-func TestWithheldEnginesAreSentOnceListedOrLeaving(t *testing.T) {
+func TestWithheldEnginesAreSentWhenListedOrLeaving(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	r.WithholdEngines()
 	targets := replicas("a", "small", 1)
@@ -77,20 +78,20 @@
 
 	change := r.Change()
 	require.True(t, r.List(targets[2].ID))
-	require.False(t, r.List(targets[2].ID), "it is listed")
+	require.False(t, r.List(targets[2].ID), "already listed")
 	require.Equal(t, []relay.Target{targets[2]}, r.ListedSince(change))
-	require.False(t, r.Introduced(targets[2].ID, change), "who asks knows nothing of it yet")
+	require.False(t, r.Introduced(targets[2].ID, change), "the follower has not received it yet")
 
 	change = r.Change()
 	leaving := targets[5]
 	leaving.Call, leaving.Leaving = 2, true
 	r.Hear(leaving, start)
-	require.Equal(t, []relay.Target{leaving}, r.ListedSince(change), "some VM may have it from another control VM")
+	require.Equal(t, []relay.Target{leaving}, r.ListedSince(change), "a VM may have received it from another control VM")
 }
 
-// An engine that starts again at its address holds nothing, and is not on any shortlist: who
-// was told of it before went on sending there.
-func TestTheNextIncarnationOfAListedEngineIsListedToo(t *testing.T) {
+// An engine that restarts at its address holds nothing and is on no shortlist: VMs that had
+// received it before kept sending there.
+func TestNextIncarnationOfListedEngineIsListed(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	r.WithholdEngines()
 	first := replicas("a", "small", 1)[0]
--- a/internal/relay/substitute_test.go
+++ b/internal/relay/substitute_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// placed returns engines of hall "a" that hold these ranges.
+// placed returns engines of hall "a" that hold the given ranges.
 func placed(kind string, ranges ...config.Range) []relay.Target {
 	var targets []relay.Target
 	for i, layers := range ranges {
@@ -23,8 +23,9 @@
 	return targets
 }
 
-// twoOfEach returns engines of hall "a" of which two hold each part of the model, and one
-// of hall "b" that holds the last part too.
+// twoOfEach returns engines of hall "a" and one of hall "b". In hall "a", two engines hold
+// each of the first two parts of the model and one holds the last, which the engine of hall
+// "b" holds too.
 func twoOfEach() []relay.Target {
 	first := config.Range{First: 0, Last: 30}
 	second := config.Range{First: 30, Last: 55}
@@ -35,9 +36,9 @@
 	return append(targets, elsewhere)
 }
 
-// An engine that dies or moves in the middle of answers made all of them begin anew, with
-// their prompts read by every stage again.
-func TestALaterStageIsReplacedWithinItsHall(t *testing.T) {
+// When an engine died or moved during answers, all of them started over, and every stage
+// read their prompts again.
+func TestSubstituteReplacesLaterStageWithinHall(t *testing.T) {
 	r, route := newRouter(nil)
 	r.TakeTargets(twoOfEach())
 	path := choose(t, r, ask(route), start)
@@ -52,23 +53,23 @@
 	require.Len(t, hallsOf(next), 1)
 
 	r.Release(next, true)
-	require.Empty(t, r.Own(), "what was counted on the stage before is given back")
+	require.Empty(t, r.Own(), "the work counted on the replaced stage is released")
 }
 
-func TestNoStageIsReplacedThatCannotBe(t *testing.T) {
+func TestSubstituteRejectsIrreplaceableStages(t *testing.T) {
 	r, route := newRouter(nil)
 	r.TakeTargets(twoOfEach())
 	path := choose(t, r, ask(route), start)
 	_, ok := r.Substitute(path, []relay.TargetID{path.First().Target}, start)
 	require.False(t, ok, "the first stage has the connection")
 	_, ok = r.Substitute(path, []relay.TargetID{path.Stages[2].Target}, start)
-	require.False(t, ok, "only another hall has the layers")
+	require.False(t, ok, "only another hall holds the layers")
 	_, ok = r.Substitute(path, []relay.TargetID{"i-other"}, start)
 	require.False(t, ok, "it is not on the path")
 }
 
-// What was refused by the engine counts where it was.
-func TestARefusedReplacementIsUndone(t *testing.T) {
+// If the engine refuses the replacement, the request counts on its original path again.
+func TestRestoreUndoesSubstitute(t *testing.T) {
 	r, route := newRouter(nil)
 	r.TakeTargets(twoOfEach())
 	path := choose(t, r, ask(route), start)
@@ -81,7 +82,7 @@
 	require.Equal(t, before, r.Own())
 }
 
-func TestRequestsLeaveEnginesThatMove(t *testing.T) {
+func TestMovingOnReportsMovingStage(t *testing.T) {
 	r, route := newRouter(nil)
 	r.TakeTargets(twoOfEach())
 	path := choose(t, r, ask(route), start)
@@ -93,9 +94,9 @@
 	require.Equal(t, path.Stages[1].Target, id)
 }
 
-// A hall of engines that hold unlike ranges had no single one for a lost stage, and its
-// answers stood still until they were cut.
-func TestSeveralEnginesTakeThePlaceOfOne(t *testing.T) {
+// A hall of engines with different ranges had no single engine for a lost stage, and its
+// answers stalled until they were cut.
+func TestSubstituteUsesSeveralEnginesForOneStage(t *testing.T) {
 	r, route := newRouter(nil)
 	first := config.Range{First: 0, Last: 30}
 	lost := config.Range{First: 30, Last: 55}
