--- a/internal/relay/candidates.go
+++ b/internal/relay/candidates.go
@@ -32,9 +32,9 @@
 	succeededAt time.Time
 	// ownReported is the work of this VM when the work of the others was last reported.
 	ownReported Work
-	// silent is set if no VM has received a recent heartbeat of the target, or if far more
-	// entry VMs find it dead than sound. moving is set if it was ordered to hold other
-	// layers.
+	// silent is set if no VM has received a recent heartbeat of the target, or if at least
+	// twice as many entry VMs find it dead as find it sound. moving is set if it was ordered
+	// to hold other layers.
 	silent bool
 	moving bool
 	// backoff and draining come from the notices of the target: see Router.noteSaid.
--- a/internal/relay/capacity_test.go
+++ b/internal/relay/capacity_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// The capacity of a plan does not exceed the upper bound, on which the command that prints
-// it relies.
+// The capacity of a plan never exceeds the upper bound. The command that prints both relies
+// on it.
 func TestPlanStaysWithinUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := drawValidEngine(t)
