--- a/internal/relay/digest.go
+++ b/internal/relay/digest.go
@@ -7,25 +7,25 @@
 
 // This file compares two registries without sending what both have.
 //
-// A VM that turns to another control VM has been sent nearly all targets by the one before.
-// It sends a sum of hashes for each of some buckets of targets, and is sent the buckets that
+// A VM that follows a new control VM has received nearly all targets from the previous one. It
+// sends a sum of hashes for each of some buckets of targets, and receives the buckets that
 // differ.
 //
-// Limits: two registries with the same sums that differ pass for equal once in four thousand
-// million comparisons of a bucket; the next change of a target that differs mends it.
+// Limits: two registries that differ but have the same sums count as equal once in four billion
+// comparisons of a bucket; the next change of a target that differs corrects it.
 
-// digestBuckets is the number of sums: with 64, the sums of 3,000 targets take as many bytes
-// as five targets.
+// digestBuckets is the number of sums: with 64, the sums of 3,000 targets take as many bytes as
+// five targets.
 const digestBuckets = 64
 
-// Digest is a sum for each bucket over all that is known of the targets in it, but for the
-// numbers of their messages.
+// Digest is a sum for each bucket over all that is known of the targets in it, except the numbers
+// of their messages.
 type Digest []uint32
 
 func (id TargetID) bucket() int { return int(id.Key() % digestBuckets) }
 
-// Digest returns the sums of the registry. Void incarnations and withheld engines are not in it;
-// missed ones differ from those that speak again.
+// Digest returns the sums of the registry. They exclude void incarnations and withheld engines;
+// absent ones differ from those that report again.
 func (r *Registry) Digest() Digest {
 	d := make(Digest, digestBuckets)
 	for _, e := range r.targets {
@@ -40,10 +40,10 @@
 	return d
 }
 
-// hash covers what a target says of itself.
+// hash covers what a target reports of itself.
 func (t Target) hash() uint32 {
 	h := fnv.New32a()
-	_, _ = fmt.Fprint(h, t.ID, "|", t.Service, "|", t.Address, "|", t.Hall, "|", t.Accelerator, "|", t.Slots, t.Leaving, t.Gone, t.Layers, t.Loading) // a hash takes everything
+	_, _ = fmt.Fprint(h, t.ID, "|", t.Service, "|", t.Address, "|", t.Hall, "|", t.Accelerator, "|", t.Slots, t.Leaving, t.Gone, t.Layers, t.Loading) // a hash accepts any write
 	return h.Sum32()
 }
 
--- a/internal/relay/incarnation.go
+++ b/internal/relay/incarnation.go
@@ -8,42 +8,44 @@
 	"time"
 )
 
-// This file tells the incarnations of a target apart: one that starts again under
-// its name knows nothing of the requests of the one before and holds none of its layers.
+// This file distinguishes the incarnations of a target. One that restarts under its name knows
+// nothing of the requests of the previous one and holds none of its layers.
 //
-// Problem: what an incarnation that has ended had sent may arrive after what the next one sends, by
-// any way and in any order, and must not bring it back.
+// Problem: messages of an incarnation that has ended may arrive after those of the next one, by
+// any path and in any order, and must not revive it.
 //
-// Algorithm: the start is a part of the identity, so that all that is kept by TargetID is of
-// one incarnation. Of the incarnations of one name, and of those at one address, the one with the latest
-// start counts and the others are void. Each registry finds that out from the incarnations that it
-// knows, so that neither the order of arrival nor any clock of its own matters.
+// Algorithm: the start is part of the identity, so that all state kept by TargetID belongs to one
+// incarnation. Of the incarnations of one name, and of those at one address, the one with the
+// latest start is current and the others are void. Each registry derives this from the
+// incarnations that it knows, so that neither the order of arrival nor its own clock matters.
 //
-// Where a clock was set back, the incarnation that runs has not the latest start. It is taken once
-// the later ones have been silent for the silence after which a target counts as lost: the control VM that hears it notes them as
-// missed, up to the last message that it has of each, and tells others with it. A missed incarnation
-// voids nothing. Its next message, which is newer than the note, ends that.
+// After a clock was set back, the running incarnation does not have the latest start. It becomes
+// current once the later ones have been silent for the time after which a target counts as lost:
+// the control VM that receives its report notes them as absent, up to the last message that it
+// has of each, and forwards the notes. An absent incarnation voids nothing. Its next message,
+// which is newer than the note, ends that.
 //
-// Invariants: what counts depends on the incarnations and notes that are known, not on the order in
-// which they arrived; a void incarnation is told to nobody, saved nowhere and given nothing.
+// Invariants: what is current depends on the incarnations and notes that are known, not on the
+// order in which they arrived; a void incarnation is sent to no VM, saved nowhere and given no
+// work.
 //
-// Limits: a message of an earlier incarnation that comes when the later one has been silent for
-// so long has the earlier one count until the later one speaks or the earlier one is
-// silent for as long. A target at an address that one with a later start had before, by
-// another machine's clock, is taken up to that silence late.
+// Limits: if a message of an earlier incarnation arrives when the later one has been silent for
+// that time, the earlier one is current until the later one reports or the earlier one has been
+// silent for as long. A target at an address where one with a later start, by another machine's
+// clock, ran before is accepted up to that time late.
 
-// TargetID names one incarnation of a target: by its name and, where it is told, its start.
+// TargetID identifies one incarnation of a target: by its name and, where it is known, its start.
 type TargetID string
 
-// startMark stands between the name and the start in a TargetID, and startBase is the base
-// of the start: a start in milliseconds takes 9 bytes with the mark, and 14 in decimal.
+// startSeparator separates the name and the start in a TargetID, and startBase is the base of the
+// start: a start in milliseconds takes 9 bytes with the separator, and 14 in decimal.
 const (
 	startMark = "@"
 	startBase = 36
 )
 
 // NewTargetID returns the identity of the incarnation of a target that began at a start, in Unix
-// milliseconds; 0 where that is not told. Two different pairs have different identities.
+// milliseconds; 0 if it is not known. Two different pairs have different identities.
 func NewTargetID(name string, born uint64) TargetID {
 	if born == 0 && !strings.Contains(name, startMark) {
 		return TargetID(name)
@@ -59,7 +61,7 @@
 	return string(id)
 }
 
-// Born returns the start of this incarnation in Unix milliseconds, or 0 where it is not told.
+// Born returns the start of this incarnation in Unix milliseconds, or 0 if it is not known.
 func (id TargetID) Born() uint64 {
 	at := strings.LastIndex(string(id), startMark)
 	if at < 0 {
@@ -67,55 +69,55 @@
 	}
 	born, err := strconv.ParseUint(string(id[at+len(startMark):]), startBase, 64)
 	if err != nil {
-		return 0 // not made by NewTargetID
+		return 0 // not created by NewTargetID
 	}
 	return born
 }
 
-// OtherIncarnation reports whether what told a start speaks of another incarnation than this one. It does
-// not where either start is not told.
+// OtherIncarnation reports whether a start belongs to another incarnation than this one. It
+// returns false if either start is not known.
 func (id TargetID) OtherIncarnation(born uint64) bool {
 	own := id.Born()
 	return own != 0 && born != 0 && own != born
 }
 
-// TargetKey stands for a TargetID in what VMs tell each other several times a second: it
-// takes 5 bytes there, and the identity 22. Two of 3,000 targets have the same key once in
-// 1,000 deployments; the one then counts as busy, or is left alone, with the other.
+// TargetKey represents a TargetID in messages that VMs send each other several times a second: it
+// takes 5 bytes there, and the identity 22. Two of 3,000 targets have the same key once in 1,000
+// deployments; one of them is then treated as busy or avoided whenever the other is.
 type TargetKey uint32
 
 // Key returns the key of this incarnation: that of another incarnation of the same name differs.
 func (id TargetID) Key() TargetKey {
 	h := fnv.New32a()
-	h.Write([]byte(id)) // a hash takes everything
+	h.Write([]byte(id)) // a hash accepts any write
 	return TargetKey(h.Sum32())
 }
 
-// Succession says that an incarnation of a target, or the target at an address, has ended because
-// another one has begun.
+// Succession indicates that an incarnation of a target, or the target at an address, has ended
+// because another one has begun.
 type Succession struct{ Old, New TargetID }
 
-// Missed is a note that an incarnation with a later start was silent when one with an earlier start
-// spoke: it counts no more unless it has spoken after Call.
+// Missed notes that an incarnation with a later start was silent when one with an earlier start
+// reported: it is no longer current unless it has sent a message after Call.
 type Missed struct {
 	_    struct{} `cbor:",toarray"`
 	ID   TargetID `cbor:"id"`
 	Call uint64   `cbor:"call"`
 }
 
-// missedNote is a Missed with the time at which it was taken here.
+// absence is a Missed with the time at which it was recorded here.
 type missedNote struct {
 	call uint64
 	at   time.Time
 }
 
-// incarnations is what a Registry keeps to tell which incarnation counts.
+// incarnations is what a Registry keeps to determine which incarnation is current.
 type incarnations struct {
-	// byName and byAddress hold the incarnations that only one of can run.
+	// byName and byAddress hold the incarnations of which only one can run.
 	byName    map[string][]TargetID
 	byAddress map[string][]TargetID
 	missed    map[TargetID]missedNote
-	// ended and revived are what has changed since the last TakeTransitions.
+	// ended and revived are the changes since the last TakeTransitions.
 	ended   []Succession
 	revived []TargetID
 }
@@ -124,7 +126,7 @@
 	return incarnations{byName: make(map[string][]TargetID), byAddress: make(map[string][]TargetID), missed: make(map[TargetID]missedNote)}
 }
 
-// file notes an incarnation under its name and address.
+// index adds an incarnation to its name and address.
 func (l *incarnations) file(t Target) {
 	l.byName[t.ID.Name()] = withID(l.byName[t.ID.Name()], t.ID)
 	if t.Address != "" {
@@ -132,13 +134,13 @@
 	}
 }
 
-// unfile drops an incarnation from its name and address.
+// unindex removes an incarnation from its name and address.
 func (l *incarnations) unfile(t Target) {
 	dropID(l.byName, t.ID.Name(), t.ID)
 	dropID(l.byAddress, t.Address, t.ID)
 }
 
-// withID adds an identity to others unless it is among them.
+// appendUnique adds an identity to others unless it is among them.
 func withID(ids []TargetID, id TargetID) []TargetID {
 	if slices.Contains(ids, id) {
 		return ids
@@ -146,7 +148,7 @@
 	return append(ids, id)
 }
 
-// dropID removes an identity from those at a key.
+// removeID removes an identity from those at a key.
 func dropID(of map[string][]TargetID, key string, id TargetID) {
 	left := slices.DeleteFunc(of[key], func(o TargetID) bool { return o == id })
 	of[key] = left
@@ -155,8 +157,8 @@
 	}
 }
 
-// rivals returns the incarnations of which at most one runs beside a target: those of its name, and
-// those at its address.
+// rivals returns the incarnations of which at most one runs beside a target: those of its name,
+// and those at its address.
 func (l *incarnations) rivals(t Target) []TargetID {
 	all := l.byName[t.ID.Name()]
 	if t.Address == "" {
@@ -168,14 +170,15 @@
 	return all
 }
 
-// missing reports whether an incarnation has said nothing since it was noted as missed.
+// isAbsent reports whether an incarnation has sent nothing since it was noted as absent.
 func (r *Registry) missing(t Target) bool {
 	note, noted := r.incarnations.missed[t.ID]
 	return noted && t.Call <= note.call
 }
 
-// refile works out again which incarnation counts where a target's heartbeat may change that: the
-// target was not known, has another address, or was missed and speaks. It reports the last.
+// reindex determines again which incarnations are current where a target's message may change
+// that: the target was not known, has another address, or was absent and reports again. It
+// returns whether it was absent.
 func (r *Registry) refile(before, after Target, known bool) (spokeAgain bool) {
 	note, noted := r.incarnations.missed[after.ID]
 	spokeAgain = noted && after.Call > note.call
@@ -185,7 +188,7 @@
 	r.incarnations.file(after)
 	switch {
 	case !known:
-		// An incarnation that never counted here does not end.
+		// An incarnation that was never current here does not end.
 		e := r.targets[after.ID]
 		_, e.void = r.voidedBy(after)
 		r.targets[after.ID] = e
@@ -201,7 +204,7 @@
 	return spokeAgain
 }
 
-// renew marks an incarnation as changed, so that followers are sent it again.
+// markChanged marks an incarnation as changed, so that followers are sent it again.
 func (r *Registry) renew(id TargetID) {
 	r.change++
 	e := r.targets[id]
@@ -209,7 +212,8 @@
 	r.targets[id] = e
 }
 
-// settle works out which of some incarnations are void, and notes those where that has changed.
+// updateVoid determines which of some incarnations are void, and records those that have become
+// void or current.
 func (r *Registry) settle(ids []TargetID) {
 	for _, id := range ids {
 		e, known := r.targets[id]
@@ -246,8 +250,8 @@
 	return by, void
 }
 
-// missSilent notes the silent ones of the incarnations with a later start than one that has just
-// spoken, to this VM or to another that it is told all signs of life by.
+// noteAbsent notes the silent ones of the incarnations with a later start than one that has just
+// reported, to this VM or to another one that forwards all heartbeats to it.
 func (r *Registry) missSilent(t Target, now time.Time) {
 	noted := false
 	for _, id := range r.incarnations.rivals(t) {
@@ -263,7 +267,7 @@
 	}
 }
 
-// Miss takes the note of another VM.
+// Miss records the note of another VM.
 func (r *Registry) Miss(m Missed, now time.Time) {
 	e, known := r.targets[m.ID]
 	if note, noted := r.incarnations.missed[m.ID]; noted && note.call >= m.Call || known && e.target.Call > m.Call {
@@ -275,8 +279,9 @@
 	}
 }
 
-// Missed returns the notes on incarnations that have said nothing since, sorted. A note on an incarnation
-// that is forgotten here is told no more: two VMs would keep it alive between them.
+// Missed returns the notes on incarnations that have sent nothing since, sorted. A note on an
+// incarnation that has been removed here is no longer sent: two VMs would keep it alive between
+// them.
 func (r *Registry) Missed() []Missed {
 	var missed []Missed
 	for id, note := range r.incarnations.missed {
@@ -289,8 +294,8 @@
 	return missed
 }
 
-// TakeTransitions returns the incarnations that have ended, and those that count again, since it was
-// last called. Ended that did both since are left out of the one that no longer holds.
+// TakeTransitions returns the incarnations that have ended, and those that have become current
+// again, since its last call. One that did both is returned only for the state that holds now.
 func (r *Registry) TakeTransitions() (ended []Succession, again []Target) {
 	for _, s := range r.incarnations.ended {
 		if r.targets[s.Old].void {
@@ -312,8 +317,8 @@
 	return known && !e.void
 }
 
-// signOff returns the incarnations that a target which signs off speaks of: the one whose start it
-// tells or, where it tells none, those of its name that count here at this moment.
+// signOffs returns the sign-offs that follow from one message: for the incarnation whose start it
+// contains or, without a start, for those of its name that are current here at this moment.
 func (r *Registry) signOff(t Target) []Target {
 	leaving := []Target{t}
 	if t.ID.Born() != 0 {
@@ -329,8 +334,8 @@
 	return leaving
 }
 
-// forgetIncarnations drops the incarnations that the registry no longer knows, and notes from before a
-// time.
+// forgetIncarnations removes the incarnations that the registry no longer knows, and notes from
+// before a time.
 func (r *Registry) forgetIncarnations(forgotten []Target, after time.Time) {
 	for _, t := range forgotten {
 		r.incarnations.unfile(t)
@@ -345,8 +350,8 @@
 	}
 }
 
-// EndedBy returns the incarnations known here that end with the first messages of others. A VM that
-// follows a registry for long may know targets that its own registry has forgotten.
+// EndedBy returns the incarnations known here that end with the first messages of others. A VM
+// that follows a registry for long may know targets that its own registry has removed.
 func (r *Router) EndedBy(messages []Target) (ended []Succession) {
 	names, addresses := make(map[string]TargetID), make(map[string]TargetID)
 	for _, t := range messages {
@@ -368,7 +373,7 @@
 	return ended
 }
 
-// latest keeps the incarnation with the later start at a key.
+// keepLatest keeps the incarnation with the later start at a key.
 func latest(of map[string]TargetID, key string, id TargetID) { of[key] = later(of[key], id) }
 
 // later returns the incarnation with the later start.
@@ -379,9 +384,8 @@
 	return a
 }
 
-// End takes the incarnations that have ended: they get nothing new, what runs there counts as lost,
-// and nothing that is known of them is carried over. It returns the addresses of those that
-// this VM knew.
+// End ends incarnations: they get no new work, what runs there counts as lost, and no state of
+// them is carried over. It returns the addresses of those that this VM knew.
 func (r *Router) End(ended []Succession) (addresses []string) {
 	for _, s := range ended {
 		t, known := r.targets[s.Old]
--- a/internal/relay/incarnation_test.go
+++ b/internal/relay/incarnation_test.go
@@ -20,7 +20,7 @@
 	return message(relay.NewTargetID("i-1", born), call)
 }
 
-// counting returns the identities that a registry counts.
+// currentIDs returns the identities of the targets of a registry that are not void.
 func counting(r *relay.Registry) []relay.TargetID {
 	var ids []relay.TargetID
 	for _, t := range r.All() {
@@ -37,8 +37,8 @@
 	return ids
 }
 
-func TestIdentitiesTellNameAndStart(t *testing.T) {
-	require.Equal(t, relay.TargetID("i-1"), relay.NewTargetID("i-1", 0), "without a start it is the plain name")
+func TestTargetIDContainsNameAndStart(t *testing.T) {
+	require.Equal(t, relay.TargetID("i-1"), relay.NewTargetID("i-1", 0), "without a start the identity is the name")
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.OneOf(rapid.String(), rapid.StringMatching(`[i@0-9a-z-]{0,12}`))
 		born := rapid.OneOf(rapid.Uint64(), rapid.SampledFrom([]uint64{0, 1, 1790000000000, math.MaxUint64}))
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestLivesHaveKeysOfTheirOwn(t *testing.T) {
+func TestIncarnationsHaveDifferentKeys(t *testing.T) {
 	ids := lifeIDs(0, 1790000000000, 1790000000001, 1790000004000)
 	keys := make(map[relay.TargetKey]bool)
 	for _, id := range ids {
@@ -58,7 +58,7 @@
 	require.Len(t, keys, len(ids))
 }
 
-func TestOnlyStartsThatAreToldDiffer(t *testing.T) {
+func TestUnknownStartIsNoOtherIncarnation(t *testing.T) {
 	id := relay.NewTargetID("i-1", 7)
 	require.True(t, id.OtherIncarnation(8))
 	require.False(t, id.OtherIncarnation(7))
@@ -66,8 +66,8 @@
 	require.False(t, relay.TargetID("i-1").OtherIncarnation(7))
 }
 
-// What a life has said does not hold of the next one, whose numbers are lower.
-func TestANewLifeStartsFromNothing(t *testing.T) {
+// The state of an incarnation does not apply to the next one, whose message numbers are lower.
+func TestNewIncarnationHasNoOldState(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	old := heartbeatOf(100, 50)
 	old.Leaving, old.Layers = true, config.Range{First: 3, Last: 9}
@@ -77,10 +77,10 @@
 	ended, again := r.TakeTransitions()
 	require.Equal(t, []relay.Succession{{Old: lifeIDs(100)[0], New: lifeIDs(200)[0]}}, ended)
 	require.Empty(t, again)
-	require.Contains(t, r.Silent(start.Add(2*time.Second), silence), lifeIDs(100)[0], "who has not heard of the new one yet leaves the old one alone")
+	require.Contains(t, r.Silent(start.Add(2*time.Second), silence), lifeIDs(100)[0], "the old incarnation is reported as silent")
 }
 
-func TestLateMessagesOfAnEarlierLifeChangeNothing(t *testing.T) {
+func TestLateMessagesOfEarlierIncarnationAreIgnored(t *testing.T) {
 	leaving, gone := heartbeatOf(100, 60), relay.Target{ID: lifeIDs(100)[0], Call: 1 << 62, Leaving: true, Gone: true}
 	leaving.Leaving = true
 	elsewhere := heartbeatOf(100, 60)
@@ -90,10 +90,10 @@
 		"from another address": func(r *relay.Registry, now time.Time) bool { return r.Hear(elsewhere, now) },
 		"leaving":              func(r *relay.Registry, now time.Time) bool { return r.Hear(leaving, now) },
 		"sign-off":             func(r *relay.Registry, now time.Time) bool { return r.Hear(gone, now) },
-		"of a control VM":      func(r *relay.Registry, now time.Time) bool { return r.Learn(heartbeatOf(100, 60), now) },
-		"of a third life":      func(r *relay.Registry, now time.Time) bool { return r.Hear(heartbeatOf(50, 3), now) },
+		"from a control VM":    func(r *relay.Registry, now time.Time) bool { return r.Learn(heartbeatOf(100, 60), now) },
+		"third incarnation":    func(r *relay.Registry, now time.Time) bool { return r.Hear(heartbeatOf(50, 3), now) },
 		"without a start":      func(r *relay.Registry, now time.Time) bool { return r.Hear(heartbeatOf(0, 3), now) },
-		"sign of life": func(r *relay.Registry, now time.Time) bool {
+		"forwarded beat": func(r *relay.Registry, now time.Time) bool {
 			r.Alive(lifeIDs(100)[0], 60, now)
 			return false
 		},
@@ -113,20 +113,20 @@
 			ended, again := r.TakeTransitions()
 			require.Empty(t, ended)
 			require.Empty(t, again)
-			require.NotContains(t, r.Silent(now, 500*time.Millisecond), lifeIDs(200)[0], "a late message does not make the one that runs silent")
+			require.NotContains(t, r.Silent(now, 500*time.Millisecond), lifeIDs(200)[0], "a late message does not make the running incarnation silent")
 		})
 	}
 }
 
-func TestALifeThatIsHeardOfLateIsVoidAtOnce(t *testing.T) {
+func TestEarlierIncarnationReportedLateIsVoid(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	r.Hear(heartbeatOf(200, 1), start)
 	require.False(t, r.Hear(heartbeatOf(100, 99), start))
 	require.Equal(t, lifeIDs(200), counting(r))
 }
 
-// A sign-off may come before the first message of its life.
-func TestASignOffEndsTheLifeThatItNames(t *testing.T) {
+// A sign-off may arrive before the first message of its incarnation.
+func TestSignOffEndsItsIncarnation(t *testing.T) {
 	for _, born := range []uint64{100, 200} {
 		r := relay.NewRegistry(silence)
 		r.Hear(heartbeatOf(100, 50), start)
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestASignOffWithoutAStartEndsTheLivesThatCount(t *testing.T) {
+func TestSignOffWithoutStartEndsCurrentIncarnations(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	r.Hear(heartbeatOf(100, 50), start)
 	r.Hear(heartbeatOf(200, 1), start)
@@ -147,11 +147,11 @@
 	require.False(t, held.Takes())
 	r.Hear(heartbeatOf(300, 1), start)
 	held, _ = r.Get(lifeIDs(300)[0])
-	require.True(t, held.Takes(), "a life that begins later is not meant")
+	require.True(t, held.Takes(), "the sign-off does not apply to a later incarnation")
 }
 
-// A clock that was set back gives a start before that of the life that died.
-func TestALowerStartIsTakenOnceTheHigherOneIsSilent(t *testing.T) {
+// After a clock was set back, the start of an incarnation is before that of the one that died.
+func TestEarlierStartIsCurrentOnceLaterOneIsSilent(t *testing.T) {
 	for name, higher := range map[string]uint64{"set back": 300, "from the future": math.MaxUint64} {
 		t.Run(name, func(t *testing.T) {
 			r, follower := relay.NewRegistry(silence), relay.NewRegistry(silence)
@@ -177,22 +177,23 @@
 			}
 			require.Contains(t, counting(follower), lifeIDs(200)[0])
 
-			// The one with the higher start was cut off, and speaks again.
+			// The incarnation with the later start was cut off, and reports again.
 			change = r.Change()
 			require.True(t, r.Hear(heartbeatOf(higher, 10), now))
 			require.Equal(t, lifeIDs(higher), counting(r))
 			for _, told := range r.Since(change) {
 				follower.Learn(told, now)
 			}
-			follower.Miss(relay.Missed{ID: lifeIDs(higher)[0], Call: 9}, now) // told late
+			follower.Miss(relay.Missed{ID: lifeIDs(higher)[0], Call: 9}, now) // arrives late
 			require.Equal(t, lifeIDs(higher), counting(follower))
 			require.Equal(t, r.Digest(), follower.Digest())
 		})
 	}
 }
 
-// The life that runs may speak to other control VMs alone, of which none knew the missed one.
-func TestAHigherStartIsMissedByBeatsOfOthers(t *testing.T) {
+// The running incarnation may report only to other control VMs, none of which knew the absent
+// one.
+func TestForwardedHeartbeatsMarkLaterStartAbsent(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	r.Hear(heartbeatOf(300, 9), start)
 	r.Learn(heartbeatOf(200, 1), start.Add(time.Second))
@@ -203,8 +204,8 @@
 	require.Equal(t, []relay.Missed{{ID: lifeIDs(300)[0], Call: 9}}, r.Missed())
 }
 
-// A late message of a life does not pass for a sign that a higher one is missed.
-func TestARepeatedMessageMissesNobody(t *testing.T) {
+// A late message of an incarnation does not mark a later one as absent.
+func TestRepeatedMessageMarksNothingAbsent(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	r.Hear(heartbeatOf(100, 5), start)
 	r.Hear(heartbeatOf(200, 1), start)
@@ -214,8 +215,8 @@
 	require.Equal(t, lifeIDs(200), counting(r))
 }
 
-// A VM that turns to another control VM is told that a missed life speaks again.
-func TestSumsTellAMissedLifeFromOneThatSpeaks(t *testing.T) {
+// A VM that follows a new control VM learns that an absent incarnation reports again.
+func TestDigestReflectsAbsence(t *testing.T) {
 	a, b := relay.NewRegistry(silence), relay.NewRegistry(silence)
 	for _, r := range []*relay.Registry{a, b} {
 		r.Learn(heartbeatOf(300, 9), start)
@@ -236,8 +237,8 @@
 	return t
 }
 
-// An address has one target at a time: that of the later start, under whatever name.
-func TestTheLaterStartAtAnAddressCounts(t *testing.T) {
+// An address has one target at a time: the one with the later start, under whatever name.
+func TestLaterStartAtAddressIsCurrent(t *testing.T) {
 	first, second := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-2", 200)
 	for _, order := range [][]relay.TargetID{{first, second}, {second, first}, {first, second, first}} {
 		r := relay.NewRegistry(silence)
@@ -250,9 +251,9 @@
 	}
 }
 
-// Where starts are not told, a message of the first that comes late does not bring it back, nor
-// does it make the one that runs silent.
-func TestTheLaterRegistrationAtAnAddressCounts(t *testing.T) {
+// Without starts, a late message of the first target neither makes it current again nor makes the
+// running one silent.
+func TestLaterRegistrationAtAddressIsCurrent(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	silent := func(now time.Time) []relay.TargetID {
 		return r.Silent(now, 1500*time.Millisecond)
@@ -269,14 +270,14 @@
 	require.Equal(t, []relay.TargetID{"new"}, silent(start.Add(9*time.Second)), "the later one has died")
 }
 
-func TestAnEndedLifeGetsNothingAndKeepsItsWorkToItself(t *testing.T) {
+func TestEndedIncarnationGetsNoWork(t *testing.T) {
 	targets := placedToday()
 	r, route := newRouter(targets)
 	path := choose(t, r, ask(route), start)
 	old := path.Stages[len(path.Stages)-1]
 	begun := relay.NewTargetID(old.Target.Name(), 200)
 	require.Equal(t, []string{old.Address}, r.End([]relay.Succession{{Old: old.Target, New: begun}}))
-	require.Empty(t, r.End([]relay.Succession{{Old: old.Target, New: begun}}), "it ends once")
+	require.Empty(t, r.End([]relay.Succession{{Old: old.Target, New: begun}}), "an incarnation ends only once")
 	require.True(t, r.Suspect(old.Target, start), "what runs there is lost")
 	r.TakeTargets([]relay.Target{{ID: begun, Service: "s", Address: old.Address, Call: 1}})
 	r.Failed(old.Target, true, start)
@@ -293,8 +294,8 @@
 	require.Empty(t, r.Findings(start).Dead)
 }
 
-// A VM whose registry has forgotten a target finds out by itself which of its lives ends.
-func TestTheFirstMessageOfALifeEndsThoseBefore(t *testing.T) {
+// A VM whose registry has removed a target determines by itself which of its incarnations ends.
+func TestFirstReportEndsEarlierIncarnations(t *testing.T) {
 	r := relay.NewRouter(relay.Settings{})
 	first, second, third := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-2", 200), relay.NewTargetID("i-3", 900)
 	r.TakeTargets([]relay.Target{wordAt(first, "x", 1), wordAt(second, "y", 1), wordAt(third, "z", 1), wordAt("plain", "w", 1)})
@@ -303,8 +304,8 @@
 	require.Empty(t, r.EndedBy([]relay.Target{wordAt(first, "x", 2), wordAt("other", "x", 1), wordAt(relay.NewTargetID("i-3", 800), "z", 1)}))
 }
 
-// referenceLives is what counts of messages that came in any order: of each life the highest
-// number, and no life beside one of the same name or address with a later start.
+// referenceIncarnations returns what is current after messages in any order: of each incarnation
+// the highest number, and none beside one of the same name or address with a later start.
 func referenceLives(messages map[relay.TargetID][]relay.Target) map[relay.TargetID]relay.Target {
 	count := make(map[relay.TargetID]relay.Target)
 	for id, of := range messages {
@@ -322,9 +323,9 @@
 	return count
 }
 
-// Whatever is lost and in whatever order messages come, by whichever VM, each registry counts the
-// lives that its messages tell of.
-func TestNoOrderOfMessagesBringsALifeBack(t *testing.T) {
+// Whatever is lost, in whatever order and by whichever VM messages arrive, each registry has the
+// current incarnations of its messages.
+func TestMessageOrderDoesNotReviveIncarnations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const vms = 3
 		registries, heard := make([]*relay.Registry, vms), make([]map[relay.TargetID][]relay.Target, vms)
@@ -341,7 +342,7 @@
 				registries[vm].Learn(w, start)
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
-			case 0, 1: // a target speaks, and is heard or not
+			case 0, 1: // a target reports, and its report arrives or is lost
 				id := relay.NewTargetID(fmt.Sprint("i-", rapid.IntRange(1, 3).Draw(t, "name")), uint64(rapid.IntRange(0, 3).Draw(t, "born")))
 				if addresses[id] == "" {
 					addresses[id] = rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "address")
@@ -351,17 +352,17 @@
 				w.Layers = config.Range{First: 0, Last: rapid.IntRange(0, 9).Draw(t, "layers")}
 				w.Leaving = rapid.IntRange(0, 5).Draw(t, "leaves") == 0
 				said = append(said, w)
-				if rapid.Bool().Draw(t, "heard") {
+				if rapid.Bool().Draw(t, "received") {
 					heard[vm][w.ID] = append(heard[vm][w.ID], w)
 					registries[vm].Hear(w, start)
 				}
-			case 2: // a message comes late, or again
+			case 2: // a message arrives late, or again
 				if len(said) > 0 {
 					take(rapid.SampledFrom(said).Draw(t, "late"))
 				}
-			case 3: // one VM tells another what it counts, of which a part is lost
+			case 3: // one VM forwards its current targets to another, and some are lost
 				for _, w := range registries[rapid.IntRange(0, vms-1).Draw(t, "from")].All() {
-					if rapid.Bool().Draw(t, "told") {
+					if rapid.Bool().Draw(t, "forwarded") {
 						take(w)
 					}
 				}
@@ -378,9 +379,8 @@
 	})
 }
 
-// What anybody may write is forgotten whole: a message that was dropped neither voids others nor
-// stays.
-func TestADroppedLifeVoidsNothing(t *testing.T) {
+// A message that anybody may write is removed completely: it neither voids others nor stays.
+func TestRemovedIncarnationVoidsNothing(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	r.Hear(wordAt(relay.NewTargetID("a", 20), "x", 1), start)
 	r.Hear(wordAt(relay.NewTargetID("b", 10), "x", 1), start)
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -7,9 +7,9 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// Target is what a target says of itself.
+// Target is what a target reports of itself.
 type Target struct {
-	// The fields are sent without their names: at a start every VM is told of all targets.
+	// Encoded as an array: at a start every VM receives all targets.
 	_           struct{} `cbor:",toarray"`
 	ID          TargetID `cbor:"id"`
 	Service     string   `cbor:"service"`
@@ -17,23 +17,22 @@
 	Hall        string   `cbor:"hall"`
 	Accelerator string   `cbor:"accelerator,omitempty"`
 	Slots       int      `cbor:"slots"`
-	// Call is the number of the message that said so; a higher one is newer.
+	// Call is the number of the message with this report; a higher one is newer.
 	Call uint64 `cbor:"call"`
-	// Leaving targets take no new work. Gone ones have signed off. Neither is
-	// ever taken back by the incarnation.
+	// Leaving targets accept no new work. Gone ones have signed off. Neither is ever reset for
+	// this incarnation.
 	Leaving bool `cbor:"leaving,omitempty"`
 	Gone    bool `cbor:"gone,omitempty"`
-	// Layers is what an engine holds. Loading says that it is carrying out an
-	// order.
+	// Layers is what an engine holds. Loading indicates that it is carrying out an order.
 	Layers  config.Range `cbor:"layers"`
 	Loading bool         `cbor:"loading,omitempty"`
-	// Load is what all VMs have under way at it, in tokens, where a planner needs
-	// it; targets do not say it themselves.
+	// Load is what all VMs have in flight at the target, in tokens, where a planner needs it;
+	// targets do not report it themselves.
 	Load int `cbor:"-"`
 }
 
-// TargetUpdate is what an incarnation of a target says that changes, for those who have been told
-// the rest: a third of the bytes of a Target.
+// TargetUpdate is the part of a Target that changes within an incarnation, for receivers that
+// have the rest: a third of the bytes of a Target.
 type TargetUpdate struct {
 	_       struct{}     `cbor:",toarray"`
 	ID      TargetID     `cbor:"id"`
@@ -44,31 +43,31 @@
 	Loading bool         `cbor:"loading"`
 }
 
-// Update returns what may change of a target.
+// Update returns the part of a target that may change.
 func (t Target) Update() TargetUpdate {
 	return TargetUpdate{ID: t.ID, Call: t.Call, Leaving: t.Leaving, Gone: t.Gone, Layers: t.Layers, Loading: t.Loading}
 }
 
-// With returns the target as an update says that it is now.
+// With returns the target with an update applied.
 func (t Target) With(u TargetUpdate) Target {
 	t.Call, t.Leaving, t.Gone, t.Layers, t.Loading = u.Call, u.Leaving, u.Gone, u.Layers, u.Loading
 	return t
 }
 
-// sameBesides reports whether nothing differs that an update does not say.
+// sameExceptUpdate reports whether the targets differ at most in what an update contains.
 func (t Target) sameBesides(o Target) bool { return t.With(TargetUpdate{}) == o.With(TargetUpdate{}) }
 
-// Takes reports whether the target may be given new work.
+// Takes reports whether the target accepts new work.
 func (t Target) Takes() bool { return !t.Leaving && !t.Gone }
 
-// merge returns the newer of two messages of the same incarnation, with the marks that
-// are never taken back.
+// merge returns the newer of two messages of the same incarnation. Leaving and Gone stay set once
+// either message sets them.
 func (t Target) merge(other Target) Target {
 	newer := t
 	if other.Call > t.Call {
 		newer = other
 		if newer.Address == "" {
-			// A message that only signs off says nothing else.
+			// A sign-off contains nothing else.
 			newer = t
 			newer.Call = other.Call
 		}
@@ -78,47 +77,49 @@
 	return newer
 }
 
-// silentLeast is the least silence after which a target counts as lost: a heartbeat may
-// arrive seconds late, however often targets send one.
+// silentLeast is the least silence after which a target counts as lost: a heartbeat may arrive
+// seconds late, however short the heartbeat interval.
 const silentLeast = 3 * time.Second
 
-// SilentAfter returns the silence after which a target counts as lost that says so often
-// that it lives: two heartbeats and a half, so that one late heartbeat does no harm.
+// SilentAfter returns the silence after which a target with a heartbeat interval counts as lost:
+// two and a half heartbeats, so that one late heartbeat does no harm.
 func SilentAfter(heartbeat time.Duration) time.Duration {
 	return max(2*heartbeat+heartbeat/2, silentLeast)
 }
 
-// Registry holds the targets by incarnation. The zero value is not usable.
+// Registry holds the targets by incarnation. Use NewRegistry.
 type Registry struct {
 	targets map[TargetID]entry
-	// names holds the keys of targets, sorted: they are gone through several times a second.
+	// sortedIDs holds the keys of targets, sorted: they are iterated over several times a second.
 	names        []TargetID
 	incarnations incarnations
-	// change numbers what was taken, for those who follow the registry.
+	// change is the number of the last change, for those who follow the registry.
 	change uint64
-	// silence is that after which a target counts as lost.
+	// silence is the time without a report after which a target counts as lost.
 	silence time.Duration
-	// withholds says that engines are withheld until they are listed: see shortlist.go.
+	// withholds indicates that engines are withheld until they are listed: see shortlist.go.
 	withholds bool
 }
 
 type entry struct {
 	target Target
-	// heardAt is when the target last spoke to any VM, as far as is known here, and
-	// registered when it was first known here.
+	// heardAt is when any VM last received a report of the target, as far as is known here, and
+	// registered when the target was first known here.
 	heardAt, registered time.Time
-	// changed is the number of the change that last altered target, and introduced of that
-	// which altered more of it than an update says.
+	// changed is the number of the last change of target, and introduced that of the last one
+	// that an update does not cover.
 	changed, introduced uint64
-	// turned is the number of the change that made this VM the one that it speaks to.
+	// ownChanged is the number of the last change for OwnSince, which includes that the target
+	// began to report to this VM.
 	turned uint64
-	// firstHand says that the target spoke to this VM last.
+	// direct indicates that the last report of the target came to this VM.
 	firstHand bool
-	// draining says that this VM was told by one that the target has answered that it leaves.
+	// draining indicates that a VM that received a draining notice from the target reported it to
+	// this VM.
 	draining bool
-	// void says that another incarnation runs in the place of this one.
+	// void indicates that another incarnation runs in place of this one.
 	void bool
-	// withheld says that those who follow for themselves are not told of it.
+	// withheld indicates that followers are not sent the target.
 	withheld bool
 }
 
@@ -127,8 +128,8 @@
 	return &Registry{targets: make(map[TargetID]entry), incarnations: newIncarnations(), silence: silence}
 }
 
-// Hear takes a target's own message, and reports whether followers are to be told of it
-// before they ask.
+// Hear processes a report that the target itself sent to this VM, and returns whether followers
+// are to be sent it before they ask.
 func (r *Registry) Hear(t Target, now time.Time) bool {
 	if !t.Gone {
 		return r.take(t, now, true)
@@ -140,7 +141,8 @@
 	return news
 }
 
-// Learn takes what another VM was told, and reports whether it is new. A void incarnation is not.
+// Learn processes a report forwarded by another VM, and returns whether it is new. That of a void
+// incarnation is not.
 func (r *Registry) Learn(t Target, now time.Time) bool { return r.take(t, now, false) }
 
 func (r *Registry) take(t Target, now time.Time, firstHand bool) bool {
@@ -161,10 +163,10 @@
 		e.heardAt = present.heardAt
 		e.firstHand = present.firstHand || firstHand && differs
 	}
-	// A target that turns to this VM is told of again to other control VMs, also where it
-	// says nothing new: the VM that it spoke to before may have died with its last message. It
-	// can wait for them to ask, unless the target leaves: after a loss of all VMs every
-	// target turns to one that it has not spoken to. Who follows this VM alone has been told.
+	// A target that begins to report to this VM is sent again to other control VMs, even if its
+	// report is not new: the VM that it reported to before may have failed with its last message.
+	// Unless the target is leaving, this waits until they ask: after a loss of all VMs every
+	// target reports to another VM than before. Followers of this VM alone have been sent it.
 	turned := firstHand && !present.firstHand && !late
 	if differs || turned || known && !late && r.isSilent(present, now) {
 		r.change++
@@ -173,7 +175,7 @@
 	if differs || turned && next.Leaving || known && !late && r.isSilent(present, now) {
 		e.changed = r.change
 	}
-	// Who asked for all targets while this one was silent was not told of it.
+	// Those who asked for all targets while this one was silent were not sent it.
 	if !known || !present.target.sameBesides(next) || !late && r.isSilent(present, now) {
 		e.introduced = r.change
 	}
@@ -188,8 +190,8 @@
 	return !r.targets[t.ID].void && (differs || turned && next.Leaving || spokeAgain || present.void)
 }
 
-// Depart takes that a target has said to another VM with an answer that it leaves, and reports
-// whether that is new. It says nothing of when the target spoke.
+// Drain records that a target has sent another VM a draining notice with an answer, and reports
+// whether that is new. It does not count as a heartbeat.
 func (r *Registry) Drain(id TargetID) bool {
 	e, known := r.targets[id]
 	if !known || e.void || e.target.Leaving {
@@ -203,8 +205,8 @@
 	return true
 }
 
-// isSilent reports whether a target counts as lost: who asks for all targets is not told of
-// it, so that its next message is news.
+// isSilent reports whether a target counts as lost: it is not sent to those who ask for all
+// targets, so that its next message is new to them.
 func (r *Registry) isSilent(e entry, now time.Time) bool { return now.Sub(e.heardAt) > r.silence }
 
 // differs compares all but the number of the message.
@@ -213,8 +215,8 @@
 	return a != b
 }
 
-// Alive notes that a target has spoken to another VM. Only who is told of all signs of life
-// can tell whether a target is silent.
+// Alive records a heartbeat that the target sent to another VM. Whether a target is silent is
+// known only where all heartbeats are received.
 func (r *Registry) Alive(id TargetID, call uint64, now time.Time) {
 	if e, ok := r.targets[id]; ok && call > e.target.Call {
 		if r.isSilent(e, now) {
@@ -242,7 +244,7 @@
 // Len returns the number of targets.
 func (r *Registry) Len() int { return len(r.targets) }
 
-// Drop forgets a target.
+// Drop removes a target.
 func (r *Registry) Drop(id TargetID) {
 	if at, known := slices.BinarySearch(r.names, id); known {
 		dropped := r.targets[id].target
@@ -267,21 +269,20 @@
 	return r.find(func(e entry) bool { return e.changed > change && e.listed() })
 }
 
-// OwnSince returns the targets that speak to this very VM, or of whose draining notice it was told,
-// and that have changed after a change or have turned to it since.
+// OwnSince returns the targets that report to this very VM, or whose draining notice was reported
+// to it, and that have changed or begun to report to it after a change.
 func (r *Registry) OwnSince(change uint64) []Target {
 	return r.find(func(e entry) bool { return max(e.changed, e.turned) > change && (e.firstHand || e.draining) })
 }
 
-// Introduced reports whether one who was told all up to a change knows what an update does
-// not say of a target.
+// Introduced reports whether an update suffices for a receiver that has all changes up to a
+// change: the rest of the target has not changed since.
 func (r *Registry) Introduced(id TargetID, change uint64) bool {
 	e, ok := r.targets[id]
 	return ok && e.introduced <= change
 }
 
-// find returns the targets that a condition holds for, sorted by identity. Void incarnations are
-// not among them.
+// find returns the targets that meet a condition, sorted by identity, without void incarnations.
 func (r *Registry) find(wanted func(entry) bool) []Target {
 	var targets []Target
 	for _, id := range r.names {
@@ -292,16 +293,16 @@
 	return targets
 }
 
-// Heartbeat is a sign that a target lives.
+// Heartbeat is a sign that a target is alive.
 type Heartbeat struct {
-	// The fields are sent without their names: each control VM is told of all targets by
-	// each other, every beat, and the names took as much as the start does in an ID.
+	// Encoded as an array: on every beat each control VM receives all targets from each other
+	// one, and field names took as many bytes as the start does in an ID.
 	_    struct{} `cbor:",toarray"`
 	ID   TargetID `cbor:"id"`
 	Call uint64   `cbor:"call"`
 }
 
-// HeartbeatsSince returns who spoke to this very VM after a time.
+// HeartbeatsSince returns the heartbeats that this very VM received after a time.
 func (r *Registry) HeartbeatsSince(after time.Time) []Heartbeat {
 	var heartbeats []Heartbeat
 	for _, id := range r.names {
@@ -312,13 +313,13 @@
 	return heartbeats
 }
 
-// All returns every target that counts, sorted by identity.
+// All returns every target that is not void, sorted by identity.
 func (r *Registry) All() []Target { return r.Since(0) }
 
-// Silent returns the targets that have said nothing for the silence of the registry and have
-// not signed off, and the void ones. Where another target at the same address has spoken since,
-// the silence replaced is enough: an address has one target at a time, and messages of one that
-// died may still come late.
+// Silent returns the targets that have not signed off and that are void or have not reported for
+// the silence of the registry. Where another target at the same address has reported since, the
+// silence replaced is enough: an address has one target at a time, and late messages of one that
+// died may still arrive.
 func (r *Registry) Silent(now time.Time, replaced time.Duration) []TargetID {
 	var silent []TargetID
 	after, replacedAfter := now.Add(-r.silence), now.Add(-replaced)
@@ -331,10 +332,10 @@
 	return silent
 }
 
-// replaced reports whether another target runs at the address of one that has spoken after
-// a time. Where their starts do not tell, the other one has spoken later, and a while ago; or
-// it registered later and has spoken again since, so that only a late message of the first is
-// newer.
+// replaced reports whether another target that is not void runs at the address of e. Where their
+// starts do not decide, either the other one has reported after the last report of e, which came
+// before replacedAfter; or it registered later, but before replacedAfter, and has reported again
+// since, so that only a late message of e can be newer.
 func (r *Registry) replaced(e entry, after, replacedAfter time.Time) bool {
 	for _, id := range r.incarnations.byAddress[e.target.Address] {
 		other := r.targets[id]
@@ -349,13 +350,13 @@
 	return false
 }
 
-// outlives reports whether a target registered after another one and lives.
+// outlives reports whether a target registered after another one and is alive.
 func (e entry) outlives(o entry, after, replacedAfter time.Time) bool {
 	lives := !e.heardAt.Before(after) && e.heardAt.After(e.registered)
 	return lives && e.registered.After(o.registered) && e.registered.Before(replacedAfter)
 }
 
-// Forget drops the targets that have said nothing after a time.
+// Forget removes the targets that have not reported after a time.
 func (r *Registry) Forget(after time.Time) {
 	var forgotten []Target
 	for id, e := range r.targets {
--- a/internal/relay/registry_test.go
+++ b/internal/relay/registry_test.go
@@ -11,14 +11,14 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// silence is that after which a target of these tests counts as lost.
+// silence is the time without a report after which a target of these tests counts as lost.
 const silence = 3 * time.Second
 
 func message(id relay.TargetID, call uint64) relay.Target {
 	return relay.Target{ID: id, Service: "s", Address: "10.0.0.1:80", Call: call}
 }
 
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+func TestLeavingIsFinal(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	leaving := message("i-1", 5)
 	leaving.Leaving = true
@@ -30,7 +30,7 @@
 	require.False(t, held.Takes())
 }
 
-func TestLateMessagesChangeNothing(t *testing.T) {
+func TestLateMessagesAreIgnored(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	newer := message("i-1", 7)
 	newer.Layers = config.Range{First: 0, Last: 9}
@@ -40,7 +40,7 @@
 	require.Equal(t, newer.Layers, held.Layers)
 }
 
-func TestSigningOffKeepsWhatWasSaid(t *testing.T) {
+func TestSignOffKeepsEarlierFields(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	r.Hear(message("i-1", 3), start)
 	r.Hear(relay.Target{ID: "i-1", Call: 1 << 62, Leaving: true, Gone: true}, start)
@@ -49,9 +49,9 @@
 	require.Equal(t, "s", held.Service)
 }
 
-// A dead engine's late messages kept it in use for seconds after its successor had
-// begun at the same address: 60 requests a second were refused with 421.
-func TestSuccessorsSilenceTheDead(t *testing.T) {
+// Late messages of a dead engine kept it in use for seconds after its successor had begun at the
+// same address: 60 requests a second were refused with 421.
+func TestReplacedTargetIsSilent(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	r.Hear(message("old", 30), start)
 	r.Hear(message("new", 1), start.Add(time.Second))
@@ -60,8 +60,8 @@
 	require.Empty(t, r.Silent(start.Add(2*time.Second), silence))
 }
 
-// What another VM tells again is no new sign of life.
-func TestRepeatedMessagesAreNoSignsOfLife(t *testing.T) {
+// A message that another VM forwards again is no new heartbeat.
+func TestRepeatedMessagesAreNoHeartbeats(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	r.Hear(message("i-1", 3), start)
 	r.Learn(message("i-1", 3), start.Add(5*time.Second))
@@ -71,7 +71,7 @@
 	require.Empty(t, r.Silent(start.Add(4*time.Second), 4*time.Second))
 }
 
-func TestFollowersGetWhatChanged(t *testing.T) {
+func TestFollowersReceiveChanges(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	r.Hear(message("i-1", 1), start)
 	first := r.Change()
@@ -82,8 +82,8 @@
 	require.Len(t, r.All(), 2)
 }
 
-// Two VMs that were told the same by others compare by sums, and are told of what differs.
-func TestRegistriesAreComparedBySums(t *testing.T) {
+// Two VMs that received the same targets from others compare digests, and exchange what differs.
+func TestRegistriesAreComparedByDigest(t *testing.T) {
 	a, b := relay.NewRegistry(silence), relay.NewRegistry(silence)
 	for i := range 300 {
 		target := message(relay.TargetID(fmt.Sprint("i-", i)), 1)
@@ -91,7 +91,7 @@
 		target.Call = 9
 		b.Learn(target, start)
 	}
-	require.Empty(t, a.Unlike(b.Digest()), "the numbers of messages don't count")
+	require.Empty(t, a.Unlike(b.Digest()), "the digest excludes the numbers of messages")
 	changed := message("i-7", 10)
 	changed.Layers = config.Range{First: 3, Last: 9}
 	a.Hear(changed, start)
@@ -102,5 +102,5 @@
 		b.Learn(target, start)
 	}
 	require.Empty(t, a.Unlike(b.Digest()))
-	require.Len(t, a.Unlike(relay.Digest{1, 2}), 301, "sums of another kind tell nothing")
+	require.Len(t, a.Unlike(relay.Digest{1, 2}), 301, "digests of different lengths differ everywhere")
 }
