--- a/internal/relay/lender.go
+++ b/internal/relay/lender.go
@@ -7,69 +7,69 @@
 	"time"
 )
 
-// This file shares out the limits of targets among entry VMs.
+// This file divides the limits of targets among entry VMs.
 //
-// Problem: a target takes so many requests a second from all VMs together. No VM can keep to that
-// by what it knows alone, unless each keeps to a fixed part, of which most goes unused where callers
-// come to few VMs.
+// Problem: a target accepts so many requests a second from all VMs together. A VM on its own can
+// only keep to a fixed part, and most of the limit goes unused where callers use few VMs.
 //
-// Algorithm: the leader keeps a token bucket for each such target and lends its permits, one for each
-// request, to the VMs that want them. A VM says with its renewals how many requests wanted the target
-// of late, how many permits it has left or given up, and which grant it took last; it sends no request
-// without a permit (limits.go). Permits are lent for PermitLife. What is given up can be lent again,
-// and what is used or lost comes anew at the rate of the limit.
+// Algorithm: the leader keeps a token bucket for each such target and grants its permits, one for
+// each request, to the VMs that want them. With its renewals a VM reports how many requests
+// wanted the target recently, how many permits it has left or given back, and which grant it
+// received last; it sends no request without a permit (limits.go). Permits are granted for
+// PermitLife. Those given back can be granted again; those used or lost are replaced at the rate
+// of the limit.
 //
-// Invariant: permits that can still be used, here and at VMs, are never more than the burst of their
-// limit, and no more than the limit come anew in any second. So any span of time brings at most
-// the burst and what the limit allows in it. Lost, late and repeated messages only lower that:
-// a grant counts as lent from its sending until the VM names it or a later one as taken, or its time
-// is over by a clock that counts suspensions. A new leader lends nothing until the permits of the
-// leader before are void.
+// Invariant: permits that can still be used, here and at VMs, never exceed the burst of their
+// limit, and new ones are added at no more than the rate of the limit. So any span of time brings
+// at most the burst and what the limit allows in it. Lost, late and repeated messages only lower
+// that: a grant counts as outstanding from its sending until the VM acknowledges it or a later
+// one, or until it has expired by a clock that counts suspensions. A new leader grants nothing
+// until the permits of the previous leader have expired.
 //
-// Limits: who hears of the leader no more has what it was lent until that is void, and then nothing:
-// an equal part for each VM is less than a request in the time until its lease ends. Reports, orders
-// and new paths of answers pass without a permit and are paid for later.
+// Limits: a VM that loses contact with the leader has its permits until they expire, and then
+// none: an equal part for each VM is less than a request in the time until its lease ends.
+// Reports, orders and new paths of answers need no permit and are paid for later.
 
 const (
-	// PermitLife is how long a permit may be used: three renewals, so that one that is lost
-	// costs nothing, and what a VM that died held is back soon.
+	// PermitLife is how long a permit may be used: three renewals, so that the loss of one costs
+	// nothing, and the permits of a VM that died are soon available again.
 	PermitLife = 1500 * time.Millisecond
-	// burstBase and burstSpan make the burst of a limit: a few requests, and what the limit
-	// allows in the time that it takes a VM to report what it has used.
+	// burstBasePermits and burstSpan make up the burst of a limit: a few requests, and what the
+	// limit allows in the time that a VM takes to report what it has used.
 	burstBase = 4.0
 	burstSpan = time.Second
-	// limitLeast is the least limit that is lent, in requests a second: a target that takes
-	// none would never be found to take some again.
+	// minLimitPerSecond is the least limit that is granted: with none at all, a target would
+	// never be found to accept requests again.
 	limitLeast = 0.1
-	// lendSweep is the time between two looks at what holders have too long: it costs as much as
-	// there are holders.
+	// sweepInterval is the time between two checks for expired state of holders: a check costs as
+	// much as there are holders.
 	lendSweep = 100 * time.Millisecond
-	// wantedKept is how long what a VM wanted counts.
+	// demandWindow is how long what a VM wanted counts.
 	wantedKept = time.Second
-	// orderMargin is by how much two answers that two VMs have heard must differ for one to
-	// count as the later: messages between VMs take up to that long.
+	// answerOrderMargin is by how much answers to two VMs must differ for one to count as the
+	// later: messages between VMs take up to that long.
 	orderMargin = 100 * time.Millisecond
-	// limitForgotten is how long after it was asked of last a limit is kept.
+	// limitIdleTimeout is how long after the last report on it a limit is kept.
 	limitForgotten = time.Minute
 )
 
-// LimitAnswer is what an answer of a target has said of its limit.
+// LimitAnswer is what an answer of a target states about its limit.
 type LimitAnswer struct {
-	// Limited says that it named one, of PerSecond requests a second.
+	// Limited indicates that it names one, of PerSecond requests a second.
 	Limited   bool
 	PerSecond float64
-	// SentAt is when its request was sent, and HeardAt when it was heard: the target said it
-	// in between.
+	// SentAt is when the request was sent, and HeardAt when the answer was received: the target
+	// wrote it in between.
 	SentAt, HeardAt time.Time
 }
 
-// after reports whether an answer was certainly given after another one was heard.
+// after reports whether an answer was certainly given after another one was received.
 func (a LimitAnswer) after(o LimitAnswer, margin time.Duration) bool {
 	return a.SentAt.After(o.HeardAt.Add(margin))
 }
 
-// merge returns what two answers say together: the later one counts, and the stricter one where
-// which was later is not known.
+// merge combines two answers: the later one counts, or the stricter one if it is not known which
+// was later.
 func (a LimitAnswer) merge(o LimitAnswer, margin time.Duration) LimitAnswer {
 	switch {
 	case a.HeardAt.IsZero() || o.after(a, margin):
@@ -93,73 +93,73 @@
 	return a.Limited && (!o.Limited || a.PerSecond < o.PerSecond)
 }
 
-// PermitAsk is what an entry VM says of one target with a limit.
+// PermitAsk is what an entry VM reports of one target with a limit.
 type PermitAsk struct {
 	Target TargetKey
-	// Answer is the newest answer that it has heard itself; its HeardAt is zero where it has
-	// heard none.
+	// Answer is the newest answer of the target to this VM; its HeardAt is zero if there is none.
 	Answer LimitAnswer
 	// Wanted counts the requests of the last second that wanted the target.
 	Wanted int
-	// Left is the permits that it holds, and Taken the number of the grant that it took last.
+	// Left is the permits that it holds, and Taken the number of the last grant that it accepted.
 	Left  int
 	Taken uint64
 	// Unpaid counts what it has sent without a permit since it began to keep the limit, and
-	// Returned the permits that it has given up unused.
+	// Returned the permits that it has given back unused.
 	Unpaid, Returned uint64
 }
 
-// Permits is what an entry VM is told of a limit.
+// Permits is what an entry VM receives for a limit.
 type Permits struct {
-	// The fields are sent without their names: these values are sent often.
+	// Encoded as an array: these values are sent often.
 	_      struct{}  `cbor:",toarray"`
 	Target TargetKey `cbor:"target"`
-	// Over says that the target has no limit any more.
+	// Over indicates that the target no longer has a limit.
 	Over      bool    `cbor:"over"`
 	PerSecond float64 `cbor:"per_second"`
-	// Count is the permits that are lent anew. The grant also renews what is left of others.
+	// Count is the number of new permits. The grant also extends those that are left of earlier
+	// ones.
 	Count int `cbor:"count"`
 }
 
-// Lender lends the permits of limited targets to holders. It is not safe for use by several
-// goroutines at once.
+// Lender grants the permits of limited targets to holders. It is not safe for concurrent use.
 type Lender[Holder comparable] struct {
 	rand *rand.Rand
 	life time.Duration
-	// readyAt is when permits of another lender before are void.
+	// readyAt is when the permits of the previous lender have expired.
 	readyAt time.Time
 	limits  map[TargetKey]*lentLimit[Holder]
 }
 
-// lentLimit is the limit of one target.
+// sharedLimit is the limit of one target.
 type lentLimit[Holder comparable] struct {
 	answer LimitAnswer
-	// free is the permits that are lent to nobody, as of at. It is below 0 where more
-	// was sent without a permit.
+	// free is the permits that are granted to no holder, as of at. It is below 0 where more was
+	// sent without a permit.
 	free    float64
 	at      time.Time
 	holders map[Holder]*loan
-	// wanted is the sum of what holders want, lent that of the permits that they may still use.
+	// wanted is the sum of what holders want, granted that of the permits that they may still
+	// use.
 	wanted, lent int
-	// sweepAt is when what holders have too long is looked for again.
+	// sweepAt is when expired state of holders is next removed.
 	sweepAt time.Time
-	// askedAt is when it was asked of last.
+	// askedAt is when a holder last reported on the limit.
 	askedAt time.Time
 }
 
-// loan is what a holder has of a limit.
+// allocation is what a holder has of a limit.
 type loan struct {
-	// number is that of its newest renewal, and left what that said.
+	// number is that of its newest renewal, and left the permits that it reported.
 	number uint64
 	left   int
-	// onWay are the grants that it has not named as taken.
+	// unacknowledged are the grants that it has not reported as accepted.
 	onWay []lentGrant
-	// until is when all that it holds is void.
+	// until is when all that it holds expires.
 	until  time.Time
 	wanted int
-	// wantedAt is when it said so.
+	// wantedAt is when it reported wanted.
 	wantedAt time.Time
-	// unpaid and returned are as the holder said last.
+	// unpaid and returned are as the holder last reported them.
 	unpaid, returned uint64
 }
 
@@ -168,8 +168,8 @@
 	count  int
 }
 
-// NewLender returns a Lender that knows no limit, and takes the place of another one. Life is how
-// long it counts a permit as lent: PermitLife, lengthened by the bound on the drift of clocks.
+// NewLender returns a Lender that knows no limit, and that replaces another one. Life is how long
+// it counts a permit as outstanding: PermitLife, lengthened by the bound on the drift of clocks.
 func NewLender[Holder comparable](seed uint64, life time.Duration, now time.Time) *Lender[Holder] {
 	return &Lender[Holder]{rand: rand.New(rand.NewPCG(seed, 1)), life: life, readyAt: now.Add(life), limits: make(map[TargetKey]*lentLimit[Holder])}
 }
@@ -186,7 +186,7 @@
 	return limited
 }
 
-// Forget drops the limits that nobody has asked of for long.
+// Forget removes the limits that no holder has reported on for long.
 func (l *Lender[Holder]) Forget(now time.Time) {
 	for key, limit := range l.limits {
 		if !now.Before(limit.askedAt.Add(limitForgotten)) {
@@ -195,15 +195,16 @@
 	}
 }
 
-// Charge counts something that was sent to a target without a permit.
+// Charge counts a message that was sent to a target without a permit.
 func (l *Lender[Holder]) Charge(key TargetKey) {
 	if limit, ok := l.limits[key]; ok {
 		limit.free--
 	}
 }
 
-// Ask takes what a holder says with its renewal of a number, and returns what it is lent. It is
-// told nothing of a target that nobody has heard of.
+// Ask processes what a holder reports with its renewal of a number, and returns what it is
+// granted. It returns false for a target of which no answer is known, and for a renewal that is
+// not newer than the last.
 func (l *Lender[Holder]) Ask(h Holder, number uint64, ask PermitAsk, now time.Time) (Permits, bool) {
 	limit := l.limit(ask, now)
 	if limit == nil {
@@ -235,7 +236,7 @@
 	return Permits{Target: ask.Target, PerSecond: limit.answer.PerSecond, Count: count}, true
 }
 
-// limit returns the limit that an ask is of, or nil where there is none.
+// limit returns the limit that an ask refers to, or nil if there is none.
 func (l *Lender[Holder]) limit(ask PermitAsk, now time.Time) *lentLimit[Holder] {
 	limit, ok := l.limits[ask.Target]
 	if !ok && !ask.Answer.HeardAt.IsZero() {
@@ -245,7 +246,7 @@
 	return limit
 }
 
-// rate is the permits that come anew in a second.
+// rate is the number of permits that are added in a second.
 func (l *lentLimit[Holder]) rate() float64 {
 	return max(l.answer.PerSecond, limitLeast)
 }
@@ -255,7 +256,7 @@
 	return burstBase + l.answer.PerSecond*burstSpan.Seconds()
 }
 
-// refill adds what has come anew.
+// refill adds the permits of the time since the last refill.
 func (l *lentLimit[Holder]) refill(now time.Time) {
 	if !now.Before(l.sweepAt) {
 		l.sweepAt = now.Add(lendSweep)
@@ -268,7 +269,7 @@
 	l.trim()
 }
 
-// sweep drops what holders have too long.
+// sweep removes what holders have had for too long.
 func (l *lentLimit[Holder]) sweep(now time.Time) {
 	for h, held := range l.holders {
 		if !now.Before(held.until) {
@@ -284,12 +285,12 @@
 	}
 }
 
-// trim keeps what can be used within the burst.
+// clampToBurst keeps the permits that can be used within the burst.
 func (l *lentLimit[Holder]) trim() {
 	l.free = min(l.free, l.burst()-float64(l.lent))
 }
 
-// lent is the permits that the holder may still use.
+// outstanding is the permits that the holder may still use.
 func (h *loan) lent() int {
 	lent := h.left
 	for _, g := range h.onWay {
@@ -298,14 +299,14 @@
 	return lent
 }
 
-// hear takes what a holder says of itself.
+// receive updates the state of a holder from its report.
 func (l *lentLimit[Holder]) hear(held *loan, number uint64, ask PermitAsk, now time.Time) {
 	before := held.lent()
 	held.number = number
 	held.left = ask.Left
 	held.onWay = slices.DeleteFunc(held.onWay, func(g lentGrant) bool { return g.number <= ask.Taken })
-	// No more than has gone since: an ask that comes twice may name returns that were counted
-	// when it came first.
+	// No more than the decrease since: an ask that arrives twice may contain returns that were
+	// counted the first time.
 	gone := max(before-held.lent(), 0)
 	l.lent += held.lent() - before
 	l.free += float64(min(ask.Returned-min(held.returned, ask.Returned), uint64(gone)))
@@ -315,8 +316,8 @@
 	held.wanted, held.wantedAt = ask.Wanted, now
 }
 
-// lend returns how many permits a holder is lent: what it wants, up to its part of the burst by
-// what all want. A part of a permit is drawn for.
+// allocate returns how many permits a holder is granted: what it wants, up to its part of the
+// burst in proportion to what all want. A fraction of a permit is drawn at random.
 func (l *Lender[Holder]) lend(limit *lentLimit[Holder], held *loan) int {
 	if held.wanted <= 0 || limit.free < 1 {
 		return 0
--- a/internal/relay/lender_test.go
+++ b/internal/relay/lender_test.go
@@ -11,8 +11,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// lending is a world in which messages between holders and leaders are lost, late, repeated and
-// out of order, holders start again and freeze, and leaders change.
+// permitWorld simulates holders and leaders. Messages between them are lost, late, repeated and
+// out of order, holders restart and freeze, and leaders change.
 type lending struct {
 	t         *rapid.T
 	now       time.Time
@@ -30,11 +30,11 @@
 	limits             *relay.RateLimits
 	number             uint64
 	renewed            map[uint64]time.Time
-	// leaseUntil is when it may send nothing any more.
+	// leaseUntil is when it must stop sending.
 	leaseUntil, frozenUntil time.Time
 }
 
-// lendingLease is the life of a lease, from the renewal that it answers.
+// holderLease is the duration of a lease, from the renewal that it answers.
 const lendingLease = 3 * time.Second
 
 type lendingAsk struct {
@@ -55,7 +55,7 @@
 
 func (h *lendingHolder) name() string { return fmt.Sprintf("vm-%d.%d", h.index, h.incarnation) }
 
-// start has a holder begin as a new incarnation, which knows nothing.
+// start starts a holder as a new incarnation, without any state.
 func (l *lending) start(h *lendingHolder) {
 	h.incarnation++
 	h.limits = relay.NewRateLimits(uint64(h.incarnation))
@@ -65,7 +65,7 @@
 	l.hear(h)
 }
 
-// hear has a holder hear the limit with an answer to a request that was sent before.
+// receiveLimit gives a holder the limit with an answer to a request that was sent before.
 func (l *lending) hear(h *lendingHolder) {
 	h.limits.Hear(limitedTarget, relay.LimitAnswer{Limited: true, PerSecond: l.perSecond, SentAt: l.now.Add(-time.Millisecond), HeardAt: l.now})
 }
@@ -82,7 +82,7 @@
 	l.asks = append(l.asks, lendingAsk{leader: l.leaders, from: h, of: h.incarnation, name: h.name(), number: h.number, asks: h.limits.Asks(l.now)})
 }
 
-// deliver has some ask reach its leader, and maybe leaves a copy on its way.
+// deliver delivers some ask to its leader, and may leave a copy in transit.
 func (l *lending) deliver() {
 	if len(l.asks) == 0 {
 		return
@@ -132,7 +132,7 @@
 	}
 }
 
-// check looks at every span of time that ends now: it brings no more than the burst and what the
+// check checks every span of time that ends now: it brings no more than the burst and what the
 // limit allows.
 func (l *lending) check() {
 	for i, from := range l.sent {
@@ -141,10 +141,10 @@
 	}
 }
 
-// Whatever becomes of messages, holders and leaders, no span of time brings more to a target than
-// the burst of its limit and what the limit allows. The burst is named: 4 requests and what the
-// limit allows in a second.
-func TestNoSpanBringsMoreThanTheLimit(t *testing.T) {
+// Whatever happens to messages, holders and leaders, no span of time brings more to a target than
+// the burst of its limit and what the limit allows. The burst is 4 requests and what the limit
+// allows in a second.
+func TestPermitsNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &lending{t: t, now: start, perSecond: rapid.SampledFrom([]float64{0.1, 0.5, 4.5, 20}).Draw(t, "limit")}
 		l.lender = relay.NewLender[string](1, relay.PermitLife, start.Add(-time.Hour))
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -7,70 +7,69 @@
 	"time"
 )
 
-// This file keeps what an entry VM knows of the limits of targets, and the permits that it is lent
-// for them; lender.go has the problem and who lends.
+// This file holds what an entry VM knows of the limits of targets, and the permits that it is
+// granted for them; lender.go describes the problem and the leader's side.
 //
 // Algorithm: a target is limited once one of its answers to this VM names a limit, or the leader
-// says that one to another VM did. From then on each request to it takes a permit: where it is
-// picked, so that a target without one counts as full, and again where it is sent another time.
-// The limit is over once the target answers a request that was sent after that without naming one,
-// or the leader says so.
+// reports that an answer to another VM did. From then on each request to it takes a permit: where
+// the target is chosen, so that one without a permit counts as full, and again whenever the
+// request is sent once more. The limit ends once the target answers a request that was sent after
+// that without naming one, or the leader reports its end.
 //
-// Invariants: what this VM reports as left it has not used; a permit is used within its time.
+// Invariants: what this VM reports as left it has not used; a permit is used before it expires.
 
 const (
-	// limitKept is how long a limit that this VM has not heard itself counts after the leader
-	// last spoke of it: as long as a lease, without which this VM sends nothing.
+	// limitTTL is how long a limit that no answer to this VM has named counts after the leader
+	// last reported it: as long as a lease, without which this VM sends nothing.
 	limitKept = 3 * time.Second
-	// limitAsksMost bounds the limits that one renewal speaks of: 16 are some 0.5 KB.
+	// maxPermitAsks bounds the limits in one renewal: 16 are some 0.5 KB.
 	limitAsksMost = 16
-	// limitsMost bounds the limits that are kept: as many as backoffs.
+	// maxLimits bounds the limits that are kept: as many as backoffs.
 	limitsMost = backoffsMost
-	// limitMost is the limit from which on none is kept to, in requests a second: no target
-	// runs as many.
+	// unlimitedFromPerSecond is the limit, in requests a second, from which on a target counts as
+	// unlimited: no target runs as many.
 	limitMost = 1000.0
 )
 
-// limit is what is known of the limit of one target, and what this VM has of it.
+// limit is what is known of the limit of one target, and what this VM holds of it.
 type limit struct {
 	id TargetID
-	// answer is the newest answer of its own that this VM has heard.
+	// answer is the newest answer of the target to this VM.
 	answer LimitAnswer
-	// perSecond is the limit, as heard or told last.
+	// perSecond is the limit that was last received from the target or the leader.
 	perSecond float64
-	// marked is that the leader says that it is there; what the leader has said counts until
-	// knownUntil else.
+	// marked indicates that the leader marks the target as limited; otherwise what the leader has
+	// reported counts until knownUntil.
 	knownUntil time.Time
 	marked     bool
 	heldPermits
 	limitCounts
 }
 
-// heldPermits are the permits of a limit that this VM was lent.
+// heldPermits are the permits of a limit that were granted to this VM.
 type heldPermits struct {
-	// left is those that no request has, and reserved those of requests that were picked and
-	// are not sent yet. All are void at until.
+	// left are those that no request has, and reserved those of requests whose target was chosen
+	// and that are not sent yet. All expire at until.
 	left, reserved int
 	until          time.Time
-	// taken is the number of the grant that was taken last.
+	// taken is the number of the last grant that was accepted.
 	taken uint64
-	// unpaid counts what went without a permit, returned the permits that were given up.
+	// unpaid counts what was sent without a permit, returned the permits that were given back.
 	unpaid, returned uint64
 }
 
-// limitCounts count what became of requests that wanted a target.
+// limitCounts count the outcomes of requests that wanted a target.
 type limitCounts struct {
-	// wanted counts those of the last second, and lent the permits that came in it.
+	// wanted counts those of the last second, and granted the permits that were received in it.
 	wanted, lent window
 	// used counts those that were sent, and heldBack those that found no permit.
 	used, heldBack int
 }
 
-// RateLimits keeps the limits of targets for one entry VM. It is not safe for use by several
-// goroutines at once.
+// RateLimits keeps the limits of targets for one entry VM. It is not safe for concurrent use.
 type RateLimits struct {
 	rand *rand.Rand
-	// byTarget holds them by the key of an incarnation: another one is not bound by them.
+	// byTarget holds them by the key of an incarnation: they do not apply to another one.
 	byTarget map[TargetKey]*limit
 }
 
@@ -79,7 +78,8 @@
 	return &RateLimits{rand: rand.New(rand.NewPCG(seed, 2)), byTarget: make(map[TargetKey]*limit)}
 }
 
-// Hear takes what an answer of a target says of its limit, and reports whether that is new here.
+// Hear records what an answer of a target states about its limit, and reports whether that is new
+// here.
 func (l *RateLimits) Hear(id TargetID, answer LimitAnswer) bool {
 	known, ok := l.byTarget[id.Key()]
 	if answer.Limited && answer.PerSecond >= limitMost {
@@ -110,14 +110,15 @@
 	return l.byTarget[key]
 }
 
-// begin begins to keep a limit.
+// add begins to keep a limit.
 func (l *RateLimits) begin(key TargetKey) *limit {
 	known := &limit{}
 	l.byTarget[key] = known
 	return known
 }
 
-// lower takes a limit's size. Of a lower one than before, this VM's permits are a part as small.
+// setRate sets the rate of a limit. If it is lower than before, the permits of this VM are
+// reduced in proportion.
 func (m *limit) lower(perSecond float64) {
 	if perSecond < m.perSecond {
 		m.left = int(float64(m.left) * perSecond / m.perSecond)
@@ -130,7 +131,8 @@
 	return m != nil && (m.answer.Limited || m.marked || now.Before(m.knownUntil))
 }
 
-// TakeMarks takes which targets the leader says are limited. Whole says that all others are not.
+// TakeMarks applies the leader's marks of limited targets. Whole indicates that all other targets
+// are unlimited.
 func (l *RateLimits) TakeMarks(marks map[TargetKey]Mark, whole bool, now time.Time) {
 	for key, m := range marks {
 		l.mark(key, m.Has(MarkLimited), now)
@@ -151,13 +153,13 @@
 	case !ok:
 		known = l.begin(key)
 	case known.marked && !marked:
-		// A new leader says so too, until it has heard of the limit.
+		// A new leader does not mark the target either, until the limit is reported to it.
 		known.knownUntil = laterTime(known.knownUntil, now.Add(limitKept))
 	}
 	known.marked = marked
 }
 
-// Grant takes what the leader answers to the renewal of a number, whose permits are void at a time.
+// Grant processes the leader's answer to the renewal of a number, whose permits expire at a time.
 func (l *RateLimits) Grant(number uint64, permits []Permits, until, now time.Time) {
 	for _, p := range permits {
 		known, ok := l.byTarget[p.Target]
@@ -188,34 +190,34 @@
 	}
 }
 
-// expire drops permits whose time is over.
+// expire removes permits that have expired.
 func (m *limit) expire(now time.Time) {
 	if !now.Before(m.until) {
 		m.left = 0
 	}
 }
 
-// room reports whether a permit is left.
+// hasPermit reports whether a permit is left.
 func (m *limit) room(now time.Time) bool {
 	m.expire(now)
 	return m.left > 0
 }
 
-// Want notes that a request wants a target.
+// Want counts a request that wants a target.
 func (l *RateLimits) Want(id TargetID, now time.Time) {
 	if m := l.of(id.Key()); m.limited(now) {
 		m.wanted.add(now, wantedKept)
 	}
 }
 
-// Room reports whether a target may be sent a request more.
+// Room reports whether a target may be sent one more request.
 func (l *RateLimits) Room(id TargetID, now time.Time) bool {
 	m := l.of(id.Key())
 	return !m.limited(now) || m.room(now)
 }
 
-// Rate returns the permits of a target that come to this VM in a second: those of the last one, and
-// at least an equal part of the limit among so many VMs.
+// Rate returns the permits of a target that this VM receives in a second: those of the last one,
+// and at least an equal part of the limit among so many VMs.
 func (l *RateLimits) Rate(id TargetID, vms int, now time.Time) float64 {
 	if m := l.of(id.Key()); m.limited(now) {
 		return m.rate(vms, now)
@@ -244,7 +246,7 @@
 	return true
 }
 
-// Charge counts something that goes to a target before requests do, and needs no permit.
+// Charge counts a message to a target that precedes requests and needs no permit.
 func (l *RateLimits) Charge(id TargetID, now time.Time) {
 	known, ok := l.byTarget[id.Key()]
 	if !ok || !known.limited(now) {
@@ -258,20 +260,20 @@
 	known.unpaid++
 }
 
-// reserve keeps a permit for a request that was picked.
+// reserve keeps a permit for a request whose target was chosen.
 func (m *limit) reserve() {
 	m.left--
 	m.reserved++
 }
 
-// Use ends a reservation. Sent says that its request goes to the target now; it reports whether it
-// may.
+// Use ends a reservation. Sent indicates that its request goes to the target now; Use reports
+// whether it may.
 func (l *RateLimits) Use(id TargetID, sent bool, now time.Time) bool {
 	known, ok := l.byTarget[id.Key()]
 	if !ok {
 		return true
 	}
-	if known.reserved > 0 { // else the limit was forgotten and named again since
+	if known.reserved > 0 { // otherwise the limit has been removed and named again since
 		known.reserved--
 		known.left++
 	}
@@ -281,8 +283,8 @@
 	return l.Take(id, now)
 }
 
-// Asks returns what the leader is to be told with the next renewal, and gives up the permits that
-// nobody has wanted of late. Limits that are over are forgotten.
+// Asks returns what the next renewal reports to the leader, and gives back the permits that no
+// request has wanted recently. Limits that have ended are removed.
 func (l *RateLimits) Asks(now time.Time) []PermitAsk {
 	l.bound()
 	var asks []PermitAsk
@@ -308,7 +310,7 @@
 	return asks
 }
 
-// bound keeps the number of limits within limitsMost: the one that was heard longest ago goes.
+// bound keeps the number of limits within maxLimits by removing those with the oldest answers.
 func (l *RateLimits) bound() {
 	for len(l.byTarget) > limitsMost {
 		var oldest TargetKey
@@ -321,7 +323,8 @@
 	}
 }
 
-// forget drops the limits of targets that are not known any more, a while after they spoke.
+// forget removes the limits of targets that are no longer known, some time after their last
+// answer.
 func (l *RateLimits) forget(known func(TargetKey) bool, now time.Time) {
 	for key, m := range l.byTarget {
 		if !known(key) && !now.Before(m.answer.HeardAt.Add(saidKept)) {
@@ -330,7 +333,7 @@
 	}
 }
 
-// PerSecond returns the limit of a target, 0 where it has none.
+// PerSecond returns the limit of a target, 0 if it has none.
 func (l *RateLimits) PerSecond(id TargetID, now time.Time) float64 {
 	if m, ok := l.byTarget[id.Key()]; ok && m.limited(now) {
 		return m.perSecond
@@ -341,11 +344,11 @@
 // LimitedTarget is a target with a limit, for operators.
 type LimitedTarget struct {
 	Key TargetKey
-	// Target is empty where this VM has heard of the limit from the leader alone.
+	// Target is empty if only the leader has reported the limit to this VM.
 	Target    TargetID
 	PerSecond float64
-	// Left is the permits that this VM holds, Used and HeldBack count the requests that it has
-	// sent and those that found no permit.
+	// Left is the permits that this VM holds. Used counts the requests that it has sent, and
+	// HeldBack those that found no permit.
 	Left, Used, HeldBack int
 }
 
--- a/internal/relay/limits_load_test.go
+++ b/internal/relay/limits_load_test.go
@@ -13,7 +13,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// The world of these tests: entry VMs that renew with a leader, before one target that names a
+// These tests simulate entry VMs that renew with a leader, in front of one target that names a
 // limit of requests a second with each answer, without a network.
 const (
 	limitWay     = time.Millisecond
@@ -27,16 +27,16 @@
 	limitPatient = 250 * time.Millisecond
 )
 
-// limitCase is a load on that world.
+// limitCase is a load on the simulated VMs.
 type limitCase struct {
 	vms       int
 	perSecond float64
-	// asked is what callers ask a second, and at returns the VM that one asks.
+	// asked is the rate of requests per second, and at returns the VM that receives one.
 	asked float64
 	at    func(r *rand.Rand, vms int, since time.Duration) int
-	// waits says that no other target serves: who finds no permit waits a little.
+	// waits indicates that no other target serves: a request without a permit waits a little.
 	waits bool
-	// lost is the part of the messages between VMs that are lost.
+	// lost is the fraction of the messages between VMs that are lost.
 	lost float64
 	seed uint64
 }
@@ -76,7 +76,7 @@
 	return last
 }
 
-// limitWorld plays a case.
+// limitWorld simulates a case.
 type limitWorld struct {
 	limitCase
 	rand   *rand.Rand
@@ -85,8 +85,7 @@
 	number int
 	vms    []*limitVM
 	lender *relay.Lender[int]
-	// arrivals are the times at which the target got a request, and named those at which it
-	// named its limit to a VM first.
+	// arrivals are the times at which the target received a request.
 	arrivals []time.Time
 	served   int
 	asks     int
@@ -143,7 +142,7 @@
 	})
 }
 
-// ask sends a request where it has a permit. It waits for one where no other target serves.
+// ask sends a request if it gets a permit. It waits for one if no other target serves.
 func (w *limitWorld) ask(vm *limitVM, began time.Time) {
 	if vm.dead {
 		return
@@ -183,7 +182,7 @@
 	w.at(w.now.Add(limitRenew), func() { w.renewAgain(i) })
 }
 
-// renew has a VM tell the leader what it knows, by way of a control VM that gathers renewals.
+// renew reports the state of a VM to the leader, by way of a control VM that batches renewals.
 func (w *limitWorld) renew(vm *limitVM) {
 	vm.renewal++
 	vm.urgentAt = w.now.Add(limitUrgent)
@@ -239,11 +238,11 @@
 	return len(w.arrivals) - slices.IndexFunc(append(slices.Clone(w.arrivals), from), func(at time.Time) bool { return !at.Before(from) })
 }
 
-// Entry VMs kept to no limit at all: two engines that took 4.5 requests a second got 15. Were each
-// to keep to an equal part, one that all callers come to would use a tenth of the limit. The aim
-// is nine tenths of it where that is asked for, and no window of 4 s with more than one and a half
+// Without any limit at entry VMs, two engines that accepted 4.5 requests a second got 15. With an
+// equal part for each VM, one that all callers use would use a tenth of the limit. The aim is
+// nine tenths of it where there is demand, and no window of 4 s with more than one and a half
 // times the limit and 5.
-func TestALimitIsUsedAndKeptWhereverCallersCome(t *testing.T) {
+func TestLimitIsUsedAndKeptForAllCallerPatterns(t *testing.T) {
 	ways := map[string]func(*rand.Rand, int, time.Duration) int{
 		"evenly": evenly, "at one VM": atOne, "from VM to VM": fromVMToVM, "mostly in one hall": mostlyInOneHall,
 	}
@@ -259,7 +258,7 @@
 	}
 }
 
-// usedAndKept plays a case with some seeds.
+// usedAndKept simulates a case with some seeds.
 func usedAndKept(t *testing.T, c limitCase, seeds uint64) {
 	t.Helper()
 	for seed := range seeds {
--- a/internal/relay/permits.go
+++ b/internal/relay/permits.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// This file is how requests get the permits of limited targets: which of them first, who waits,
-// and when those that are refused come back.
+// This file assigns the permits of limited targets to requests: which requests get them first,
+// which ones wait, and when the callers of refused ones come back.
 //
 // Problem: a target without a permit counts as full, and the others serve. Where all that could
-// serve a request are limited, permits come a few times a second: a request that is refused a moment
-// before the next one comes is refused for nothing, and one that waits for a permit that others get
-// is refused late.
+// serve a request are limited, permits arrive a few times a second: a request that is refused a
+// moment before the next one arrives is refused needlessly, and one that waits for a permit that
+// others get is refused late.
 //
-// Algorithm: a request waits where the permits that come to this VM, at the rate of the last second,
-// reach it soon enough behind those that wait already; else it is refused at once. Permits go to the
-// more urgent first, and among equals to those that wait. The refused are told times that follow each
-// other at that rate.
+// Algorithm: a request waits if the permits of this VM, which arrive at the rate of the last
+// second, reach it soon enough behind the requests that already wait; otherwise it is refused at
+// once. Permits go to the more urgent requests first, and among equals to those that wait. The
+// callers of refused requests get retry times that follow each other at that rate.
 
 const (
-	// urgencies is the number of ranks among requests that wait: streams in the middle, and the
+	// urgencyRanks is the number of ranks of waiting requests: streams in the middle, and the
 	// classes of the others.
 	urgencies = 12
-	// returnMost bounds the time after which a caller that found no permit comes back, of which
-	// returnLeast is the least: what is known of limits is old by then.
+	// maxReturnDelay bounds the time after which a caller that found no permit comes back, of
+	// which returnLeast is the least: what is known of limits is out of date by then.
 	returnMost = 10 * time.Second
 )
 
 // waiters are the requests that wait for permits of the targets of one service.
 type waiters struct {
 	byUrgency [urgencies]int
-	// returnAt is when the last of those that were refused comes back.
+	// returnAt is when the last of the refused callers comes back.
 	returnAt time.Time
 }
 
-// ahead counts the requests that wait for permits and get them before one of an urgency.
+// ahead counts the waiting requests that get permits before one of an urgency.
 func (w *waiters) ahead(urgency int, waiting bool) int {
 	if w == nil {
 		return 0
@@ -51,8 +51,8 @@
 // rank returns an urgency within bounds.
 func rank(urgency int) int { return min(max(urgency, 0), urgencies-1) }
 
-// Wait notes that a request waits for a permit of a service's targets, until the function that is
-// returned is called.
+// Wait records that a request waits for a permit of a service's targets, until the returned
+// function is called.
 func (r *Router) Wait(service string, urgency int) (over func()) {
 	w := r.waitersOf(service)
 	w.byUrgency[rank(urgency)]++
@@ -68,8 +68,8 @@
 	return w
 }
 
-// limitedMembers calls a function for each limited target of a service that a request could
-// begin on.
+// limitedMembers calls a function for each limited target of a service that a request could begin
+// on.
 func (r *Router) limitedMembers(service string, a Ask, now time.Time, do func(*limit)) {
 	if len(r.limits.byTarget) == 0 {
 		return
@@ -85,8 +85,8 @@
 // that holds the first layers.
 func (t *target) begins() bool { return t.takes() && t.Layers.First == 0 }
 
-// permitsFor reports whether the limited targets of a service have permits for a request, beside
-// those that wait and go before it.
+// permitsFor reports whether the limited targets of a service have permits for a request, beyond
+// those for the waiting requests that go before it.
 func (r *Router) permitsFor(service string, a Ask, now time.Time) bool {
 	left := 0
 	r.limitedMembers(service, a, now, func(m *limit) {
@@ -105,11 +105,11 @@
 	return a.permits && m.room(now)
 }
 
-// wantPermits notes which limited targets a request wants: the one that it got, and all that have
-// no permit.
+// wantPermits counts which limited targets a request wants: the one that it got, and all that
+// have no permit.
 func (r *Router) wantPermits(service string, a Ask, chosen Path, now time.Time) {
 	if a.Waiting {
-		return // it was noted when it came
+		return // counted on arrival
 	}
 	var got *limit
 	if len(chosen.Stages) > 0 {
@@ -122,8 +122,8 @@
 	})
 }
 
-// reservePermit reserves a permit of a target for a request that was picked, and reports whether
-// it needs one.
+// reservePermit reserves a permit of a target for a request that it was chosen for, and reports
+// whether it needs one.
 func (r *Router) reservePermit(id TargetID, now time.Time) bool {
 	m := r.limits.of(id.Key())
 	if !m.limited(now) {
@@ -133,30 +133,31 @@
 	return true
 }
 
-// UsePermit ends the reservation of a permit. Sent says that its request goes to the target now; it
-// reports whether it may.
+// UsePermit ends the reservation of a permit. Sent indicates that its request goes to the target
+// now; UsePermit reports whether it may.
 func (r *Router) UsePermit(id TargetID, sent bool, now time.Time) bool {
 	return r.limits.Use(id, sent, now)
 }
 
-// TakePermit takes a permit for one sending to a target, and reports whether it may go.
+// TakePermit takes a permit for sending one request to a target, and reports whether it may be
+// sent.
 func (r *Router) TakePermit(id TargetID, now time.Time) bool { return r.limits.Take(id, now) }
 
-// ChargePermit counts something that a target is sent before any request, and that needs no permit.
+// ChargePermit counts a message that a target is sent before any request, and that needs no
+// permit.
 func (r *Router) ChargePermit(id TargetID, now time.Time) { r.limits.Charge(id, now) }
 
-// TakeGrant takes the permits that come with the lease that answers the renewal of a number, and
-// the targets that the leader says are limited.
+// TakeGrant processes the permits that come with the lease that answers the renewal of a number.
 func (r *Router) TakeGrant(number uint64, permits []Permits, until, now time.Time) {
 	r.limits.Grant(number, permits, until, now)
 }
 
-// TakeLimited takes which targets the leader says are limited; see TakeMarks.
+// TakeLimited applies the leader's marks of limited targets; see TakeMarks.
 func (r *Router) TakeLimited(marks map[TargetKey]Mark, whole bool, now time.Time) {
 	r.limits.TakeMarks(marks, whole, now)
 }
 
-// PermitAsks returns what the leader is to be told of limits with the next renewal.
+// PermitAsks returns what the next renewal reports to the leader of limits.
 func (r *Router) PermitAsks(now time.Time) []PermitAsk {
 	if len(r.limits.byTarget) == 0 {
 		return nil
@@ -182,16 +183,16 @@
 	return limited
 }
 
-// permitRate is the permits of a service that come to this VM in a second: those of the last one, and
-// at least an equal part of the limits.
+// permitRate is the permits of a service that this VM receives in a second: those of the last
+// one, and at least an equal part of the limits.
 func (r *Router) permitRate(service string, a Ask, now time.Time) float64 {
 	rate := 0.0
 	r.limitedMembers(service, a, now, func(m *limit) { rate += m.rate(r.vms, now) })
 	return rate
 }
 
-// noPermit returns the refusal of a request that finds no target where those with limits could
-// serve it, or nil.
+// noPermit returns the refusal of a request that finds no target where limited ones could serve
+// it, or nil.
 func (r *Router) noPermit(service string, a Ask, now time.Time) *Refusal {
 	if a.permits || !r.servedWithPermits(service, a, now) {
 		return nil
@@ -211,7 +212,7 @@
 	}
 }
 
-// SentBack notes that a request which found no permit was sent back, to come again at a time.
+// SentBack records that a request without a permit was refused, and when its caller comes back.
 func (r *Router) SentBack(service string, refusal *Refusal) {
 	if refusal.NoPermit {
 		w := r.waitersOf(service)
@@ -219,7 +220,7 @@
 	}
 }
 
-// servedWithPermits reports whether a request would find a target if all that are limited had
+// servedWithPermits reports whether a request would find a target if all limited ones had
 // permits.
 func (r *Router) servedWithPermits(service string, a Ask, now time.Time) bool {
 	s, known := r.services[service]
--- a/internal/relay/permits_test.go
+++ b/internal/relay/permits_test.go
@@ -9,14 +9,14 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// limited has a Router hear that targets take so many requests a second.
+// limited records in a Router that targets accept so many requests a second.
 func limited(r *relay.Router, perSecond float64, ids ...relay.TargetID) {
 	for _, id := range ids {
 		r.HearLimit(id, relay.LimitAnswer{Limited: true, PerSecond: perSecond, SentAt: start.Add(-time.Millisecond), HeardAt: start})
 	}
 }
 
-// lend has a Router be lent permits with the grant of a number.
+// grantPermits gives a Router permits with the grant of a number.
 func lend(r *relay.Router, number uint64, count int, ids ...relay.TargetID) {
 	var permits []relay.Permits
 	for _, id := range ids {
@@ -25,8 +25,9 @@
 	r.TakeGrant(number, permits, start.Add(relay.PermitLife), start)
 }
 
-// A target without a permit counts as full: the other one gets all requests. Each permit is for one.
-func TestATargetWithoutAPermitCountsAsFull(t *testing.T) {
+// A target without a permit counts as full: the other one gets all requests. Each permit is for
+// one request.
+func TestTargetWithoutPermitCountsAsFull(t *testing.T) {
 	r, a := plainRouter("i-1", "i-2")
 	limited(r, 4, "i-1")
 	for range 50 {
@@ -45,14 +46,14 @@
 		}
 	}
 	require.Equal(t, 3, first)
-	require.False(t, r.TakePermit("i-1", start), "another sending needs one more")
-	require.True(t, r.UsePermit("i-1", false, start), "a request that was not sent gives its permit back")
+	require.False(t, r.TakePermit("i-1", start), "another send needs another permit")
+	require.True(t, r.UsePermit("i-1", false, start), "a request that was not sent returns its permit")
 	require.True(t, r.TakePermit("i-1", start))
-	require.False(t, r.UsePermit("i-1", true, start.Add(relay.PermitLife)), "a permit is void after its time")
+	require.False(t, r.UsePermit("i-1", true, start.Add(relay.PermitLife)), "a permit expires")
 }
 
-// What is not a request goes at once, and is paid for by the next permit.
-func TestWhatGoesBeforeRequestsIsCounted(t *testing.T) {
+// A message that is not a request is sent at once, and takes the next permit.
+func TestMessagesBeforeRequestsAreCharged(t *testing.T) {
 	r, _ := plainRouter("i-1")
 	limited(r, 4, "i-1")
 	r.ChargePermit("i-1", start)
@@ -64,8 +65,8 @@
 	require.False(t, r.TakePermit("i-1", start))
 }
 
-// An engine that is limited begins no request without a permit, and stays in use as a later stage.
-func TestALimitedEngineIsALaterStage(t *testing.T) {
+// A limited engine begins no request without a permit, and stays in use as a later stage.
+func TestLimitedEngineServesAsLaterStage(t *testing.T) {
 	r, route := newRouter(engines(today))
 	path := choose(t, r, ask(route), start)
 	r.Release(path, false)
@@ -85,7 +86,7 @@
 
 // Where no other target serves, permits go to the more urgent request first, and among equals to
 // the one that waits.
-func TestPermitsGoToTheMoreUrgentFirst(t *testing.T) {
+func TestPermitsGoToMoreUrgentRequestsFirst(t *testing.T) {
 	r, a := plainRouter("i-1")
 	limited(r, 4, "i-1")
 	over := r.Wait("web", 1)
@@ -97,7 +98,7 @@
 	}{
 		"a less urgent one":            {urgency: 2},
 		"a less urgent one that waits": {urgency: 2, waiting: true},
-		"one that has just come":       {urgency: 1},
+		"one that has just arrived":    {urgency: 1},
 		"the one that waits":           {urgency: 1, waiting: true, gets: true},
 		"a more urgent one":            {urgency: 0, gets: true},
 	} {
@@ -114,9 +115,10 @@
 	require.Equal(t, relay.TargetID("i-1"), picked(t, r, a, start))
 }
 
-// Who finds no permit is refused with the truth and a time at which one is likely: those who come
-// back follow each other at the rate of the limit, and a look before then is of no use.
-func TestCallersComeBackAtTheRateOfTheLimit(t *testing.T) {
+// A request without a permit is refused with the true reason and a time at which a permit is
+// likely: the callers come back one after another at the rate of the limit, and an attempt before
+// then is of no use.
+func TestRefusedCallersReturnAtLimitRate(t *testing.T) {
 	r, a := plainRouter("i-1", "i-2")
 	limited(r, 4, "i-1", "i-2")
 	var returns []time.Time
@@ -139,8 +141,8 @@
 	}
 }
 
-// Where a permit would not help, since no target holds some layers, nobody waits for one.
-func TestNobodyWaitsForAPermitThatDoesNotHelp(t *testing.T) {
+// Where a permit would not help, since no target holds some layers, no request waits for one.
+func TestNoWaitForUselessPermit(t *testing.T) {
 	r, route := newRouter(engines(today))
 	for _, target := range placedToday() {
 		limited(r, 4, target.ID)
@@ -154,9 +156,9 @@
 	require.False(t, refusal.NoPermit)
 }
 
-// Which of two answers is later is known only where the request of one was sent after the other was
-// heard; the stricter counts until then. A new incarnation has named nothing.
-func TestTheLaterAnswerCounts(t *testing.T) {
+// Which of two answers is later is known only if the request of one was sent after the other was
+// received; until then the stricter counts. A new incarnation has named nothing.
+func TestLaterLimitAnswerCounts(t *testing.T) {
 	const id = relay.TargetID("i-1@5")
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	says := func(perSecond float64, sent, heard int) relay.LimitAnswer {
@@ -170,10 +172,10 @@
 		"not named after that":               {answers: []relay.LimitAnswer{says(4, 0, 10), says(0, 11, 20)}},
 		"an older request's answer":          {answers: []relay.LimitAnswer{says(4, 0, 10), says(0, 5, 20)}, want: 4},
 		"raised":                             {answers: []relay.LimitAnswer{says(4, 0, 10), says(8, 11, 20)}, want: 8},
-		"raised, it is not known when":       {answers: []relay.LimitAnswer{says(4, 0, 10), says(8, 5, 20)}, want: 4},
-		"lowered, it is not known when":      {answers: []relay.LimitAnswer{says(8, 0, 10), says(4, 5, 20)}, want: 4},
+		"raised, order not known":            {answers: []relay.LimitAnswer{says(4, 0, 10), says(8, 5, 20)}, want: 4},
+		"lowered, order not known":           {answers: []relay.LimitAnswer{says(8, 0, 10), says(4, 5, 20)}, want: 4},
 		"over, and named again":              {answers: []relay.LimitAnswer{says(4, 0, 10), says(0, 11, 20), says(3, 21, 30)}, want: 3},
-		"an answer that comes late, over":    {answers: []relay.LimitAnswer{says(0, 11, 20), says(4, 0, 21)}, want: 4},
+		"late answer after the end":          {answers: []relay.LimitAnswer{says(0, 11, 20), says(4, 0, 21)}, want: 4},
 		"more than any target runs":          {answers: []relay.LimitAnswer{says(1e6, 0, 10)}},
 		"the rate of one request in 10 s":    {answers: []relay.LimitAnswer{says(0.1, 0, 10)}, want: 0.1},
 		"more than any target runs, after 4": {answers: []relay.LimitAnswer{says(4, 0, 10), says(1e6, 11, 20)}},
@@ -190,8 +192,8 @@
 	}
 }
 
-// One renewal speaks of few limits, and in time of all; what is kept is bounded.
-func TestWhatIsSaidOfLimitsIsBounded(t *testing.T) {
+// One renewal reports few limits, and successive ones report all; what is kept is bounded.
+func TestLimitReportsAreBounded(t *testing.T) {
 	r, _ := plainRouter()
 	for i := range 5000 {
 		limited(r, 4, relay.NewTargetID("i", uint64(i+1)))
@@ -199,5 +201,5 @@
 	require.Len(t, r.PermitAsks(start), 16)
 	require.LessOrEqual(t, len(r.LimitedTargets(start)), 4096)
 	r.PermitAsks(start.Add(2 * time.Minute))
-	require.Empty(t, r.LimitedTargets(start.Add(2*time.Minute)), "of targets that nobody knows")
+	require.Empty(t, r.LimitedTargets(start.Add(2*time.Minute)), "limits of unknown targets are removed")
 }
