--- a/internal/relay/backoffs.go
+++ b/internal/relay/backoffs.go
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// This file keeps what targets have asked this VM for: to be left alone for a while.
+// This file holds the backoffs that targets have asked this VM for.
 //
-// Problem: a target that turns a request away may say for how long it wants nothing from this
-// VM. Whatever is sent to it in that time is turned away again and adds to what it has to do. Its
-// load goes to the others of its service, which may then ask for it too, until none is left.
+// Problem: a target that refuses a request may state for how long it wants nothing from this VM.
+// Whatever is sent to it in that time is refused again and adds to its load. Its share goes to
+// the other targets of its service, which may then ask for a backoff too, until none is left.
 //
 // Algorithm: a backoff lasts until the latest time that its target has named. It is kept by
-// incarnation and apart from what is believed of targets, so that no answer, heartbeat,
-// configuration or retry among suspects ends it. Nothing picks a target that VMs back off from, and whatever
-// was picked before is looked at once more as it is sent. While VMs back off from a target of a
-// plain service, each VM gives the others no more than its part of their places: a request that is
-// refused here costs its caller a return, one that a full target turns away costs all callers
-// of the VM the target's backoff. Nothing is held here until a backoff ends.
+// incarnation and apart from the health of targets, so that no answer, heartbeat, configuration
+// or retry among suspects ends it. No target that VMs back off from is chosen, and one that was
+// chosen before is checked once more when the request is sent. While VMs back off from a target
+// of a plain service, each VM gives the others no more than its part of their capacity: a request
+// that is refused here costs its caller a return, one that a full target refuses costs all
+// callers of the VM that target's backoff. No request is held here until a backoff ends.
 //
-// Invariants: a backoff is not shortened by its target; what is known of one goes only after its
-// end, where an operator ends it, or where more than backoffsMost are kept.
+// Invariants: a target does not shorten its backoff; a backoff is removed only after its end, by
+// an operator, or where more than maxBackoffs are kept.
 //
-// Limits: a backoff is of the VM that was asked. A VM that starts again knows of none, and may ask
-// once; so may another process of the VM that was asked, which orders layers. What is on its way
-// when a backoff is told arrives within it. Engines have places by their memory and slots
-// (path.go), and none fewer while VMs back off from one of them.
+// Limits: a backoff applies to the VM that was asked. A VM that restarts knows of none, and may
+// ask once; so may another process of the VM that was asked, which orders layers. Requests in
+// flight when a backoff is received arrive within it. The capacity of engines follows from their
+// memory and slots (path.go), and is not reduced while VMs back off from one of them.
 
 const (
-	// placesPerSlot is the requests at a time that a target of a plain service gets from all
-	// VMs together for each of its slots while VMs back off from another one of the service: one
-	// that runs and two that wait, of the few more that targets queue. Each VM counts its own part
-	// of them, which it knows exactly; counts of all VMs are too old by then.
+	// requestsPerSlot is the number of concurrent requests that a target of a plain service gets
+	// from all VMs together for each of its slots while VMs back off from another one of the
+	// service: one that runs and two that wait, of the few more that targets queue. Each VM
+	// counts its own part, which it knows exactly; counts of all VMs are too old by then.
 	placesPerSlot = 3
-	// backoffsMost bounds the backoffs that are kept, some 0.5 MB: seven times as many as the targets
-	// of the largest deployment. Each incarnation of a target that starts again and again may ask
-	// for a year.
+	// maxBackoffs bounds the backoffs that are kept, some 0.5 MB: seven times as many as the
+	// targets of the largest deployment. Each incarnation of a target that restarts again and
+	// again may ask for a year.
 	backoffsMost = 4096
-	// returnLeast is the least time over which callers that backoffs have turned away are
+	// returnLeast is the least time over which callers that were refused because of backoffs are
 	// told to come back: a target serves some ten requests a slot in it.
 	returnLeast = 500 * time.Millisecond
 )
@@ -48,10 +48,10 @@
 // backoff is a time in which a target wants nothing from this VM.
 type backoff struct{ began, until time.Time }
 
-// holds reports whether the rest is not over. The zero value is.
+// holds reports whether the backoff has not ended. The zero value has ended.
 func (r backoff) holds(now time.Time) bool { return now.Before(r.until) }
 
-// Backoff notes that a target wants nothing from this VM until a time.
+// Backoff records that a target wants nothing from this VM until a time.
 func (r *Router) Backoff(id TargetID, until, now time.Time) {
 	present := r.backoffs[id]
 	if !until.After(present.until) {
@@ -66,8 +66,8 @@
 	r.boundBackoffs(now)
 }
 
-// boundBackoffs keeps the number of backoffs within backoffsMost: those that have ended go first, then
-// the oldest.
+// boundBackoffs keeps the number of backoffs within maxBackoffs: those that have ended are
+// removed first, then the oldest.
 func (r *Router) boundBackoffs(now time.Time) {
 	if len(r.backoffs) <= backoffsMost {
 		return
@@ -91,7 +91,7 @@
 	return known.until, known.holds(now)
 }
 
-// ForgetBackoffs drops the backoffs that have ended.
+// ForgetBackoffs removes the backoffs that have ended.
 func (r *Router) ForgetBackoffs(now time.Time) {
 	maps.DeleteFunc(r.backoffs, func(_ TargetID, known backoff) bool { return !known.holds(now) })
 }
@@ -102,7 +102,7 @@
 	Until  time.Time
 }
 
-// TargetsBackedOff returns the targets that VMs back off from, sorted.
+// BackedOffTargets returns the targets that this VM backs off from, sorted.
 func (r *Router) TargetsBackedOff(now time.Time) []TargetBackedOff {
 	var backedOff []TargetBackedOff
 	for id, known := range r.backoffs {
@@ -114,8 +114,8 @@
 	return backedOff
 }
 
-// EndBackoffs ends the backoffs of all incarnations of a target, as its operator asks, and returns
-// how many there were.
+// EndBackoffs ends the backoffs of all incarnations of a target, at the request of an operator,
+// and returns how many there were.
 func (r *Router) EndBackoffs(name string) int {
 	ended := 0
 	for id := range r.backoffs {
@@ -128,7 +128,8 @@
 	return ended
 }
 
-// scarce reports whether VMs back off from a target of a service: the others have to bear its load.
+// scarce reports whether this VM backs off from a target of a service: the others have to bear
+// its load.
 func (r *Router) scarce(service string, now time.Time) bool {
 	if len(r.backoffs) == 0 {
 		return false
@@ -136,13 +137,13 @@
 	return slices.ContainsFunc(r.members[service], func(t *target) bool { return t.backoff.holds(now) && t.takes() })
 }
 
-// hasPlace reports whether a target of a plain service has a place for one request more.
+// hasPlace reports whether a target of a plain service has capacity for one more request.
 func (r *Router) hasPlace(t *target, scarce bool) bool {
 	return !scarce || t.own.Requests < (placesPerSlot*max(t.Slots, 1)+r.vms-1)/r.vms
 }
 
-// backoffsUntil returns when a request may find a target again that can take it, where it finds
-// none now for the reason alone that VMs back off from targets, and how long that lasts in all.
+// backoffsUntil returns when a request that cannot be served now, for the sole reason of
+// backoffs, may find a target again, and how long that backoff lasts in all.
 func (r *Router) backoffsUntil(service string, a Ask, now time.Time) (until time.Time, length time.Duration) {
 	if !r.scarce(service, now) {
 		return time.Time{}, 0
@@ -157,7 +158,8 @@
 		}
 	}
 	slices.SortFunc(backoffs, func(x, y backoff) int { return x.until.Compare(y.until) })
-	// Whoever is over its backoff stays so: the more of them are, the more is served.
+	// Those whose backoffs have ended by a time include those of any earlier time, so that the
+	// search is over a monotonic condition.
 	first := sort.Search(len(backoffs), func(i int) bool { return r.servedBy(service, a, backoffs[i].until) })
 	if first == len(backoffs) {
 		return time.Time{}, 0
@@ -165,16 +167,16 @@
 	return backoffs[first].until, backoffs[first].until.Sub(backoffs[first].began)
 }
 
-// servedBy reports whether the targets of a service that VMs do not back off from at a time, by what is
-// known now, can serve a request.
+// servableAt reports whether the targets of a service whose backoffs have ended at a time, by
+// what is known now, can serve a request.
 func (r *Router) servedBy(service string, a Ask, at time.Time) bool {
 	awake := func(t *target) bool { return !t.backoff.holds(at) && t.takes() }
 	begins := func(t *target) bool { return awake(t) && t.Layers.First == 0 && a.mayBegin(t.ID) }
 	return slices.ContainsFunc(r.members[service], begins) && r.coveredBy(r.services[service], awake)
 }
 
-// ComeBack returns when the caller of a request that no target took is to come back: at once,
-// or once a backoff is over where that is what keeps it from others.
+// ComeBack returns when the caller of a request that no target accepted is to come back: at once,
+// or after a backoff if that is what keeps it from other targets.
 func (r *Router) ComeBack(service string, atOnce time.Duration, now time.Time) time.Time {
 	a := Ask{}
 	a.permits = r.permitsFor(service, a, now)
--- a/internal/relay/backoffs_load_test.go
+++ b/internal/relay/backoffs_load_test.go
@@ -12,8 +12,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// The world of these tests: entry VMs before the three targets of a plain service, without a
-// network. Targets that turn a request away ask its VM to back off.
+// These tests simulate entry VMs in front of the three targets of a plain service, without a
+// network. Targets that refuse a request ask its VM to back off.
 const (
 	backoffVMs      = 10
 	backoffTargets  = 3
@@ -29,9 +29,10 @@
 	backoffTold     = 500 * time.Millisecond
 )
 
-// backoffCase is a load on that world.
+// backoffCase is a load on the simulated VMs.
 type backoffCase struct {
-	// perSecond is what callers ask, sheds the targets that turn everything away for shedFor.
+	// perSecond is the rate of requests, sheds the number of targets that refuse everything for
+	// shedFor.
 	perSecond float64
 	sheds     int
 	shedFor   time.Duration
@@ -79,7 +80,7 @@
 	return last
 }
 
-// backoffWorld plays a case.
+// backoffWorld simulates a case.
 type backoffWorld struct {
 	backoffCase
 	rand    *rand.Rand
@@ -92,10 +93,10 @@
 	backoffResult
 }
 
-// backoffResult is what became of the calls.
+// backoffResult counts the outcomes of the calls.
 type backoffResult struct {
 	asked, inTime, late, refused int
-	// turnedAway is what targets refused, and broken what reached one in its backoff.
+	// turnedAway counts what targets refused, and duringBackoff what reached one in its backoff.
 	turnedAway, broken int
 }
 
@@ -153,7 +154,7 @@
 	}
 }
 
-// tell has all VMs hear what the others have under way.
+// report sends all VMs the work in flight of the others.
 func (w *backoffWorld) tell() {
 	if !w.now.Before(start.Add(backoffFor)) {
 		return
@@ -245,7 +246,7 @@
 	w.late++
 }
 
-// turned takes the answer of a target that asks to back off.
+// refusedByTarget processes the answer of a target that asks for a backoff.
 func (w *backoffWorld) turned(c *backoffCall) {
 	r := w.vms[c.vm]
 	id := c.path.First().Target
@@ -260,31 +261,31 @@
 }
 
 const (
-	// servedLeast is the part of what targets can run that an overload is to leave served.
+	// servedLeast is the part of what targets can run that must be served in an overload.
 	servedLeast = 0.8
-	// turnedAwayMost is the part of what is asked that targets may turn away.
+	// turnedAwayMost is the part of the requests that targets may refuse.
 	turnedAwayMost = 0.1
 )
 
-// could returns how many requests the targets could run, at most all that are asked.
+// servable returns how many requests the targets could run, at most all that are asked.
 func (c backoffCase) could(asked int) float64 {
 	perSecond := backoffSlots / backoffWork.Seconds()
 	awake := backoffTargets*backoffFor.Seconds() - float64(c.sheds)*c.shedFor.Seconds()
 	return min(float64(asked), perSecond*awake)
 }
 
-// The load of a target that VMs back off from goes to the others, which are full then and ask to back off too:
-// without a bound on what they are given, two of five requests that they could have run were
-// refused, and three of four in a larger overload. Where all want backoff and callers came back at
-// its end, they turned nearly all of them away again.
-func TestBackoffsLeaveServedWhatCanBe(t *testing.T) {
+// The load of a target that VMs back off from goes to the others, which are then full and ask for
+// a backoff too: without a bound on what they are given, two of five requests that they could
+// have run were refused, and three of four in a larger overload. Where all targets asked for a
+// backoff and callers came back at its end, nearly all of these were refused again.
+func TestBackoffsKeepThroughput(t *testing.T) {
 	for name, c := range map[string]backoffCase{
-		"one of three backoffs":                       {perSecond: 300, sheds: 1, shedFor: 8 * time.Second},
-		"one of three backoffs, too much for two":     {perSecond: 500, sheds: 1, shedFor: 8 * time.Second},
-		"the last of three serves what it can":        {perSecond: 300, sheds: 2, shedFor: 8 * time.Second},
-		"all backoff, and all come back":              {perSecond: 500, sheds: 3, shedFor: 4 * time.Second, deadline: 20 * time.Second},
-		"a burst that none of them asked backoff for": {perSecond: 700},
-		"more than twice what they bear":              {perSecond: 1500},
+		"one target backs off":                        {perSecond: 300, sheds: 1, shedFor: 8 * time.Second},
+		"one target backs off, too much for two":      {perSecond: 500, sheds: 1, shedFor: 8 * time.Second},
+		"two targets back off":                        {perSecond: 300, sheds: 2, shedFor: 8 * time.Second},
+		"all targets back off, and callers come back": {perSecond: 500, sheds: 3, shedFor: 4 * time.Second, deadline: 20 * time.Second},
+		"overload without shedding targets":           {perSecond: 700},
+		"more than twice the capacity":                {perSecond: 1500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
--- a/internal/relay/backoffs_test.go
+++ b/internal/relay/backoffs_test.go
@@ -9,7 +9,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// plainRouter is a Router before some targets of a plain service.
+// plainRouter returns a Router with some targets of a plain service.
 func plainRouter(ids ...relay.TargetID) (*relay.Router, relay.Ask) {
 	route := &relay.Route{Name: "r", Host: "h", Prefix: "/", Repeat: relay.RepeatAlways, Timeout: time.Minute, MaxTargets: 2, Shares: []relay.Share{{Service: "web", Weight: 1}}}
 	r := relay.NewRouter(relay.Settings{Hall: "a", Seed: 1, Started: start, Budget: relay.BudgetTerms{Share: 0.2, Fixed: 200, Window: 10 * time.Second}})
@@ -25,7 +25,7 @@
 	return relay.Target{ID: id, Service: "web", Address: id.Name() + ":80", Hall: "a", Slots: 6, Call: 1}
 }
 
-// picked returns the target that a request goes to, and lets it go.
+// picked returns the target that is chosen for a request, and releases it.
 func picked(t *testing.T, r *relay.Router, a relay.Ask, now time.Time) relay.TargetID {
 	t.Helper()
 	path := choose(t, r, a, now)
@@ -33,26 +33,26 @@
 	return path.First().Target
 }
 
-func TestNothingButItsTimeEndsABackoff(t *testing.T) {
+func TestBackoffEndsOnlyByTime(t *testing.T) {
 	const id = relay.TargetID("i-1")
 	until := start.Add(10 * time.Second)
 	within := start.Add(9 * time.Second)
 	for name, happens := range map[string]func(r *relay.Router){
-		"an older request ends well": func(r *relay.Router) { r.Succeeded(id, within) },
+		"an older request succeeds": func(r *relay.Router) { r.Succeeded(id, within) },
 		"a heartbeat": func(r *relay.Router) {
 			r.TakeTargets([]relay.Target{{ID: id, Service: "web", Address: "i-1:80", Hall: "a", Slots: 6, Call: 9}})
 		},
 		"a shorter backoff":                  func(r *relay.Router) { r.Backoff(id, start.Add(time.Second), start.Add(500*time.Millisecond)) },
 		"a refusal that asks for no backoff": func(r *relay.Router) { r.Refused(id, start) },
 		"a failure":                          func(r *relay.Router) { r.Failed(id, true, start) },
-		"marks that say that it is well":     func(r *relay.Router) { r.TakeMarks(nil, true) },
-		"backoffs are looked through":        func(r *relay.Router) { r.ForgetBackoffs(within) },
+		"marks without a problem":            func(r *relay.Router) { r.TakeMarks(nil, true) },
+		"ended backoffs are removed":         func(r *relay.Router) { r.ForgetBackoffs(within) },
 		"a new configuration": func(r *relay.Router) {
 			d := *r.Document()
 			d.Version++
 			r.TakeDocument(&d)
 		},
-		"it is forgotten and learned again": func(r *relay.Router) {
+		"it is removed and added again": func(r *relay.Router) {
 			gone := plainTarget(id)
 			gone.Gone, gone.Call = true, 2
 			r.TakeTargets([]relay.Target{gone})
@@ -64,25 +64,25 @@
 			r.Backoff(id, until, start)
 			happens(r)
 			_, refusal := r.Choose(a, within)
-			require.NotNil(t, refusal, "also where it is the only one")
+			require.NotNil(t, refusal, "also if it is the only target")
 			require.True(t, refusal.NotRun())
 			require.Equal(t, id, picked(t, r, a, until))
 		})
 	}
 }
 
-func TestANewIncarnationHasNotAskedToBackOff(t *testing.T) {
+func TestNewIncarnationHasNoBackoff(t *testing.T) {
 	old, next := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-1", 200)
 	r, a := plainRouter(old)
 	r.Backoff(old, start.Add(time.Hour), start)
 	r.TakeTargets([]relay.Target{plainTarget(next)})
 	r.End([]relay.Succession{{Old: old, New: next}})
 	require.Equal(t, next, picked(t, r, a, start))
-	r.Backoff(old, start.Add(2*time.Hour), start) // an answer of the old one comes late
+	r.Backoff(old, start.Add(2*time.Hour), start) // a late answer of the old incarnation
 	require.Equal(t, next, picked(t, r, a, start))
 }
 
-func TestAnOperatorEndsABackoff(t *testing.T) {
+func TestOperatorEndsBackoff(t *testing.T) {
 	first, second := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-1", 200)
 	r, a := plainRouter(second)
 	r.Backoff(first, start.Add(time.Hour), start)
@@ -92,7 +92,7 @@
 	require.Equal(t, second, picked(t, r, a, start))
 }
 
-func TestOthersAreGivenTheRequestsOfATargetThatAsksToBackOff(t *testing.T) {
+func TestRequestsGoToOtherTargetsDuringBackoff(t *testing.T) {
 	r, a := plainRouter("i-1", "i-2", "i-3")
 	r.Backoff("i-1", start.Add(time.Second), start)
 	for range 50 {
@@ -102,9 +102,10 @@
 	require.Equal(t, relay.TargetID("i-3"), picked(t, r, a, start))
 }
 
-// Callers of a service that VMs back off from are refused at once, and told to come back when the first
-// target may be asked again: over as long a time as they were turned away for.
-func TestCallersComeBackSpreadAfterTheFirstBackoff(t *testing.T) {
+// Requests to a service that VMs back off from are refused at once. Their callers are told to
+// come back when the first target may be asked again, spread over as long a time as they were
+// refused for.
+func TestRefusedCallersReturnSpreadAfterFirstBackoff(t *testing.T) {
 	r, a := plainRouter("i-1", "i-2")
 	first := start.Add(4 * time.Second)
 	r.Backoff("i-1", first, start)
@@ -125,7 +126,7 @@
 	}
 }
 
-func TestAPinnedRequestIsRefusedWhileItsTargetIsBackedOffFrom(t *testing.T) {
+func TestPinnedRequestIsRefusedDuringBackoff(t *testing.T) {
 	r, route := newRouter(engines(today))
 	pinned := ask(route)
 	pinned.Only = []relay.TargetID{choose(t, r, pinned, start).First().Target}
@@ -136,9 +137,9 @@
 	choose(t, r, ask(route), start)
 }
 
-// An engine that VMs back off from is left out of every path of its VM, also as a later stage; where the
-// others do not hold all layers, callers come back after the backoff that closes the gap.
-func TestAnEngineThatBackoffsIsOnNoPath(t *testing.T) {
+// An engine that VMs back off from is on no path of its VM, also not as a later stage; if the
+// others do not hold all layers, callers come back after the backoff whose end closes the gap.
+func TestBackedOffEngineIsOnNoPath(t *testing.T) {
 	r, route := newRouter(engines(today))
 	path := choose(t, r, ask(route), start)
 	defer r.Release(path, false)
@@ -156,10 +157,10 @@
 	}
 	_, refusal := r.Choose(ask(route), start)
 	require.NotNil(t, refusal)
-	require.Equal(t, start.Add(time.Second), refusal.NotBefore, "the first of them closes the gap")
+	require.Equal(t, start.Add(time.Second), refusal.NotBefore, "the end of the first backoff closes the gap")
 }
 
-func TestBackoffsAreForgottenOnceTheyAreOver(t *testing.T) {
+func TestEndedBackoffsAreRemoved(t *testing.T) {
 	r, _ := plainRouter("i-1", "i-2")
 	r.Backoff("i-1", start.Add(time.Second), start)
 	r.Backoff("i-2", start.Add(2*time.Second), start)
@@ -168,8 +169,8 @@
 	require.Equal(t, []relay.TargetBackedOff{{Target: "i-2", Until: start.Add(2 * time.Second)}}, r.TargetsBackedOff(start.Add(time.Second)))
 }
 
-// Each incarnation of a target that starts again and again may ask for a year.
-func TestTheNumberOfBackoffsIsBounded(t *testing.T) {
+// Each incarnation of a target that restarts again and again may ask for a year.
+func TestBackoffsAreBounded(t *testing.T) {
 	r, _ := plainRouter("i-1")
 	year := start.Add(365 * 24 * time.Hour)
 	r.Backoff("i-1", year, start)
@@ -185,35 +186,36 @@
 	require.False(t, backedOff, "the oldest are not")
 }
 
-func TestATargetThatSaidThatItLeavesIsGivenNothing(t *testing.T) {
+func TestDrainingTargetGetsNoRequests(t *testing.T) {
 	ready := plainTarget("i-1")
 	ready.Call = 9
 	gone := plainTarget("i-1")
 	gone.Gone, gone.Call = true, 10
 	for name, messages := range map[string][]relay.Target{
-		"no message":                        nil,
-		"a heartbeat from before":           {plainTarget("i-1")},
-		"a heartbeat after it":              {ready},
-		"it is forgotten and learned again": {gone, ready},
+		"no message":                    nil,
+		"a heartbeat from before":       {plainTarget("i-1")},
+		"a heartbeat after it":          {ready},
+		"it is removed and added again": {gone, ready},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, a := plainRouter("i-1", "i-2")
 			require.True(t, r.Leave("i-1", start))
-			require.False(t, r.Leave("i-1", start), "it is no news")
+			require.False(t, r.Leave("i-1", start), "the notice is not new")
 			r.TakeTargets(messages)
 			for range 20 {
 				require.Equal(t, relay.TargetID("i-2"), picked(t, r, a, start))
 			}
 			r.Leave("i-2", start)
 			_, refusal := r.Choose(a, start)
-			require.NotNil(t, refusal, "a service whose targets all leave serves nobody")
+			require.NotNil(t, refusal, "a service whose targets are all draining serves no requests")
 			require.True(t, refusal.RetryAt.After(start))
 		})
 	}
 }
 
-// A draining notice is reported until the control VM's news say it, and again if they take it back.
-func TestADrainingTargetIsReportedUntilItIsKnown(t *testing.T) {
+// A draining notice is reported until the updates of the control VM contain it, and again if they
+// no longer do.
+func TestDrainingTargetIsReportedUntilConfirmed(t *testing.T) {
 	r, _ := plainRouter("i-1")
 	r.Leave("i-1", start)
 	require.Equal(t, []relay.TargetID{"i-1"}, r.Findings(start).Leaving)
@@ -223,18 +225,18 @@
 	require.Empty(t, r.Findings(start).Leaving)
 	r.TakeTargets([]relay.Target{plainTarget("i-1")})
 	require.Equal(t, []relay.TargetID{"i-1"}, r.Findings(start).Leaving)
-	require.Empty(t, r.Findings(start.Add(time.Hour)).Leaving, "long after its last answer")
+	require.Empty(t, r.Findings(start.Add(time.Hour)).Leaving, "the notice expires after the last answer")
 	r.ForgetDraining(start.Add(time.Hour))
-	require.True(t, r.Leaves("i-1"), "while the target is known")
+	require.True(t, r.Leaves("i-1"), "the notice is kept while the target is known")
 }
 
-func TestANewIncarnationDoesNotLeaveWithTheOldOne(t *testing.T) {
+func TestNewIncarnationIsNotDraining(t *testing.T) {
 	old, next := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-1", 200)
 	r, a := plainRouter(old)
 	r.TakeTargets([]relay.Target{plainTarget(next)})
 	r.End([]relay.Succession{{Old: old, New: next}})
-	r.Leave(old, start) // an answer of the old one comes late
+	r.Leave(old, start) // a late answer of the old incarnation
 	require.Equal(t, next, picked(t, r, a, start))
 	r.ForgetDraining(start.Add(time.Hour))
-	require.False(t, r.Leaves(old), "it is forgotten")
+	require.False(t, r.Leaves(old), "the notice is removed")
 }
--- a/internal/relay/draining.go
+++ b/internal/relay/draining.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// This file keeps which targets have said with an answer to this VM that they leave.
+// This file records the draining notices that targets send this VM with their answers.
 //
-// Problem: a target says with all its answers that it leaves, and may send no heartbeat that
-// says so before it ends, or one that comes seconds late. Heartbeats that say it is ready may
-// come after the answer.
+// Problem: a target that is leaving announces it with all its answers, and may send no heartbeat
+// that announces it before it ends, or one that arrives seconds late. Heartbeats that report it
+// as ready may arrive after the answer.
 //
-// Algorithm: what an answer says is final for the incarnation, as it is for heartbeats, and kept
-// by it: the VM gives it nothing new from that moment on. It reports the draining notice to the control
-// VM that it renews with, with each renewal until that one's news say the same; that one takes
-// it as it takes a heartbeat (core/registry.go). A later message that it is ready has it
-// reported again.
+// Algorithm: the notice of an answer is final for the incarnation, as that of a heartbeat is, and
+// kept by it: the VM gives it no new work from that moment on. The VM reports the notice to the
+// control VM that it renews with, in each renewal until updates of that one contain it too; the
+// control VM processes it like that of a heartbeat (core/registry.go). After a later message that
+// the target is ready it is reported again.
 //
-// Limits: it takes the other VMs up to a renewal and two ways between VMs to learn of it.
+// Limits: the other VMs learn of it after up to a renewal and two message delays between VMs.
 
-// saidKept is how long after the last answer that says so a draining notice is reported, and how long
-// it is kept once its target is not known any more: as long as control VMs know silent targets.
+// noticeTTL is how long after the last answer with it a draining notice is reported, and how long
+// it is kept once its target is no longer known: as long as control VMs know silent targets.
 const saidKept = time.Minute
 
-// drainNotice is that a target has said with an answer that it leaves.
+// drainNotice records that a target has sent a draining notice with an answer.
 type drainNotice struct {
-	// saidAt is when it last did.
+	// receivedAt is when the last one was received.
 	saidAt time.Time
-	// confirmed says that the control VM's news say it too.
+	// confirmed indicates that the control VM's updates contain it too.
 	confirmed bool
 }
 
-// Leave notes that a target has said with an answer that it leaves, and reports whether that
+// Leave records that a target has sent a draining notice with an answer, and reports whether that
 // is new here.
 func (r *Router) Leave(id TargetID, now time.Time) bool {
 	present, known := r.draining[id]
 	if !known {
-		r.ForgetDraining(now) // a VM that serves no callers does so nowhere else
+		r.ForgetDraining(now) // a VM that serves no callers does this nowhere else
 	}
 	present.saidAt = now
 	if t, here := r.targets[id]; here && !t.Takes() {
@@ -47,18 +47,18 @@
 	return !known && !present.confirmed
 }
 
-// Leaves reports whether a target leaves, as far as is known here.
+// Leaves reports whether a target is draining, as far as is known here.
 func (r *Router) Leaves(id TargetID) bool {
 	_, said := r.draining[id]
 	t, known := r.targets[id]
 	return said || known && !t.Takes()
 }
 
-// takes reports whether the target may be given new work.
+// takes reports whether the target accepts new work.
 func (t *target) takes() bool { return !t.draining && t.Takes() }
 
-// noteSaid notes at a target, if it is known, what it has said with its answers: each request
-// looks at all targets of its service.
+// noteSaid copies to the entry of a target, if it is known, the notices from its answers: each
+// request checks all targets of its service.
 func (r *Router) noteSaid(id TargetID) {
 	if t, known := r.targets[id]; known {
 		t.backoff = r.backoffs[id]
@@ -66,7 +66,7 @@
 	}
 }
 
-// confirmDraining takes the control VM's news of a target.
+// confirmDraining processes the control VM's update of a target.
 func (r *Router) confirmDraining(t Target) {
 	if present, said := r.draining[t.ID]; said {
 		present.confirmed = !t.Takes()
@@ -74,8 +74,8 @@
 	}
 }
 
-// Draining returns the targets that have said with an answer that they leave and of which
-// the control VM is to be told, sorted.
+// Draining returns the targets that have sent a draining notice with an answer and are to be
+// reported to the control VM, sorted.
 func (r *Router) Draining(now time.Time) []TargetID {
 	var reported []TargetID
 	for id, d := range r.draining {
@@ -87,7 +87,7 @@
 	return reported
 }
 
-// ForgetDraining drops what was said by targets that are known no more.
+// ForgetDraining removes the notices of targets that are no longer known.
 func (r *Router) ForgetDraining(now time.Time) {
 	for id, d := range r.draining {
 		if _, known := r.targets[id]; !known && !now.Before(d.saidAt.Add(saidKept)) {
--- a/internal/relay/notice.go
+++ b/internal/relay/notice.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// This file is what targets say of themselves to this VM with their answers; backoffs.go and
-// draining.go say what becomes of it.
+// This file defines the notices that targets send this VM with their answers; backoffs.go and
+// draining.go describe how they are processed.
 
-// Notice is what a target says of itself with an answer, whatever the answer is to.
+// Notice is what a target reports of itself with an answer, whatever the answer is to.
 type Notice struct {
-	// Leaving says that it is about to end.
+	// Leaving indicates that it is about to end.
 	Leaving bool
-	// BackoffUntil is until when it wants nothing from this VM; zero where it asks for no backoff.
+	// BackoffUntil is until when it wants nothing from this VM; zero if it asks for no backoff.
 	BackoffUntil time.Time
-	// Limited says that it takes no more than Limit requests a second, from all VMs together,
-	// Unlimited that it names no such limit. Neither is set where that can't be told.
+	// Limited indicates that it accepts no more than Limit requests a second, from all VMs
+	// together, Unlimited that it names no such limit. Neither is set if that cannot be
+	// determined.
 	Limited   bool
 	Unlimited bool
 	Limit     float64
-	// Unread are the names in the answer that nothing here reads, sorted.
+	// Unread are the names in the answer that this program does not read, sorted.
 	Unread []string
 }
 
-// Empty reports whether the target says nothing of itself that anything reads.
+// Empty reports whether the notice contains nothing that is read.
 func (n Notice) Empty() bool { return !n.Leaving && n.BackoffUntil.IsZero() && !n.Limited }
 
-// LimitAnswer returns what the answer says of a limit to a request that was sent at a time, and
-// whether it says anything.
+// LimitAnswer returns what the answer to a request that was sent at a time states about a limit,
+// and whether it states anything.
 func (n Notice) LimitAnswer(sentAt, heardAt time.Time) (LimitAnswer, bool) {
 	return LimitAnswer{Limited: n.Limited, PerSecond: n.Limit, SentAt: sentAt, HeardAt: heardAt}, n.Limited || n.Unlimited
 }
 
-// said is what targets have said to this VM, by incarnation: it outlasts what else is known of
-// them.
+// said is the state from notices of targets to this VM, by incarnation: it outlasts the rest of
+// what is known of them.
 type said struct {
 	backoffs map[TargetID]backoff
 	draining map[TargetID]drainNotice
@@ -44,15 +45,16 @@
 	return said{backoffs: make(map[TargetID]backoff), draining: make(map[TargetID]drainNotice), limits: NewRateLimits(seed)}
 }
 
-// HearLimit takes what an answer of a target says of its limit, and reports whether that is new
-// here.
+// HearLimit records what an answer of a target states about its limit, and reports whether that
+// is new here.
 func (r *Router) HearLimit(id TargetID, answer LimitAnswer) bool { return r.limits.Hear(id, answer) }
 
-// Limit returns the requests a second that a target takes from all VMs together, 0 where it has
+// Limit returns the requests a second that a target accepts from all VMs together, 0 if it has
 // named no limit.
 func (r *Router) Limit(id TargetID, now time.Time) float64 { return r.limits.PerSecond(id, now) }
 
-// UnreadName is a name that targets have used and that nothing reads, with how often they did.
+// UnreadName is a name that targets have used and that this program does not read, with how often
+// they did.
 type UnreadName struct {
 	Name  string
 	Count int
