--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -9,43 +9,41 @@
 
 // This file bounds repeats over all VMs without a message for each of them.
 //
-// The bound is on a service, over all VMs: in any window, repeats are at most a
-// share of the requests and a fixed number. The leader is told with each lease what a VM
-// has asked and repeated in the last window, and tells the sums. What they leave is
-// divided by the VMs that are in them: each may take its part of it within the time in
-// which the sums get old, so that all together keep the bound, and one that meets a lost
-// target may repeat far more than its own part of the whole. The parts of the fixed number
-// of VMs that are not in the sums are left to them.
+// The bound applies to a service, over all VMs: in any window, repeats are at most a share of the
+// requests plus a fixed number. With each renewal a VM reports to the leader its requests and
+// repeats of the last window, and the leader returns the sums. What they leave is divided by the
+// number of VMs in them: each may use its part of it within the time after which the sums are out
+// of date, so that all together keep the bound, and one that meets a lost target may repeat far
+// more than its own part of the whole. The parts of the fixed number of VMs that are not in the
+// sums are left to them.
 //
-// A part may be less than one repeat: a fleet of more VMs than there are repeats. Were each VM
-// to keep to whole ones, none would repeat anything, though all of them together may. Each VM
-// draws once for each service whether the fraction of its part is one to it, so that the parts
-// of all add up to what they were in the mean.
+// A part may be less than one repeat, in a fleet of more VMs than there are repeats. If each VM
+// rounded it down, none would repeat anything, though all of them together may. Each VM therefore
+// draws once for each service whether the fraction of its part counts as one repeat, so that the
+// parts of all have the right sum in the mean.
 //
-// A VM without fresh sums keeps to its part of the fixed number and to the share of its own
-// requests. A VM that knows too low a number of VMs would take too large a
-// part; the fixed number is therefore divided by the most that were ever known.
+// A VM without fresh sums is limited to its part of the fixed number and to the share of its own
+// requests. A VM that knows too low a number of VMs would take too large a part; the fixed number
+// is therefore divided by the highest number that was ever known.
 //
-// Limits: what a process has repeated is gone from the sums once it has died, until its
-// window is over.
+// Limits: what a process has repeated is missing from the sums once it has died, until its window
+// is over.
 
 const (
-	// budgetCaution is the part of the bound that is used: the rest covers VMs
-	// that have just joined and are not known everywhere.
+	// budgetUsableShare is the part of the bound that is used: the rest covers VMs that have just
+	// joined and are not known everywhere.
 	budgetCaution = 0.95
-	// notBegunShare is the part of a VM's own budget for requests whose callers have got
+	// unstartedShare is the part of a VM's own budget for requests whose callers have received
 	// nothing yet: they can be told to come back, and a stream in the middle can't.
-	// pooledNotBegunShare is that of what all VMs have together, which is divided more
-	// finely: what is kept back covers the loss of an engine that 130 streams pass, of a
-	// bound of 900.
+	// pooledUnstartedShare is that of the budget of all VMs, which is divided more finely: what
+	// is kept back covers the loss of an engine that 130 streams pass, of a bound of 900.
 	notBegunShare       = 0.6
 	pooledNotBegunShare = 0.85
-	// youngShare is the part of the fixed number that a process has at its start; it
-	// grows to the whole within a window. What the process before it on this VM has
-	// used is not known.
+	// initialShare is the part of the fixed number that a process has at its start; it grows to
+	// the whole within a window. What the previous process on this VM has used is not known.
 	youngShare = 0.3
-	// sumsKept is the age up to which the sums over all VMs count: two renewals and the
-	// way to the leader and back. What a VM repeats in as long is not in them yet.
+	// sumsTTL is the age up to which the sums over all VMs count: two renewals and the way to the
+	// leader and back. What a VM repeats in as long is not in them yet.
 	sumsKept = time.Second
 	// budgetBuckets divides the window; a bucket leaves it as a whole.
 	budgetBuckets = 20
@@ -58,9 +56,9 @@
 	Window time.Duration
 }
 
-// Usage is what was asked of a service and repeated in the last window.
+// Usage is the number of requests to a service and of their repeats in the last window.
 type Usage struct {
-	// The fields are sent without their names: these values are sent most.
+	// Encoded as an array: these values are sent most.
 	_        struct{} `cbor:",toarray"`
 	Requests int      `cbor:"requests"`
 	Repeats  int      `cbor:"repeats"`
@@ -75,14 +73,14 @@
 type budget struct {
 	requests window
 	repeats  window
-	// recent counts the repeats of sumsKept.
+	// recent counts the repeats of the last sumsTTL.
 	recent window
-	// drawn is from 0 to 1: the fraction of a part counts as one repeat where it is above
-	// the rest.
+	// drawn, from 0 to 1, decides about the fraction of a part: it counts as one repeat if the
+	// sum of both is at least 1.
 	drawn float64
 }
 
-// sums are what the VMs of the fleet have used together.
+// sums are the usage of all VMs together.
 type sums struct {
 	usage map[string]Usage
 	// vms is the number of VMs in them, and until when they count.
@@ -90,12 +88,12 @@
 	until time.Time
 }
 
-// TakeUsage takes what all VMs that the leader hears of have used, by service.
+// TakeUsage sets the usage of all VMs that report to the leader, by service.
 func (r *Router) TakeUsage(usage map[string]Usage, vms int, now time.Time) {
 	r.sums = sums{usage: usage, vms: vms, until: now.Add(sumsKept)}
 }
 
-// Usage returns what this VM has used, by service.
+// Usage returns the usage of this VM, by service.
 func (r *Router) Usage(now time.Time) map[string]Usage {
 	usage := make(map[string]Usage, len(r.budgets))
 	for service, b := range r.budgets {
@@ -107,7 +105,7 @@
 	return usage
 }
 
-// window counts what happened lately.
+// window counts recent events.
 type window struct {
 	buckets [budgetBuckets]int
 	at      int64
@@ -135,8 +133,8 @@
 	return total
 }
 
-// takeOfSums takes one repeat, if what all VMs have left has it. Whole says that it may
-// take the last one.
+// takeOfSums takes one repeat, if the budget of all VMs allows it. UseReserve indicates that it
+// may take the last one.
 func (b *budget) takeOfSums(now time.Time, t BudgetTerms, usage Usage, heard, vms int, whole bool) bool {
 	known := float64(max(vms, heard, 1))
 	allowed := budgetCaution * (t.Share*float64(usage.Requests) + t.Fixed*float64(heard)/known)
@@ -160,11 +158,12 @@
 // drawn returns a number from 0 to 1 that this VM keeps for a service.
 func (r *Router) drawn(service string) float64 {
 	h := fnv.New64a()
-	h.Write([]byte(service)) // a hash takes everything
+	h.Write([]byte(service)) // a hash accepts any write
 	return rand.New(rand.NewPCG(r.settings.Seed, h.Sum64())).Float64()
 }
 
-// take takes one repeat, if the budget has it. Whole says that it may take the last one.
+// take takes one repeat, if the budget of this VM allows it. UseReserve indicates that it may
+// take the last one.
 func (b *budget) take(now time.Time, t BudgetTerms, vms int, age time.Duration, whole bool) bool {
 	grown := min(max(float64(age)/float64(t.Window), youngShare), 1)
 	allowed := budgetCaution * (t.Share*float64(b.requests.total(now, t.Window)) + grown*t.Fixed/float64(max(vms, 1)))
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -5,30 +5,29 @@
 	"time"
 )
 
-// This file says what a Router believes of a target's health, by what this VM's own
-// requests met. docs/DESIGN.md has the order in which beliefs weigh.
+// This file derives the health of targets from the results of this VM's own requests.
+// docs/DESIGN.md has the precedence of the sources of health.
 
 const (
-	// suspectFirst is how long a target is left alone after one failure; each
-	// further one in a row doubles it up to suspectMost. A process that
-	// crashed is back after some seconds.
+	// initialSuspicion is how long a target is avoided after one failure; each further one in a
+	// row doubles it up to maxSuspicion. A process that crashed is back after some seconds.
 	suspectFirst = 500 * time.Millisecond
 	suspectMost  = 4 * time.Second
-	// failureWeight is the weight of the newest result in the moving mean: ten
-	// results make up most of it.
+	// failureWeight is the weight of the newest result in the moving mean: ten results make up
+	// most of it.
 	failureWeight = 0.15
 )
 
 const (
-	// fullFirst is how long a target that refused a request gets no other; each
-	// further refusal in a row doubles it up to fullMost. A place falls free every
-	// few hundredths of a second.
+	// initialFullPause is how long a target that refused a request gets no other; each further
+	// refusal in a row doubles it up to maxFullPause. Capacity becomes free every few hundredths
+	// of a second.
 	fullFirst = 100 * time.Millisecond
 	fullMost  = 800 * time.Millisecond
 )
 
-// Refused notes that a target did not take a request: it is full, or its layers
-// have changed. What it runs goes on, so that it is not suspect.
+// Refused records that a target did not accept a request: it is full, or its layers have changed.
+// Its other requests go on, so that it is not suspect.
 func (r *Router) Refused(id TargetID, now time.Time) {
 	if t, ok := r.targets[id]; ok {
 		t.fullness++
@@ -41,8 +40,8 @@
 	}
 }
 
-// Failed notes that a target did not do its part. Certain failures, such as a
-// refused connection, make it suspect at once.
+// Failed records that a request failed at a target. Certain failures, such as a refused
+// connection, make it suspect at once.
 func (r *Router) Failed(id TargetID, certain bool, now time.Time) {
 	t, ok := r.targets[id]
 	if !ok {
@@ -60,7 +59,7 @@
 	}
 }
 
-// Succeeded notes that a target did its part.
+// Succeeded records that a request succeeded at a target.
 func (r *Router) Succeeded(id TargetID, now time.Time) {
 	if t, ok := r.targets[id]; ok {
 		t.failedAt = time.Time{}
@@ -73,29 +72,29 @@
 	}
 }
 
-// Suspect reports whether a target is left alone at present. A void one stays so, and what
-// runs there is lost.
+// Suspect reports whether a target is avoided at present. A void one always is, and what runs
+// there is lost.
 func (r *Router) Suspect(id TargetID, now time.Time) bool {
 	t, ok := r.targets[id]
 	return ok && (t.void || t.silent || now.Before(t.suspectUntil))
 }
 
 const (
-	// slowLeast is how many times longer than usual the steps of an engine take that counts
+	// slowThreshold is how many times longer than usual the steps of an engine take that counts
 	// as slow: at twice, it serves half as much as it is planned for.
 	slowLeast = 2.0
-	// slowElsewhere is what an engine counts as that another VM was told is slow: how slow
-	// is not told.
+	// forwardedSlowdown is the slowdown of an engine that has reported to another VM that it is
+	// slow: the update does not contain by how much.
 	slowElsewhere = 4.0
-	// slowFirst is how long an engine that says that it is slow counts as slow; each time
-	// that it is found slow again doubles it up to suspectMost.
+	// initialSlowPeriod is how long an engine that reports that it is slow counts as slow; each
+	// further time that it is found slow doubles it up to maxSuspicion.
 	slowFirst = time.Second
-	// slowAskAhead is how long before that an engine is asked again: were it used to find
-	// out, all VMs would do so at once.
+	// slowRecheckLead is how long before that the engine is checked again: if requests were used
+	// to find out, all VMs would send them at once.
 	slowAskAhead = 300 * time.Millisecond
 )
 
-// SlowDue returns the engines that this VM has found slow and is to ask again now.
+// SlowDue returns the engines that this VM has found slow and is to check again now.
 func (r *Router) SlowDue(now time.Time) []Stage {
 	var due []Stage
 	for _, t := range r.targets {
@@ -106,8 +105,8 @@
 	return due
 }
 
-// TakePace takes what an engine says of how many times longer than usual its steps take. It
-// does not count as lost: what it holds stays where it is.
+// TakePace records how many times longer than usual the steps of an engine take, as it reports.
+// It does not count as lost: what it holds stays where it is.
 func (r *Router) TakePace(id TargetID, pace float64, now time.Time) {
 	t, ok := r.targets[id]
 	if !ok || now.Before(t.slowUntil.Add(-slowAskAhead)) || !r.settings.Policy.Has(SlowEngines) {
@@ -124,33 +123,33 @@
 }
 
 const (
-	// findingsKept is how long a VM tells what it found of a target: a VM of the
-	// grown fleet meets each engine about once in this time.
+	// findingsTTL is how long a VM reports what it found of a target: a VM of the grown fleet
+	// meets each engine about once in this time.
 	findingsKept = 2 * time.Second
-	// refusalsDead is the refusals in a row after which an engine counts as dead: one
-	// that is full runs requests, which end well in between.
+	// deadAfterRefusals is the number of refusals in a row after which an engine counts as dead:
+	// one that is full runs requests, which succeed in between.
 	refusalsDead = 3
 )
 
-// Findings is what a VM has lately found of targets, sorted.
+// Findings is what a VM has recently found of targets, sorted.
 type Findings struct {
-	// Dead are those that have failed and done nothing since, Sound those that have done
-	// their part since they last failed.
+	// Dead are those that have failed and done nothing since, Sound those where a request has
+	// succeeded since the last failure.
 	Dead, Sound []TargetKey
-	// Slow are those that say that they are slow.
+	// Slow are those that report that they are slow.
 	Slow []TargetKey
-	// Leaving are those that have said with an answer that they leave.
+	// Leaving are those that have sent a draining notice with an answer.
 	Leaving []TargetID
 	// BackedOff are those that have asked this VM to back off: for its operators.
 	BackedOff []TargetBackedOff
-	// Limited are those that take so many requests a second from all VMs: for its operators.
+	// Limited are those that accept so many requests a second from all VMs: for its operators.
 	Limited []LimitedTarget
-	// Unread are the names that targets have used and that nothing here reads: for its
+	// Unread are the names that targets have used and that this program does not read: for its
 	// operators.
 	Unread []UnreadName
 }
 
-// Findings returns what this VM has lately found.
+// Findings returns what this VM has recently found.
 func (r *Router) Findings(now time.Time) Findings {
 	f := Findings{Leaving: r.Draining(now), BackedOff: r.TargetsBackedOff(now), Limited: r.LimitedTargets(now)}
 	if !r.settings.Policy.Has(SharedFindings) {
@@ -186,9 +185,9 @@
 	return "", false
 }
 
-// slowdown is how many times longer than usual the steps of a target take, as it has lately
-// said here or at another VM. It counts in the costs of paths: an engine that has no other
-// beside it still serves.
+// slowdown is how many times longer than usual the steps of a target take, as it has recently
+// reported here or to another VM. It is part of the costs of paths: an engine without an
+// alternative still serves.
 func (t *target) slowdown(now time.Time) float64 {
 	switch {
 	case now.Before(t.slowUntil):
--- a/internal/relay/recent.go
+++ b/internal/relay/recent.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Recent is a bounded set of what was seen of late. It keeps two generations: what is seen
-// goes into the younger one, which becomes the older one once it is full or its time is over,
-// and the older one is dropped whole. So it holds what was seen within kept, and at most twice
-// as long, unless more than most were. The zero value is not ready for use.
+// Recent is a bounded set of recently added values. It has two generations: values are added to
+// the current one, which becomes the previous one once it is full or its time is over; the
+// previous one is then dropped as a whole. So a value is kept for ttl, and at most twice as long,
+// unless more than capacity are added in that time. Use NewRecent.
 type Recent[T comparable] struct {
 	most       int
 	kept       time.Duration
@@ -13,12 +13,13 @@
 	turnAt     time.Time
 }
 
-// NewRecent returns an empty set that holds up to most values of each generation for kept.
+// NewRecent returns an empty set that holds up to a capacity of values in each generation for a
+// time.
 func NewRecent[T comparable](most int, kept time.Duration) Recent[T] {
 	return Recent[T]{most: most, kept: kept, young: make(map[T]bool)}
 }
 
-// Add notes that a value was seen.
+// Add adds a value.
 func (r *Recent[T]) Add(v T, now time.Time) {
 	r.turn(now)
 	if len(r.young) >= r.most {
@@ -28,13 +29,13 @@
 	r.young[v] = true
 }
 
-// Has reports whether a value was seen of late.
+// Has reports whether a value was added recently.
 func (r *Recent[T]) Has(v T, now time.Time) bool {
 	r.turn(now)
 	return r.young[v] || r.old[v]
 }
 
-// turn begins new generations as far as their time has come.
+// rotate starts new generations as their time is over.
 func (r *Recent[T]) turn(now time.Time) {
 	if now.Before(r.turnAt) {
 		return
--- a/internal/relay/suspects_test.go
+++ b/internal/relay/suspects_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// crashed is a run on a target from and until so many milliseconds.
+// crashed is a run on a target between two times in milliseconds.
 func crashed(request string, target, began, ended int) relay.CrashedRun {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	return relay.CrashedRun{
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestARequestThatEndsTargetsOneAfterTheOtherIsFound(t *testing.T) {
+func TestRequestWithSequentialCrashesIsFound(t *testing.T) {
 	cases := []struct {
 		name string
 		runs []relay.CrashedRun
@@ -28,12 +28,12 @@
 	}{
 		{"one", []relay.CrashedRun{crashed("a", 1, 0, 100)}, false},
 		{"sent again each time", []relay.CrashedRun{crashed("a", 1, 0, 100), crashed("a", 2, 201, 250), crashed("a", 3, 900, 990)}, true},
-		{"sent on at once, as far as reports by two VMs tell", []relay.CrashedRun{crashed("a", 1, 0, 100), crashed("a", 2, 150, 250), crashed("a", 3, 900, 990)}, false},
-		{"a rack falls under short runs, reported by ways of their own", []relay.CrashedRun{crashed("a", 1, 50, 60), crashed("a", 2, 70, 77), crashed("a", 3, 90, 94), crashed("a", 4, 108, 111), crashed("a", 5, 140, 150)}, false},
-		{"told twice", []relay.CrashedRun{crashed("a", 1, 0, 100), crashed("a", 1, 0, 102), crashed("a", 1, 0, 100)}, false},
-		{"told again with other delays", []relay.CrashedRun{crashed("a", 1, 0, 1), crashed("a", 1, 5, 6), crashed("a", 1, 900, 901)}, false},
-		{"a rack falls under copies", []relay.CrashedRun{crashed("a", 1, 0, 100), crashed("a", 2, 20, 101), crashed("a", 3, 50, 100), crashed("a", 4, 99, 103)}, false},
-		{"a hall falls within a second, and new copies go there", []relay.CrashedRun{crashed("a", 1, 0, 100), crashed("a", 2, 40, 300), crashed("a", 3, 90, 700)}, false},
+		{"sent on at once, within the skew of two VMs", []relay.CrashedRun{crashed("a", 1, 0, 100), crashed("a", 2, 150, 250), crashed("a", 3, 900, 990)}, false},
+		{"a rack fails under short runs, reported with different delays", []relay.CrashedRun{crashed("a", 1, 50, 60), crashed("a", 2, 70, 77), crashed("a", 3, 90, 94), crashed("a", 4, 108, 111), crashed("a", 5, 140, 150)}, false},
+		{"reported twice", []relay.CrashedRun{crashed("a", 1, 0, 100), crashed("a", 1, 0, 102), crashed("a", 1, 0, 100)}, false},
+		{"reported again with other delays", []relay.CrashedRun{crashed("a", 1, 0, 1), crashed("a", 1, 5, 6), crashed("a", 1, 900, 901)}, false},
+		{"a rack fails under copies", []relay.CrashedRun{crashed("a", 1, 0, 100), crashed("a", 2, 20, 101), crashed("a", 3, 50, 100), crashed("a", 4, 99, 103)}, false},
+		{"a hall fails within a second, and new copies are sent there", []relay.CrashedRun{crashed("a", 1, 0, 100), crashed("a", 2, 40, 300), crashed("a", 3, 90, 700)}, false},
 		{"reports in another order", []relay.CrashedRun{crashed("a", 3, 900, 990), crashed("a", 1, 0, 100), crashed("a", 2, 201, 250)}, true},
 		{"copies in pairs", []relay.CrashedRun{crashed("a", 1, 0, 100), crashed("a", 2, 10, 130), crashed("a", 3, 900, 990), crashed("a", 4, 910, 1000)}, true},
 		{"two racks, one copy on the second", []relay.CrashedRun{crashed("a", 1, 0, 100), crashed("a", 2, 10, 100), crashed("a", 3, 900, 990)}, false},
@@ -51,19 +51,19 @@
 	}
 }
 
-func TestAWholeAnswerClearsARequest(t *testing.T) {
+func TestCompleteAnswerClearsRequest(t *testing.T) {
 	s := relay.NewSuspects()
 	s.Take(crashed("a", 1, 0, 100))
 	s.Take(crashed("a", 2, 201, 300))
 	s.Clear(crashed("a", 1, 0, 0).Request, crashed("a", 1, 0, 310).Ended)
-	require.False(t, s.Take(crashed("a", 2, 201, 300)), "a late report of what was before")
+	require.False(t, s.Take(crashed("a", 2, 201, 300)), "a late report of an earlier run")
 	require.False(t, s.Take(crashed("a", 3, 400, 500)))
 	require.False(t, s.Take(crashed("a", 4, 650, 700)))
 	require.True(t, s.Take(crashed("a", 5, 850, 900)))
 }
 
-// Copies come so fast that all runs that are kept overlap: what was before them counts.
-func TestAStormOfEndsIsFound(t *testing.T) {
+// Copies arrive so fast that all runs that are kept overlap: what was before them counts.
+func TestBurstOfCrashesIsFound(t *testing.T) {
 	s := relay.NewSuspects()
 	s.Take(crashed("a", 1, 0, 100))
 	found := false
@@ -80,11 +80,11 @@
 		s.Take(crashed("a", 2+i%2, 300*i+6, 300*i+9))
 	}
 	require.LessOrEqual(t, s.Len(), 1024)
-	require.True(t, s.Take(crashed("a", 9, 1600000, 1600001)), "what is seen again stays, whoever else comes")
+	require.True(t, s.Take(crashed("a", 9, 1600000, 1600001)), "a request with new reports stays")
 }
 
-// What counts is the same in any order, and however often a report comes.
-func TestSuspicionDoesNotDependOnTheOrderOfReports(t *testing.T) {
+// The result is the same in any order, and however often a report arrives.
+func TestSuspicionIsIndependentOfReportOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runs := rapid.SliceOfNDistinct(rapid.Custom(func(t *rapid.T) relay.CrashedRun {
 			began := rapid.IntRange(0, 1000).Draw(t, "began")
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestFingerprintsTellRequestsApart(t *testing.T) {
+func TestFingerprintsDifferByRequest(t *testing.T) {
 	own := relay.NewFingerprint("o", "POST", "h", "/a/b", []byte("body"))
 	require.Equal(t, own, relay.NewFingerprint("o", "POST", "h", "/a/b", []byte("body")))
 	for _, other := range []relay.Fingerprint{
@@ -117,17 +117,17 @@
 	}
 }
 
-func TestRecentHoldsWhatWasSeenOfLate(t *testing.T) {
+func TestRecentKeepsRecentValues(t *testing.T) {
 	r := relay.NewRecent[int](3, time.Minute)
 	at := func(s int) time.Time { return time.Unix(1000, 0).Add(time.Duration(s) * time.Second) }
 	r.Add(1, at(0))
 	require.True(t, r.Has(1, at(59)))
-	require.True(t, r.Has(1, at(70)), "one generation later")
+	require.True(t, r.Has(1, at(70)), "it is in the previous generation")
 	require.False(t, r.Has(1, at(130)))
 	require.False(t, r.Has(1, at(10000)))
 	for i := range 100 {
 		r.Add(i, at(20000))
 	}
 	require.True(t, r.Has(99, at(20000)))
-	require.False(t, r.Has(90, at(20000)), "it is bounded")
+	require.False(t, r.Has(90, at(20000)), "the set is bounded")
 }
