--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// This file says which streams a VM takes while it stops.
+// This file decides which streams a VM accepts while it stops.
 //
-// Problem: callers that have kept the VM's address still come for some seconds after a
-// stop was asked for, and what is under way at its end is cut. An answer may take longer
-// than what is left until then.
+// Problem: callers that have cached the VM's address still come for some seconds after a stop was
+// requested, and what is in flight at its end is cut. An answer may take longer than the time
+// that is left.
 //
 // Algorithm: a stream whose answer is likely to outlast the VM is refused at once, before
-// anything is sent, and its caller comes back to another VM. The estimate of its length is
-// the caller's own, which is right in the middle. Shortly after a reload, which must cut
-// nothing, the bound is one that 99 answers in 100 keep.
+// anything is sent, and its caller comes back to another VM. The estimate of its length is the
+// caller's own, which is right in the median. Shortly after a reload, which must cut nothing, the
+// bound is one that 99 answers in 100 keep.
 
 const (
-	// sureTimes is the multiple of a caller's estimate that 99 answers in 100 stay within
+	// estimateMargin is the multiple of a caller's estimate that 99 answers in 100 stay within
 	// (docs/MEASURED.md).
 	sureTimes = 3
-	// reloadShadow is how long after a reload a request must not be cut.
+	// reloadProtection is how long after a reload a request must not be cut.
 	reloadShadow = 2 * time.Second
 )
 
 // Ending is the planned end of a VM. The zero value is none.
 type Ending struct {
-	// At is when what is under way is cut.
+	// At is when work in flight is cut.
 	At time.Time
 	// ReloadedAt is when the settings were last read again.
 	ReloadedAt time.Time
@@ -44,8 +44,8 @@
 	return e
 }
 
-// Tokens returns the length of an answer to count on, by the caller's estimate and the
-// bound on it; 0 where the caller gives none.
+// Tokens returns the length of an answer to plan with, by the caller's estimate and the bound on
+// it; 0 if the caller gives none.
 func (e Ending) Tokens(hint, most int, now time.Time) int {
 	if now.Before(e.ReloadedAt.Add(reloadShadow)) {
 		hint *= sureTimes
--- a/internal/relay/ending_test.go
+++ b/internal/relay/ending_test.go
@@ -10,9 +10,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// A VM was reloaded and told to stop half a second later. A stream that it took 0.7 s after
-// that was cut at the end of the grace time, 7 s later.
-func TestAStreamThatOutlastsAStopIsNotTaken(t *testing.T) {
+// A VM was reloaded and ordered to stop half a second later. A stream that it accepted 0.7 s
+// after that was cut at the end of the grace time, 7 s later.
+func TestStreamThatOutlastsStopIsRefused(t *testing.T) {
 	const token = 15 * time.Millisecond
 	stop := relay.Ending{}.WithReload(start).WithEnd(start.Add(8 * time.Second))
 	now := start.Add(1400 * time.Millisecond)
@@ -24,7 +24,7 @@
 		outlasts   bool
 	}{
 		{"no stop", relay.Ending{}.WithReload(start), 1000, 0, now, false},
-		{"estimate that may be thrice as long, after a reload", stop, 170, 600, now, true},
+		{"estimate that may be exceeded three times, after a reload", stop, 170, 600, now, true},
 		{"the same bounded", stop, 170, 300, now, false},
 		{"the same without a reload", relay.Ending{}.WithEnd(stop.At), 170, 600, now, false},
 		{"long without a reload", relay.Ending{}.WithEnd(stop.At), 500, 600, now, true},
@@ -40,9 +40,9 @@
 	}
 }
 
-// Whatever is taken shortly after a reload, and is at most thrice as long as estimated,
-// ends before the VM does.
-func TestNothingTakenAfterAReloadIsCut(t *testing.T) {
+// A stream that is accepted shortly after a reload, and is at most three times as long as
+// estimated, ends before the VM does.
+func TestStreamAcceptedAfterReloadIsNotCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		millis := func(most int, name string) time.Duration {
 			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
--- a/internal/relay/herd_test.go
+++ b/internal/relay/herd_test.go
@@ -20,7 +20,7 @@
 	"e": {"large": 14, "middle": 27, "small": 257, "tiny": 284},
 }
 
-// herd is many VMs that choose among the same engines, each by what it was last told of the
+// herd is many VMs that choose among the same engines, each by the last report that it has of the
 // others.
 type herd struct {
 	routers []*relay.Router
@@ -30,8 +30,8 @@
 	now     time.Time
 	rand    *rand.Rand
 	ends    []ending
-	// asked, refused and over count the requests, those that found no room, and those that
-	// came to an engine whose memory was taken.
+	// asked, refused and over count the requests, those that found no capacity, and those that
+	// reached an engine whose memory was full.
 	asked, refused, over int
 	// first counts the requests that began at each engine.
 	first map[relay.TargetID]int
@@ -70,7 +70,7 @@
 	return h
 }
 
-// tell has every VM know what the others have under way.
+// report sends every VM the work in flight of the others.
 func (h *herd) tell() {
 	sum := make(map[relay.TargetKey]relay.Work)
 	for _, r := range h.routers {
@@ -124,10 +124,10 @@
 	})
 }
 
-// Pattern: a thousand VMs of five halls, each with a request every few seconds, that choose among
-// the same engines by sums up to 0.4 s old. They must not all choose the same ones: what comes to
-// an engine whose memory is taken is dropped there.
-func TestManyVMsWithFewRequestsEachDoNotChooseTheSameEngines(t *testing.T) {
+// Six hundred VMs of five halls, each with a request every few seconds, choose among the same
+// engines by sums up to 0.4 s old. They must not all choose the same ones: an engine whose memory
+// is full drops what reaches it.
+func TestManyVMsSpreadOverEngines(t *testing.T) {
 	const (
 		vms        = 600
 		requests   = 1600
@@ -154,6 +154,6 @@
 		most = max(most, n)
 	}
 	require.Zero(t, h.refused)
-	require.Zero(t, h.over, "came to an engine without memory for them")
-	require.Less(t, float64(most), mostShare*requests, "began at the same engine")
+	require.Zero(t, h.over, "requests that reached an engine without memory for them")
+	require.Less(t, float64(most), mostShare*requests, "requests that began at the same engine")
 }
--- a/internal/relay/holding.go
+++ b/internal/relay/holding.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// This file accounts for the bytes that a VM holds for others, and says who waits and who
-// ends where they are too many.
+// This file accounts for the bytes that a VM buffers for others, and decides who waits and who is
+// evicted when there are too many.
 //
-// Problem: callers and targets may read slowly or not at all. What is held for them is
-// memory of the VM, and a VM over its memory loses all that it has under way.
+// Problem: callers and targets may read slowly or not at all. What is buffered for them takes
+// memory of the VM, and a VM that exceeds its memory loses all its work in flight.
 //
-// Algorithm: each request has a holding. A part of it is reserved while the request is
-// open: its body, and what the kernel may hold of it. The other part is the answer that its
-// caller has not read yet. All holdings together are within a bound; the unread answers are
-// within a part of it, so that slow callers leave room for new requests. Above the bound,
-// who has read nothing for a while ends, in the order of bytes times the time that they have
-// lain unread; whoever reads waits.
+// Algorithm: each request has a holding. A part of it is reserved while the request is open: its
+// body, and what the kernel may buffer of it. The other part is the answer that its caller has
+// not read yet. All holdings together are within a bound; the unread answers are within a part of
+// it, so that slow callers leave room for new requests. Above the bound, holdings whose callers
+// have read nothing for a while are evicted, in the order of bytes times the time that they have
+// been unread; callers that read wait.
 //
-// Invariants: the holdings never are over the bound that held when they last grew; a caller
-// that has read within the time of grace is never ended to make room.
+// Invariants: the holdings never exceed the bound that applied when they last grew; a caller that
+// has read within the grace time is never evicted to make room.
 
-// Side says whether bytes are held for callers or for targets.
+// Side is whether bytes are held for callers or for targets.
 type Side int
 
 // The sides.
@@ -35,20 +35,20 @@
 // String returns the side's name.
 func (s Side) String() string { return [...]string{"callers", "targets"}[s] }
 
-// HoldingID names one holding.
+// HoldingID identifies one holding.
 type HoldingID uint64
 
 // HoldingTerms bound what is held.
 type HoldingTerms struct {
 	// Each bounds the unread answer of one holding, in bytes.
 	Each int64
-	// Grace is how long nothing may be read before a holding may be ended to make room.
+	// Grace is how long nothing may be read before a holding may be evicted to make room.
 	Grace time.Duration
 	// Unread is how long nothing may be read before a holding ends in any case.
 	Unread time.Duration
 }
 
-// answerShare is the part of the bound that unread answers may take: the rest is for new
+// unreadShare is the part of the bound that unread answers may take: the rest is for new
 // requests, whose callers may well read.
 const answerShare = 0.75
 
@@ -56,13 +56,12 @@
 	// reserved and unread are in bytes.
 	reserved [sides]int64
 	unread   int64
-	// stuckAt is since when the kernel takes nothing more for the caller, zero while it does
+	// blockedAt is since when the kernel accepts nothing more for the caller, zero while it does
 	// or was not asked.
 	stuckAt time.Time
 }
 
-// Holdings are all that a VM holds for others. They are not safe for use by several
-// goroutines at once.
+// Holdings are all that a VM holds for others. They are not safe for concurrent use.
 type Holdings struct {
 	terms    HoldingTerms
 	bound    int64
@@ -72,7 +71,7 @@
 	unread   int64
 	// behind counts the holdings with unread bytes.
 	behind int
-	// sending holds the bytes of bodies on their way, by the address of their target.
+	// sending holds the bytes of bodies in transit, by the address of their target.
 	sending map[string]int64
 }
 
@@ -81,8 +80,7 @@
 	return &Holdings{terms: t, bound: bound, all: make(map[HoldingID]*holding), sending: make(map[string]int64)}
 }
 
-// SetBound sets a new bound, in bytes. What is held above it stays until it is read or
-// must make room.
+// SetBound sets a new bound, in bytes. What is held above it stays until it is read or evicted.
 func (h *Holdings) SetBound(bytes int64) { h.bound = bytes }
 
 // Bound returns the bound, in bytes.
@@ -108,12 +106,12 @@
 	return h.last
 }
 
-// targetShare is the part of the bound that bodies on their way to one target may take: one
-// that does not read leaves room for the others.
+// perTargetShare is the part of the bound that bodies in transit to one target may take: one that
+// does not read leaves room for the others.
 const targetShare = 0.25
 
-// Send notes a body on its way to a target, and reports whether there is room for it. A
-// target may be sent one body however large.
+// Send records a body in transit to a target, and reports whether there is room for it. A target
+// may be sent one body however large.
 func (h *Holdings) Send(address string, bytes int64) bool {
 	way := h.sending[address]
 	if way > 0 && way+bytes > int64(targetShare*float64(h.bound)) {
@@ -123,7 +121,7 @@
 	return true
 }
 
-// Sent notes that a body is no longer on its way to a target.
+// Sent records that a body is no longer in transit to a target.
 func (h *Holdings) Sent(address string, bytes int64) {
 	h.sending[address] -= bytes
 	if h.sending[address] <= 0 {
@@ -147,8 +145,8 @@
 	delete(h.all, id)
 }
 
-// Reserve adds bytes to what is reserved for a holding, or none where there is no room for
-// them. It returns the holdings that end to make room.
+// Reserve adds bytes to what is reserved for a holding, or none if there is no room for them. It
+// returns the holdings that are evicted to make room.
 func (h *Holdings) Reserve(id HoldingID, s Side, bytes int64, now time.Time) (ok bool, ends []HoldingID) {
 	one, known := h.all[id]
 	if !known {
@@ -164,7 +162,7 @@
 }
 
 // Put adds bytes of an answer that its caller has not read, as many as there is room for. It
-// returns their number and the holdings that end to make room.
+// returns their number and the holdings that are evicted to make room.
 func (h *Holdings) Put(id HoldingID, bytes int64, now time.Time) (taken int64, ends []HoldingID) {
 	one, known := h.all[id]
 	if !known {
@@ -182,7 +180,7 @@
 	return taken, ends
 }
 
-// Read notes that a caller reads, and that bytes of its answer need not be held any more.
+// Read records that a caller reads, and that bytes of its answer need no longer be held.
 func (h *Holdings) Read(id HoldingID, bytes int64) {
 	one, ok := h.all[id]
 	if !ok {
@@ -203,16 +201,16 @@
 	return ok && one.unread >= h.terms.Each
 }
 
-// Stuck notes that the kernel takes nothing more for a caller. Only from then on its time
-// counts: where this VM is too busy to write, callers are not to blame.
+// Stuck records that the kernel accepts nothing more for a caller. Its time counts only from then
+// on: if this VM is too busy to write, callers are not to blame.
 func (h *Holdings) Stuck(id HoldingID, now time.Time) {
 	if one, ok := h.all[id]; ok && one.stuckAt.IsZero() {
 		one.stuckAt = now
 	}
 }
 
-// makeRoom ends holdings until there is room for bytes, or nobody is left who may end, and
-// returns the room. Where all of them together would not make enough, none ends.
+// makeRoom evicts holdings until there is room for bytes, or none is left that may be evicted,
+// and returns the room. If all of them together would not make enough, none is evicted.
 func (h *Holdings) makeRoom(id HoldingID, bytes, free int64, now time.Time) (room int64, ends []HoldingID) {
 	if free >= bytes || bytes <= 0 {
 		return free, nil
@@ -236,15 +234,15 @@
 	return room, ends
 }
 
-// unreadCost is a holding that may end, with what it costs the others: its unread bytes
-// times the seconds that they have lain unread. The highest cost ends first, and of equal
+// unreadCost is a holding that may be evicted, with its cost to the others: its unread bytes
+// times the seconds that they have been unread. The highest cost is evicted first, and of equal
 // costs the older holding.
 type unreadCost struct {
 	id   HoldingID
 	cost float64
 }
 
-// evictable returns the holdings, except one, that may end to make room, in no order.
+// evictable returns the holdings, except one, that may be evicted to make room, in no order.
 func (h *Holdings) evictable(except HoldingID, now time.Time) []unreadCost {
 	var may []unreadCost
 	for id, one := range h.all {
@@ -274,24 +272,24 @@
 
 // Memory is what a VM may use and what it uses beside its holdings, in bytes.
 type Memory struct {
-	// Limit is what the process may take, or 0 for no limit.
+	// Limit is what the process may use, or 0 for no limit.
 	Limit int64
-	// Program is what the program itself takes, and InUse what else it has in use.
+	// Program is what the program itself uses, and InUse what else it has in use.
 	Program, InUse int64
 }
 
 const (
-	// memoryParts is the number of equal parts of the memory that is left: one may be held,
-	// one is for what is no longer held and not collected yet, and one for what is not
-	// measured and for what the VM's own state grows by until the next measure.
+	// memoryParts is the number of equal parts of the memory that is left: one may be held, one
+	// is for what is no longer held and not collected yet, and one for what is not measured and
+	// for the growth of the VM's own state until the next measurement.
 	memoryParts = 3
-	// leastParts is the number of equal parts of the limit of which one may be held however
-	// much seems in use: what is measured includes garbage, which is collected when the
-	// memory is needed.
+	// minBoundParts is the number of equal parts of the limit of which one may be held however
+	// much seems in use: the measurement includes garbage, which is collected when the memory is
+	// needed.
 	leastParts = 16
 )
 
-// Unbounded is the bound where there is no limit.
+// Unbounded is the bound if there is no limit.
 const Unbounded = int64(1) << 50
 
 // HoldingBound returns the bound on what is held.
--- a/internal/relay/holding_test.go
+++ b/internal/relay/holding_test.go
@@ -18,9 +18,9 @@
 	return holdingStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// Each row fills holdings of a bound of 160, of which answers may take 120, and asks for
-// more at 10 s.
-func TestWhoEndsAndWhoWaits(t *testing.T) {
+// Each row fills holdings of a bound of 160, of which answers may take 120, and asks for more at
+// 10 s.
+func TestEvictionOrder(t *testing.T) {
 	type put struct {
 		bytes      int64
 		at, readAt float64
@@ -33,14 +33,14 @@
 		ends  []relay.HoldingID
 	}{
 		{"there is room", []put{{40, 0, 0}, {40, 0, 0}}, 40, 40, nil},
-		{"the one that holds most ends first", []put{{40, 0, 0}, {80, 0, 0}}, 40, 40, []relay.HoldingID{2}},
-		{"the one that is unread longest ends first", []put{{60, 0, 0}, {60, 5, 0}}, 40, 40, []relay.HoldingID{1}},
+		{"the one that holds most is evicted first", []put{{40, 0, 0}, {80, 0, 0}}, 40, 40, []relay.HoldingID{2}},
+		{"the one that is unread longest is evicted first", []put{{60, 0, 0}, {60, 5, 0}}, 40, 40, []relay.HoldingID{1}},
 		{"little unread for long weighs less than much unread for less", []put{{10, 0, 0}, {100, 4, 0}}, 40, 40, []relay.HoldingID{2}},
-		{"as many as are needed end", []put{{60, 0, 0}, {60, 0, 0}}, 80, 80, []relay.HoldingID{1, 2}},
-		{"whoever has read of late waits with the newcomer", []put{{60, 0, 9}, {60, 0, 9.5}}, 40, 2, nil},
-		{"whoever reads is passed over", []put{{80, 0, 9}, {40, 0, 0}}, 20, 20, []relay.HoldingID{2}},
-		{"nobody ends where that would not do", []put{{100, 0, 9}, {20, 0, 0}}, 60, 1, nil},
-		{"nobody holds more than its part", nil, 300, 100, nil},
+		{"as many as are needed are evicted", []put{{60, 0, 0}, {60, 0, 0}}, 80, 80, []relay.HoldingID{1, 2}},
+		{"a recent reader is not evicted for a new request", []put{{60, 0, 9}, {60, 0, 9.5}}, 40, 2, nil},
+		{"a reader is skipped", []put{{80, 0, 9}, {40, 0, 0}}, 20, 20, []relay.HoldingID{2}},
+		{"none is evicted if that would not make enough room", []put{{100, 0, 9}, {20, 0, 0}}, 60, 1, nil},
+		{"no holding exceeds its own bound", nil, 300, 100, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := relay.NewHoldings(holdingTerms, 160)
@@ -75,14 +75,14 @@
 	require.Empty(t, ends)
 	fresh := h.Open()
 	ok, ends = h.Reserve(fresh, relay.SideTargets, 1, at(0))
-	require.False(t, ok, "the bound holds for all together")
+	require.False(t, ok, "the bound applies to all holdings together")
 	require.Empty(t, ends)
 	ok, ends = h.Reserve(fresh, relay.SideTargets, 1, at(2))
-	require.True(t, ok, "a caller that reads nothing makes room")
+	require.True(t, ok, "a holding whose caller reads nothing is evicted")
 	require.Equal(t, []relay.HoldingID{1}, ends)
 }
 
-func TestHoldingsEndWhenNothingIsReadForLong(t *testing.T) {
+func TestUnreadHoldingsEndAfterTimeout(t *testing.T) {
 	h := relay.NewHoldings(holdingTerms, 160)
 	idle, slow, still := h.Open(), h.Open(), h.Open()
 	h.Put(slow, 20, at(0))
@@ -102,8 +102,8 @@
 	require.Zero(t, h.Held(relay.SideCallers))
 }
 
-// A VM that was too busy to write has not found that its callers don't read.
-func TestWhoWasNotWrittenToDoesNotEnd(t *testing.T) {
+// A VM that was too busy to write does not know whether its callers read.
+func TestCallerNotWrittenToIsNotEvicted(t *testing.T) {
 	h := relay.NewHoldings(holdingTerms, 160)
 	for range 2 {
 		h.Put(h.Open(), 60, at(0))
@@ -114,7 +114,7 @@
 	require.Empty(t, h.EndOverdue(at(100)))
 }
 
-func TestHoldingsStayWithinTheirBound(t *testing.T) {
+func TestHoldingsStayWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := relay.NewHoldings(holdingTerms, 500)
 		var ids []relay.HoldingID
@@ -147,21 +147,21 @@
 			h.Close(id)
 		}
 		if h.Held(relay.SideCallers) != 0 || h.Held(relay.SideTargets) != 0 || h.Behind() != 0 {
-			t.Fatalf("bytes are held for nobody")
+			t.Fatalf("bytes are held after all holdings are closed")
 		}
 	})
 }
 
-func TestTheBoundOnHoldings(t *testing.T) {
+func TestHoldingBound(t *testing.T) {
 	const mb = 1 << 20
 	require.Equal(t, int64(49*mb), relay.Memory{Limit: 184 * mb, Program: 16 * mb, InUse: 21 * mb}.HoldingBound())
 	require.Equal(t, int64(10*mb), relay.Memory{Limit: 160 * mb, Program: 16 * mb, InUse: 150 * mb}.HoldingBound())
 	require.Equal(t, relay.Unbounded, relay.Memory{Program: 16 * mb, InUse: 150 * mb}.HoldingBound())
 }
 
-func TestBodiesToATargetThatDoesNotReadLeaveRoomForOthers(t *testing.T) {
+func TestSlowTargetLeavesRoomForOtherBodies(t *testing.T) {
 	h := relay.NewHoldings(holdingTerms, 160)
-	require.True(t, h.Send("a", 100), "one body may go however large it is")
+	require.True(t, h.Send("a", 100), "one body may be sent however large it is")
 	require.False(t, h.Send("a", 1))
 	require.True(t, h.Send("b", 30))
 	require.True(t, h.Send("b", 10))
--- a/internal/relay/mark.go
+++ b/internal/relay/mark.go
@@ -1,18 +1,20 @@
 package relay
 
-// Mark is what the control VMs say of a target beside what it says itself. Marks add up.
+// Mark is what the control VMs add to what a target reports of itself. Marks can be combined.
 type Mark uint8
 
 // The marks of a target.
 const (
-	// MarkSilent: it tells no VM that it lives, or far more entry VMs find it dead than well.
+	// MarkSilent: no VM receives heartbeats from it, or far more entry VMs find it dead than
+	// well.
 	MarkSilent Mark = 1 << iota
-	// MarkMoving: it was ordered to hold other layers than it says, and takes nothing new for
-	// those that it gives up.
+	// MarkMoving: it was ordered to hold other layers than it reports, and accepts no new work
+	// for those that it gives up.
 	MarkMoving
-	// MarkSlow: it has told an entry VM that its steps take much longer than usual.
+	// MarkSlow: it has reported to an entry VM that its steps take much longer than usual.
 	MarkSlow
-	// MarkLimited: it has told an entry VM that it takes so many requests a second from all.
+	// MarkLimited: it has reported to an entry VM that it accepts so many requests a second from
+	// all VMs.
 	MarkLimited
 )
 
@@ -22,8 +24,8 @@
 // With returns the marks and another one.
 func (m Mark) With(o Mark) Mark { return m | o }
 
-// TakeMarks takes the marks of targets that have changed. Whole says that targets that are
-// missing have none; otherwise they have those that they had.
+// TakeMarks applies the marks of targets that have changed. Whole indicates that targets that are
+// missing have none; otherwise they keep theirs.
 func (r *Router) TakeMarks(marks map[TargetKey]Mark, whole bool) {
 	if whole {
 		clear(r.marks)
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// This file says when the next event of an answer is overdue.
+// This file determines when the next event of an answer is overdue.
 //
-// Problem: an engine that dies falls silent, and so does every answer over it. Callers
-// accept a pause of about four usual ones; a span that holds for every path is either past
-// that, or taken for a loss on slow paths.
+// Problem: an engine that dies falls silent, and so does every answer that passes it. Callers
+// accept a pause of about four usual ones; a fixed time for all paths is either longer than that,
+// or takes slow paths for lost.
 //
-// Algorithm: the pauses of one answer are alike, since it goes round the same stages. Each
-// answer has its own mean pause, and the next event is overdue after so many times that as
-// all but one in overdueOne pauses of this VM's answers took. The estimate of that multiple
-// follows the quantile: a pause above it moves it up by a step, one below it down by the
-// step's part that keeps both in balance.
+// Algorithm: the pauses of one answer are alike, since it passes the same stages each time. Each
+// answer has its own mean pause, and the next event is overdue after a multiple of it that all
+// but one in pausesPerOverdue pauses of this VM's answers stay within. The estimate of that
+// multiple follows the quantile: a longer pause raises it by a step, a shorter one lowers it by
+// the fraction of the step that keeps both in balance.
 //
-// Invariant: an answer of which fewer than paceEvents events came is never overdue.
+// Invariant: an answer with fewer than minPaceEvents events is never overdue.
 //
-// Limits: what slows all answers down at once by more than that multiple, within one pause,
-// looks like the loss of an engine to each of them.
+// Limits: a slowdown of all answers at once by more than that multiple, within one pause, looks
+// like the loss of an engine to each of them.
 
 const (
-	// paceEvents is the events after which an answer's mean pause counts as known: four
-	// pauses, since one answer in ten has no more than 13 events.
+	// minPaceEvents is the number of events after which an answer's mean pause counts as known:
+	// four pauses, since one answer in ten has no more than 13 events.
 	paceEvents = 5
-	// overdueOne is the number of pauses of which one is longer than the multiple: a check
-	// costs a short question to each engine of a path, so that there is one in 22 answers of
-	// 46 events.
+	// pausesPerOverdue is the number of pauses of which one is longer than the multiple: a check
+	// costs a short question to each engine of a path, and with this value there is one in 22
+	// answers of 46 events.
 	overdueOne = 1000
-	// overdueFirst is the multiple until pauses have moved it: few answers of sound engines
-	// have a longer pause. overdueLeast and overdueMost bound it.
+	// initialOverdueMultiple is the multiple until pauses have changed it: few answers of sound
+	// engines have a longer pause. minOverdueMultiple and maxOverdueMultiple bound it.
 	overdueFirst = 2.0
 	overdueLeast = 1.6
 	overdueMost  = 5.0
-	// firstTimes is how many times the mean of late a first event takes to be overdue: one
-	// in a hundred takes longer.
+	// firstEventMultiple is the multiple of the recent mean after which a first event is overdue:
+	// one in a hundred takes longer.
 	firstTimes = 3.5
-	// overdueStep is what one longer pause moves it by.
+	// overdueMultipleStep is what one longer pause raises it by.
 	overdueStep = 0.1
 )
 
@@ -45,7 +45,7 @@
 	events      int
 }
 
-// With returns the pace after events that came together.
+// With returns the pace after events that arrived together.
 func (p Pace) With(events int, at time.Time) Pace {
 	if p.events == 0 {
 		p.began = at
@@ -63,17 +63,17 @@
 	return p.last.Sub(p.began) / time.Duration(p.events-1)
 }
 
-// OverdueAfter returns the pause after which the next event of an answer is overdue, and
-// whether that can be said yet.
+// OverdueAfter returns the pause after which the next event of an answer is overdue, and whether
+// that is known yet.
 func (r *Router) OverdueAfter(p Pace) (time.Duration, bool) {
 	mean := p.Mean()
 	return time.Duration(r.overdue.times() * float64(mean)), mean > 0 && r.settings.Policy.Has(OverdueRepair)
 }
 
-// OverdueTimes returns how many times its mean a pause takes to be overdue.
+// OverdueMultiple returns the multiple of its mean after which a pause is overdue.
 func (r *Router) OverdueTimes() float64 { return r.overdue.times() }
 
-// FirstTaken takes the time from the sending of a request to its first event.
+// FirstTaken records the time from the sending of a request to its first event.
 func (r *Router) FirstTaken(wait time.Duration) {
 	if r.firstMean.value == 0 {
 		r.firstMean.value = float64(wait)
@@ -81,15 +81,15 @@
 	r.firstMean = r.firstMean.With(float64(wait), waitWeight)
 }
 
-// FirstOverdueAfter returns the time after which a first event is overdue: where prompts
-// queue up all first events take long, and no engine is at fault.
+// FirstOverdueAfter returns the time after which a first event is overdue: where prompts queue up
+// all first events take long, and no engine is at fault.
 func (r *Router) FirstOverdueAfter() time.Duration {
 	return time.Duration(firstTimes * r.firstMean.value)
 }
 
-// Paused takes the pause before an event of an answer over engines that are sound, which
-// moves the estimate of pauses. Where pauses differ much, as under more requests than there
-// is room for, ten checks in vain are enough for the multiple to grow by one.
+// Paused records the pause before an event of an answer over sound engines, which moves the
+// estimate of pauses. Where pauses differ much, as under more requests than there is capacity
+// for, ten needless checks are enough to raise the multiple by one.
 func (r *Router) Paused(before Pace, pause time.Duration) {
 	if mean := before.Mean(); mean > 0 {
 		r.overdue = r.overdue.With(float64(pause) / float64(mean))
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -20,11 +20,11 @@
 	return p
 }
 
-// Callers accept a pause of 250 ms. A fixed span of as much, after which an engine was asked
-// another 250 ms later, made every answer late whose engine died: 330 of 8,400 on a day with
-// three losses of three engines. Answers have a mean pause of 46 to 87 ms from the first to
-// the last tenth.
-func TestAnAnswerIsOverdueByItsOwnPace(t *testing.T) {
+// Callers accept a pause of 250 ms. With a fixed timeout of as much, and a check of the engine
+// another 250 ms later, every answer was late whose engine died: 330 of 8,400 on a day with three
+// losses of three engines. Answers have a mean pause of 46 to 87 ms from the first to the last
+// tenth.
+func TestAnswerIsOverdueByItsOwnPace(t *testing.T) {
 	r, _ := newRouter(nil)
 	for _, mean := range []time.Duration{46 * time.Millisecond, 87 * time.Millisecond} {
 		after, known := r.OverdueAfter(pacedAt(10, mean))
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestAnAnswerThatHasHardlyBegunIsNotOverdue(t *testing.T) {
+func TestNewAnswerIsNotOverdue(t *testing.T) {
 	r, _ := newRouter(nil)
 	for events := range 5 {
 		_, known := r.OverdueAfter(pacedAt(events, 50*time.Millisecond))
@@ -42,9 +42,9 @@
 	}
 }
 
-// Where pauses differ more than usual, the multiple grows until few are over it; where they
-// are alike, it falls. A loss that stops all answers moves it little.
-func TestTheMultipleFollowsThePausesOfThisVM(t *testing.T) {
+// Where pauses differ more than usual, the multiple grows until few exceed it; where they are
+// alike, it falls. A loss that stops all answers changes it little.
+func TestOverdueMultipleFollowsPauses(t *testing.T) {
 	r, _ := newRouter(nil)
 	pace := pacedAt(10, 50*time.Millisecond)
 	for range 5 {
@@ -65,9 +65,10 @@
 	require.InDelta(t, 1.6, r.OverdueTimes(), 0.1)
 }
 
-// When an engine dies all VMs move their answers at once: 130 of them within half a second.
-// All that chose the engine with the least under way read there one after the other.
-func TestStandInsAreDrawnByTheRateAtWhichTheyRead(t *testing.T) {
+// When an engine dies all VMs move their answers at once: 130 of them within half a second. When
+// all chose the engine with the least work in flight, their prompts were read there one after the
+// other.
+func TestSubstitutesAreDrawnByReadRate(t *testing.T) {
 	lost := config.Range{First: 30, Last: 55}
 	targets := placed("large", config.Range{First: 0, Last: 30}, lost, config.Range{First: 55, Last: 80})
 	for i, held := range []config.Range{lost, {First: 30, Last: 60}, {First: 25, Last: 55}} {
@@ -88,11 +89,11 @@
 	}
 	require.Len(t, drawn, 3)
 	for id, n := range drawn {
-		require.Greater(t, n, vms/5, "%s: all read at much the same rate", id)
+		require.Greater(t, n, vms/5, "%s: all read at about the same rate", id)
 	}
 }
 
-func TestASlowEngineIsLeftAloneWhileItSaysSo(t *testing.T) {
+func TestSlowEngineIsAvoidedWhileItReportsSo(t *testing.T) {
 	r, route := newRouter(nil)
 	r.TakeTargets(twoOfEach())
 	path := choose(t, r, ask(route), start)
@@ -104,30 +105,30 @@
 	id, is := r.SlowOn(path, start)
 	require.True(t, is)
 	require.Equal(t, slow, id)
-	require.Empty(t, r.Findings(start).Dead, "it is not lost: what it holds stays there")
+	require.Empty(t, r.Findings(start).Dead, "a slow engine does not count as dead")
 	require.Equal(t, []relay.TargetKey{slow.Key()}, r.Findings(start).Slow)
 	require.Empty(t, r.SlowDue(start))
 
 	soon := start.Add(800 * time.Millisecond)
-	require.Len(t, r.SlowDue(soon), 1, "it is asked before it is used again")
+	require.Len(t, r.SlowDue(soon), 1, "it is checked before it is used again")
 	r.TakePace(slow, 12, soon)
 	_, is = r.SlowOn(path, start.Add(2*time.Second))
-	require.True(t, is, "found slow again, it is left alone for longer")
+	require.True(t, is, "found slow again, it is avoided for longer")
 	r.TakePace(slow, 1, start.Add(2700*time.Millisecond))
 	_, is = r.SlowOn(path, start.Add(2700*time.Millisecond))
 	require.False(t, is)
 }
 
-// Where no path goes without it, a slow engine serves.
-func TestASlowEngineThatNobodyReplacesServes(t *testing.T) {
+// Where every path needs it, a slow engine serves.
+func TestSlowEngineWithoutSubstituteServes(t *testing.T) {
 	r, route := newRouter(nil)
 	r.TakeTargets(placed("large", config.Range{First: 0, Last: 30}, config.Range{First: 30, Last: 55}, config.Range{First: 55, Last: 80}))
 	r.TakePace("a-large-1", 12, start)
 	require.True(t, choose(t, r, ask(route), start).Passes("a-large-1"))
 }
 
-// Reports are the engines' own: nonsense changes nothing.
-func TestNonsensePacesAreIgnored(t *testing.T) {
+// The engines report their pace themselves: invalid values change nothing.
+func TestInvalidPacesAreIgnored(t *testing.T) {
 	r, _ := newRouter(nil)
 	r.TakeTargets(twoOfEach())
 	for _, pace := range []float64{0, -1, 0.2, 1} {
--- a/internal/relay/pause.go
+++ b/internal/relay/pause.go
@@ -5,42 +5,40 @@
 	"time"
 )
 
-// This file forecasts the pauses between the events of an answer, and admits by them.
+// This file forecasts the pauses between the events of an answer, and admits requests by them.
 //
-// Problem: each request that is admitted to a path makes the pauses of all that run there
-// longer. Past a point, none of them is in time any more: where engines were slow or a
-// hall had lost its fastest, every answer there was late, for as long as engines were
-// filled up to their memory.
+// Problem: each request that is admitted to a path lengthens the pauses of all that run there.
+// Past a point, none of them is in time any more: where engines were slow or a hall had lost its
+// fastest, every answer there was late, for as long as engines were filled up to their memory.
 //
-// Algorithm: the cost model of the engines gives the time of one pass over all stages of
-// a path at their present load. What was measured of the answers of a hall, as a multiple
-// of what was forecast when they were admitted, corrects it. A request is admitted while
-// the forecast is within the part of its route's bound that a mean pause may take. Where
-// even a nearly empty path is slower than that, no answer is in time, and the path takes
-// requests until its pauses are emptyTimes those of an empty one: more would hardly raise
-// what it serves.
+// Algorithm: the cost model of the engines gives the time of one pass over all stages of a path
+// at their present load. It is corrected by the measured pauses of the answers of a hall, as a
+// multiple of their forecast at admission. A request is admitted while the forecast is within the
+// part of its route's bound that a mean pause may take. Where even a nearly empty path is slower
+// than that, no answer is in time, and the path accepts requests until its pauses are
+// maxEmptyMultiple times those of an empty one: more would hardly raise what it serves.
 //
-// Limits: the forecast is of the moment of admission; what is admitted elsewhere in the
-// next tenths of a second is not in it.
+// Limits: the forecast is of the moment of admission; what is admitted elsewhere in the next
+// tenths of a second is not in it.
 
 const (
-	// meanShare is the part of a route's bound on pauses that the mean pause may take: the
+	// meanPauseShare is the part of a route's bound on pauses that the mean pause may take: the
 	// worst pause of an answer is twice its mean.
 	meanShare = 0.5
-	// roomLeast is the part of that which an empty path must leave for others to count as
-	// one whose answers can be in time.
+	// minHeadroom is the part of that which an empty path must leave for others to count as one
+	// whose answers can be in time.
 	roomLeast = 0.2
-	// emptyTimes is how many times longer than on an empty path pauses may get where none
-	// is in time: an engine whose steps take twice as long as empty ones serves half of
-	// what it could with any number of requests.
+	// maxEmptyMultiple is how many times longer than on an empty path pauses may get where none
+	// is in time: an engine whose steps take twice as long as empty ones serves half of what it
+	// could with any number of requests.
 	emptyTimes = 2.0
-	// waitShare is the time of a pass with the waits before it, as a multiple of the pass
-	// alone: a request comes to each stage in the middle of the pass before. Measured
-	// answers move it.
+	// waitShare is the time of a pass with the waits before it, as a multiple of the pass alone:
+	// a request reaches each stage in the middle of the previous pass. Measured answers adjust
+	// it.
 	waitShare = 1.5
-	// waitMost bounds what measured answers may move it to.
+	// maxWaitMultiple bounds what measured answers may adjust it to.
 	waitMost = 8.0
-	// waitWeight is the weight of the newest answer: 14 answers make up half.
+	// meanWeight is the weight of the newest answer: 14 answers make up half.
 	waitWeight = 0.05
 )
 
@@ -62,7 +60,7 @@
 	return a
 }
 
-// waitOf returns how much longer a pass takes with the waits before it in a hall.
+// hallWait returns how many times longer a pass takes with the waits before it in a hall.
 func (r *Router) waitOf(hall string) float64 {
 	if w, ok := r.waits[hall]; ok {
 		return w.value
@@ -70,7 +68,7 @@
 	return waitShare
 }
 
-// TakePauses takes the mean pause between the events of an answer that has ended.
+// TakePauses records the mean pause between the events of an answer that has ended.
 func (r *Router) TakePauses(p Path, mean time.Duration) {
 	if p.pass.loaded <= 0 || mean <= 0 {
 		return
@@ -84,8 +82,8 @@
 	r.waits[hall] = average{value: r.waitOf(hall)}.With(measured, waitWeight)
 }
 
-// AnswerTime returns how long an answer of so many tokens takes by the pauses of late, from
-// its first event on; zero before any was measured.
+// AnswerTime returns how long an answer of so many tokens takes by recent pauses, from its first
+// event on; zero before any was measured.
 func (r *Router) AnswerTime(service string, tokens int) time.Duration {
 	s, ok := r.services[service]
 	if !ok || s.Engine == nil {
@@ -94,8 +92,8 @@
 	return time.Duration(float64(tokens) / float64(max(s.Engine.Stride, 1)) * r.meanPause.value)
 }
 
-// inTime reports whether a path may take one request more without making the answers
-// there late.
+// inTime reports whether a path may accept one more request without making the answers there
+// late.
 func (r *Router) inTime(a Ask, p Path) bool {
 	if a.Resumed || a.Route.Pause <= 0 || !r.settings.Policy.Has(PauseAdmission) {
 		return true
--- a/internal/relay/pause_test.go
+++ b/internal/relay/pause_test.go
@@ -10,8 +10,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// filled admits requests until one is refused, and returns how many there were. Each
-// answer has been measured to pause as long as given, if at all.
+// filled admits requests until one is refused, and returns how many there were. If measured is
+// set, answers have been measured to pause that long.
 func filled(t *testing.T, bound time.Duration, measured time.Duration) int {
 	t.Helper()
 	r, route := newRouter(nil)
@@ -35,31 +35,31 @@
 	return n
 }
 
-// Engines were filled up to their memory while every answer there was late: pauses of 150
-// to 200 ms on average, for ten seconds, where 200 ms are the bound.
-func TestNoMoreAreAdmittedThanAnswersInTime(t *testing.T) {
+// Engines were filled up to their memory while every answer there was late: pauses of 150 to 200
+// ms on average, for ten seconds, where the bound is 200 ms.
+func TestAdmissionKeepsAnswersInTime(t *testing.T) {
 	free := filled(t, 0, 0)
 	require.Less(t, filled(t, 12*time.Millisecond, 0), free/2)
 	require.Equal(t, free, filled(t, time.Second, 0))
 }
 
 // Pauses that are longer than forecast make the VM admit fewer.
-func TestMeasuredPausesCorrectTheForecast(t *testing.T) {
+func TestMeasuredPausesCorrectForecast(t *testing.T) {
 	require.Less(t, filled(t, 30*time.Millisecond, 40*time.Millisecond), filled(t, 30*time.Millisecond, 0))
 }
 
-// A hall in which no answer can be in time serves late ones, and is not shut.
+// A hall in which no answer can be in time still serves late ones.
 func TestSlowHallsStillServe(t *testing.T) {
 	require.Greater(t, filled(t, time.Millisecond, 0), 50)
 }
 
-// A nonsense measurement neither shuts a hall nor fills it without bound.
-func TestTheForecastSettlesWithinBounds(t *testing.T) {
+// An absurd measurement neither closes a hall nor fills it without bound.
+func TestForecastStaysWithinBounds(t *testing.T) {
 	require.Positive(t, filled(t, 50*time.Millisecond, time.Hour))
 	require.LessOrEqual(t, filled(t, 50*time.Millisecond, time.Nanosecond), filled(t, 0, 0))
 }
 
-// Who has a part of its answer goes on, also where others are turned away.
+// A request that has a part of its answer continues, also where others are refused.
 func TestResumedAnswersAreAdmitted(t *testing.T) {
 	r, route := newRouter(nil)
 	r.TakeOthers(nil, true)
@@ -76,7 +76,7 @@
 	require.Nil(t, refusal)
 }
 
-func TestAnswerTimeFollowsWhatIsMeasured(t *testing.T) {
+func TestAnswerTimeFollowsMeasuredPauses(t *testing.T) {
 	r, route := newRouter(nil)
 	r.TakeTargets(twoOfEach())
 	require.Zero(t, r.AnswerTime("s", 100))
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -1,14 +1,14 @@
 package relay
 
-// This file counts what is under way at targets, by this VM and by others.
+// This file counts the work in flight at targets, of this VM and of others.
 
-// Work is what is under way at a target.
+// Work is the work in flight at a target.
 type Work struct {
-	// The fields are sent without their names: these values are sent most.
+	// Encoded as an array: these values are sent most.
 	_        struct{} `cbor:",toarray"`
 	Requests int      `cbor:"requests"`
-	// Tokens is the memory that the requests take: tokens times the layers that the
-	// target runs of each.
+	// Tokens is the memory that the requests take: tokens times the layers that the target runs
+	// of each.
 	Tokens int `cbor:"tokens"`
 	// Unread is the tokens of prompts whose answer has not begun.
 	Unread int `cbor:"unread"`
@@ -19,7 +19,7 @@
 	return Work{Requests: w.Requests + o.Requests, Tokens: w.Tokens + o.Tokens, Unread: w.Unread + o.Unread}
 }
 
-// Minus returns the difference, at least nothing.
+// Minus returns the difference, at least zero.
 func (w Work) Minus(o Work) Work {
 	return Work{
 		Requests: max(w.Requests-o.Requests, 0),
@@ -33,8 +33,8 @@
 	return Work{Requests: n * w.Requests, Tokens: n * w.Tokens, Unread: n * w.Unread}
 }
 
-// TakeOthers takes what other VMs have under way. Whole says that targets that are
-// missing have none; otherwise they have about what they had.
+// TakeOthers sets the work in flight of other VMs. Whole indicates that targets that are missing
+// have none; otherwise they have about what they had.
 func (r *Router) TakeOthers(work map[TargetKey]Work, whole bool) {
 	r.othersKnown = r.othersKnown || whole
 	for _, t := range r.targets {
@@ -46,21 +46,20 @@
 }
 
 const (
-	// herdMost bounds how many other VMs are taken to have done as this one did
-	// since the last report of them: with more, one request of this VM's own would
-	// weigh too much.
+	// maxHerdVMs bounds how many other VMs are assumed to have acted as this one did since the
+	// last report on them: with more, one request of this VM's own would weigh too much.
 	herdMost = 10
-	// herdUsual is how many requests more than before are chance: at ten requests a second
-	// a VM begins and ends about two between two reports.
+	// herdTolerance is how many requests more than before are chance: at ten requests a second a
+	// VM begins and ends about two between two reports.
 	herdUsual = 2
 )
 
-// load is what is under way at a target, as far as is known or likely. The report
-// on the other VMs is up to half a second old; since then they have most likely
-// done what this VM did, above all when all turn away from a lost engine at once.
+// load is the work in flight at a target, as far as is known or likely. The report on the other
+// VMs is up to half a second old; since then they have most likely done what this VM did, above
+// all when all leave a lost engine at once.
 //
-// A VM that has been told nothing yet has most likely started together with all others:
-// it takes each of them to have as much under way as it has itself.
+// A VM without any report has most likely started together with all others: it assumes that each
+// of them has as much in flight as it has itself.
 func (r *Router) load(t *target) Work {
 	if !r.othersKnown && r.settings.Policy.Has(StartSampling) {
 		return t.own.Times(r.vms)
@@ -76,10 +75,10 @@
 	return load
 }
 
-// OthersKnown reports whether this VM has been told what others have under way.
+// OthersKnown reports whether this VM has received the work in flight of others.
 func (r *Router) OthersKnown() bool { return r.othersKnown }
 
-// Own returns what this VM has under way.
+// Own returns the work in flight of this VM.
 func (r *Router) Own() map[TargetKey]Work {
 	own := make(map[TargetKey]Work)
 	for _, t := range r.targets {
@@ -90,7 +89,7 @@
 	return own
 }
 
-// Begun notes that the answer on a path has begun: its prompt has been read.
+// Begun records that the answer on a path has begun: its prompt has been read.
 func (r *Router) Begun(p Path) {
 	for _, s := range p.Stages {
 		if t, ok := r.targets[s.Target]; ok {
@@ -99,7 +98,7 @@
 	}
 }
 
-// Release gives a path back. Begun says that Begun was called for it.
+// Release releases a path. Begun indicates that Begun was called for it.
 func (r *Router) Release(p Path, begun bool) {
 	if !begun {
 		r.Begun(p)
