--- a/internal/relay/backoffs.go
+++ b/internal/relay/backoffs.go
@@ -35,11 +35,11 @@
 	// from all VMs together for each of its slots while VMs back off from another one of the
 	// service: one that runs and two that wait, of the few more that targets queue. Each VM
 	// counts its own part, which it knows exactly; counts of all VMs are too old by then.
-	placesPerSlot = 3
+	requestsPerSlot = 3
 	// maxBackoffs bounds the backoffs that are kept, some 0.5 MB: seven times as many as the
 	// targets of the largest deployment. Each incarnation of a target that restarts again and
 	// again may ask for a year.
-	backoffsMost = 4096
+	maxBackoffs = 4096
 	// returnLeast is the least time over which callers that were refused because of backoffs are
 	// told to come back: a target serves some ten requests a slot in it.
 	returnLeast = 500 * time.Millisecond
@@ -69,11 +69,11 @@
 // boundBackoffs keeps the number of backoffs within maxBackoffs: those that have ended are
 // removed first, then the oldest.
 func (r *Router) boundBackoffs(now time.Time) {
-	if len(r.backoffs) <= backoffsMost {
+	if len(r.backoffs) <= maxBackoffs {
 		return
 	}
 	r.ForgetBackoffs(now)
-	for len(r.backoffs) > backoffsMost {
+	for len(r.backoffs) > maxBackoffs {
 		var oldest TargetID
 		for id, known := range r.backoffs {
 			if oldest == "" || known.began.Before(r.backoffs[oldest].began) {
@@ -103,7 +103,7 @@
 }
 
 // BackedOffTargets returns the targets that this VM backs off from, sorted.
-func (r *Router) TargetsBackedOff(now time.Time) []TargetBackedOff {
+func (r *Router) BackedOffTargets(now time.Time) []TargetBackedOff {
 	var backedOff []TargetBackedOff
 	for id, known := range r.backoffs {
 		if known.holds(now) {
@@ -139,7 +139,7 @@
 
 // hasPlace reports whether a target of a plain service has capacity for one more request.
 func (r *Router) hasPlace(t *target, scarce bool) bool {
-	return !scarce || t.own.Requests < (placesPerSlot*max(t.Slots, 1)+r.vms-1)/r.vms
+	return !scarce || t.own.Requests < (requestsPerSlot*max(t.Slots, 1)+r.vms-1)/r.vms
 }
 
 // backoffsUntil returns when a request that cannot be served now, for the sole reason of
@@ -148,7 +148,7 @@
 	if !r.scarce(service, now) {
 		return time.Time{}, 0
 	}
-	if r.servedBy(service, a, now) {
+	if r.servableAt(service, a, now) {
 		return time.Time{}, 0
 	}
 	var backoffs []backoff
@@ -160,7 +160,7 @@
 	slices.SortFunc(backoffs, func(x, y backoff) int { return x.until.Compare(y.until) })
 	// Those whose backoffs have ended by a time include those of any earlier time, so that the
 	// search is over a monotonic condition.
-	first := sort.Search(len(backoffs), func(i int) bool { return r.servedBy(service, a, backoffs[i].until) })
+	first := sort.Search(len(backoffs), func(i int) bool { return r.servableAt(service, a, backoffs[i].until) })
 	if first == len(backoffs) {
 		return time.Time{}, 0
 	}
@@ -169,10 +169,10 @@
 
 // servableAt reports whether the targets of a service whose backoffs have ended at a time, by
 // what is known now, can serve a request.
-func (r *Router) servedBy(service string, a Ask, at time.Time) bool {
-	awake := func(t *target) bool { return !t.backoff.holds(at) && t.takes() }
-	begins := func(t *target) bool { return awake(t) && t.Layers.First == 0 && a.mayBegin(t.ID) }
-	return slices.ContainsFunc(r.members[service], begins) && r.coveredBy(r.services[service], awake)
+func (r *Router) servableAt(service string, a Ask, at time.Time) bool {
+	available := func(t *target) bool { return !t.backoff.holds(at) && t.takes() }
+	begins := func(t *target) bool { return available(t) && t.Layers.First == 0 && a.mayBegin(t.ID) }
+	return slices.ContainsFunc(r.members[service], begins) && r.coveredBy(r.services[service], available)
 }
 
 // ComeBack returns when the caller of a request that no target accepted is to come back: at once,
--- a/internal/relay/backoffs_load_test.go
+++ b/internal/relay/backoffs_load_test.go
@@ -15,18 +15,18 @@
 // These tests simulate entry VMs in front of the three targets of a plain service, without a
 // network. Targets that refuse a request ask its VM to back off.
 const (
-	backoffVMs      = 10
-	backoffTargets  = 3
-	backoffSlots    = 6
-	backoffQueue    = 24
-	backoffWork     = 30 * time.Millisecond
-	backoffLength   = 3 * time.Second
-	backoffWay      = time.Millisecond
-	backoffFor      = 20 * time.Second
-	backoffShedFrom = 2 * time.Second
-	backoffAim      = 150 * time.Millisecond
-	backoffSlack    = 500 * time.Millisecond
-	backoffTold     = 500 * time.Millisecond
+	backoffVMs            = 10
+	backoffTargets        = 3
+	backoffSlots          = 6
+	backoffQueue          = 24
+	backoffWork           = 30 * time.Millisecond
+	backoffLength         = 3 * time.Second
+	backoffNetworkDelay   = time.Millisecond
+	backoffDuration       = 20 * time.Second
+	backoffShedFrom       = 2 * time.Second
+	backoffLatencyTarget  = 150 * time.Millisecond
+	backoffSlack          = 500 * time.Millisecond
+	backoffReportInterval = 500 * time.Millisecond
 )
 
 // backoffCase is a load on the simulated VMs.
@@ -97,7 +97,7 @@
 type backoffResult struct {
 	asked, inTime, late, refused int
 	// turnedAway counts what targets refused, and duringBackoff what reached one in its backoff.
-	turnedAway, broken int
+	turnedAway, duringBackoff int
 }
 
 func newBackoffWorld(c backoffCase) *backoffWorld {
@@ -133,7 +133,7 @@
 
 func (w *backoffWorld) play() backoffResult {
 	w.arrive()
-	w.tell()
+	w.report()
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(backoffEvent)
 		w.now = e.at
@@ -144,7 +144,7 @@
 
 func (w *backoffWorld) arrive() {
 	gap := time.Duration(w.rand.ExpFloat64() / w.perSecond * float64(time.Second))
-	if next := w.now.Add(gap); next.Before(start.Add(backoffFor)) {
+	if next := w.now.Add(gap); next.Before(start.Add(backoffDuration)) {
 		w.at(next, func() {
 			w.asked++
 			most := 1 + w.rand.IntN(2)
@@ -155,15 +155,15 @@
 }
 
 // report sends all VMs the work in flight of the others.
-func (w *backoffWorld) tell() {
-	if !w.now.Before(start.Add(backoffFor)) {
+func (w *backoffWorld) report() {
+	if !w.now.Before(start.Add(backoffDuration)) {
 		return
 	}
 	var own []map[relay.TargetKey]relay.Work
 	for _, r := range w.vms {
 		own = append(own, r.Own())
 	}
-	w.at(w.now.Add(backoffTold/2), func() {
+	w.at(w.now.Add(backoffReportInterval/2), func() {
 		for i, r := range w.vms {
 			others := make(map[relay.TargetKey]relay.Work)
 			for j, work := range own {
@@ -178,7 +178,7 @@
 			r.ForgetBackoffs(w.now)
 		}
 	})
-	w.at(w.now.Add(backoffTold), w.tell)
+	w.at(w.now.Add(backoffReportInterval), w.report)
 }
 
 func (w *backoffWorld) ask(c *backoffCall) {
@@ -189,7 +189,7 @@
 	}
 	c.path = path
 	c.sent++
-	w.at(w.now.Add(backoffWay), func() { w.reach(c) })
+	w.at(w.now.Add(backoffNetworkDelay), func() { w.reach(c) })
 }
 
 // refuse has a caller come back once, within a third of its time.
@@ -208,12 +208,12 @@
 func (w *backoffWorld) reach(c *backoffCall) {
 	target := w.targets[c.path.First().Target]
 	if asked := target.asked[c.vm]; w.now.After(asked[0].Add(backoffSlack)) && w.now.Before(asked[1]) {
-		w.broken++
+		w.duringBackoff++
 	}
 	if target.sheds(w.now) || len(target.waiting) >= backoffQueue {
 		target.asked[c.vm] = [2]time.Time{w.now, w.now.Add(backoffLength)}
 		w.turnedAway++
-		w.at(w.now.Add(backoffWay), func() { w.turned(c) })
+		w.at(w.now.Add(backoffNetworkDelay), func() { w.refusedByTarget(c) })
 		return
 	}
 	target.waiting = append(target.waiting, c)
@@ -229,7 +229,7 @@
 		w.at(w.now.Add(took), func() {
 			target.running--
 			w.work(target)
-			w.at(w.now.Add(backoffWay), func() { w.answered(c) })
+			w.at(w.now.Add(backoffNetworkDelay), func() { w.answered(c) })
 		})
 	}
 }
@@ -239,7 +239,7 @@
 	id := c.path.First().Target
 	r.Release(c.path, false)
 	r.Succeeded(id, w.now)
-	if w.now.Sub(c.began) <= backoffAim {
+	if w.now.Sub(c.began) <= backoffLatencyTarget {
 		w.inTime++
 		return
 	}
@@ -247,7 +247,7 @@
 }
 
 // refusedByTarget processes the answer of a target that asks for a backoff.
-func (w *backoffWorld) turned(c *backoffCall) {
+func (w *backoffWorld) refusedByTarget(c *backoffCall) {
 	r := w.vms[c.vm]
 	id := c.path.First().Target
 	r.Release(c.path, false)
@@ -267,11 +267,11 @@
 	turnedAwayMost = 0.1
 )
 
-// servable returns how many requests the targets could run, at most all that are asked.
-func (c backoffCase) could(asked int) float64 {
+// servable returns how many requests the targets servable run, at most all that are asked.
+func (c backoffCase) servable(asked int) float64 {
 	perSecond := backoffSlots / backoffWork.Seconds()
-	awake := backoffTargets*backoffFor.Seconds() - float64(c.sheds)*c.shedFor.Seconds()
-	return min(float64(asked), perSecond*awake)
+	availableSeconds := backoffTargets*backoffDuration.Seconds() - float64(c.sheds)*c.shedFor.Seconds()
+	return min(float64(asked), perSecond*availableSeconds)
 }
 
 // The load of a target that VMs back off from goes to the others, which are then full and ask for
@@ -294,8 +294,8 @@
 					c.deadline = 2500 * time.Millisecond
 				}
 				r := newBackoffWorld(c).play()
-				require.Zero(t, r.broken, "requests that reach a target in its backoff")
-				require.GreaterOrEqual(t, float64(r.inTime+r.late), servedLeast*c.could(r.asked))
+				require.Zero(t, r.duringBackoff, "requests that reach a target in its backoff")
+				require.GreaterOrEqual(t, float64(r.inTime+r.late), servedLeast*c.servable(r.asked))
 				require.LessOrEqual(t, float64(r.turnedAway), turnedAwayMost*float64(r.asked))
 			}
 		})
--- a/internal/relay/backoffs_test.go
+++ b/internal/relay/backoffs_test.go
@@ -164,9 +164,9 @@
 	r, _ := plainRouter("i-1", "i-2")
 	r.Backoff("i-1", start.Add(time.Second), start)
 	r.Backoff("i-2", start.Add(2*time.Second), start)
-	require.Len(t, r.TargetsBackedOff(start), 2)
+	require.Len(t, r.BackedOffTargets(start), 2)
 	r.ForgetBackoffs(start.Add(time.Second))
-	require.Equal(t, []relay.TargetBackedOff{{Target: "i-2", Until: start.Add(2 * time.Second)}}, r.TargetsBackedOff(start.Add(time.Second)))
+	require.Equal(t, []relay.TargetBackedOff{{Target: "i-2", Until: start.Add(2 * time.Second)}}, r.BackedOffTargets(start.Add(time.Second)))
 }
 
 // Each incarnation of a target that restarts again and again may ask for a year.
@@ -179,7 +179,7 @@
 		r.Backoff(relay.NewTargetID("i-2", born+1), year, start.Add(time.Duration(born+1)*time.Second))
 	}
 	later := start.Add(2 * time.Hour)
-	require.Len(t, r.TargetsBackedOff(later), most)
+	require.Len(t, r.BackedOffTargets(later), most)
 	_, backedOff := r.BackedOff(relay.NewTargetID("i-2", most+more), later)
 	require.True(t, backedOff, "the newest are kept")
 	_, backedOff = r.BackedOff(relay.NewTargetID("i-2", 1), later)
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -32,19 +32,19 @@
 const (
 	// budgetUsableShare is the part of the bound that is used: the rest covers VMs that have just
 	// joined and are not known everywhere.
-	budgetCaution = 0.95
+	budgetUsableShare = 0.95
 	// unstartedShare is the part of a VM's own budget for requests whose callers have received
 	// nothing yet: they can be told to come back, and a stream in the middle can't.
 	// pooledUnstartedShare is that of the budget of all VMs, which is divided more finely: what
 	// is kept back covers the loss of an engine that 130 streams pass, of a bound of 900.
-	notBegunShare       = 0.6
-	pooledNotBegunShare = 0.85
+	unstartedShare       = 0.6
+	pooledUnstartedShare = 0.85
 	// initialShare is the part of the fixed number that a process has at its start; it grows to
 	// the whole within a window. What the previous process on this VM has used is not known.
-	youngShare = 0.3
+	initialShare = 0.3
 	// sumsTTL is the age up to which the sums over all VMs count: two renewals and the way to the
 	// leader and back. What a VM repeats in as long is not in them yet.
-	sumsKept = time.Second
+	sumsTTL = time.Second
 	// budgetBuckets divides the window; a bucket leaves it as a whole.
 	budgetBuckets = 20
 )
@@ -90,7 +90,7 @@
 
 // TakeUsage sets the usage of all VMs that report to the leader, by service.
 func (r *Router) TakeUsage(usage map[string]Usage, vms int, now time.Time) {
-	r.sums = sums{usage: usage, vms: vms, until: now.Add(sumsKept)}
+	r.sums = sums{usage: usage, vms: vms, until: now.Add(sumsTTL)}
 }
 
 // Usage returns the usage of this VM, by service.
@@ -135,14 +135,14 @@
 
 // takeOfSums takes one repeat, if the budget of all VMs allows it. UseReserve indicates that it
 // may take the last one.
-func (b *budget) takeOfSums(now time.Time, t BudgetTerms, usage Usage, heard, vms int, whole bool) bool {
-	known := float64(max(vms, heard, 1))
-	allowed := budgetCaution * (t.Share*float64(usage.Requests) + t.Fixed*float64(heard)/known)
-	if !whole {
-		allowed *= pooledNotBegunShare
+func (b *budget) takeOfSums(now time.Time, t BudgetTerms, usage Usage, reporting, vms int, useReserve bool) bool {
+	known := float64(max(vms, reporting, 1))
+	allowed := budgetUsableShare * (t.Share*float64(usage.Requests) + t.Fixed*float64(reporting)/known)
+	if !useReserve {
+		allowed *= pooledUnstartedShare
 	}
-	part := (allowed - float64(usage.Repeats)) / float64(max(heard, 1))
-	if float64(b.recent.total(now, sumsKept)+1) > math.Floor(part+b.drawn) {
+	part := (allowed - float64(usage.Repeats)) / float64(max(reporting, 1))
+	if float64(b.recent.total(now, sumsTTL)+1) > math.Floor(part+b.drawn) {
 		return false
 	}
 	b.note(now, t)
@@ -152,7 +152,7 @@
 // note counts a repeat.
 func (b *budget) note(now time.Time, t BudgetTerms) {
 	b.repeats.add(now, t.Window)
-	b.recent.add(now, sumsKept)
+	b.recent.add(now, sumsTTL)
 }
 
 // drawn returns a number from 0 to 1 that this VM keeps for a service.
@@ -164,11 +164,11 @@
 
 // take takes one repeat, if the budget of this VM allows it. UseReserve indicates that it may
 // take the last one.
-func (b *budget) take(now time.Time, t BudgetTerms, vms int, age time.Duration, whole bool) bool {
-	grown := min(max(float64(age)/float64(t.Window), youngShare), 1)
-	allowed := budgetCaution * (t.Share*float64(b.requests.total(now, t.Window)) + grown*t.Fixed/float64(max(vms, 1)))
-	if !whole {
-		allowed *= notBegunShare
+func (b *budget) take(now time.Time, t BudgetTerms, vms int, age time.Duration, useReserve bool) bool {
+	grown := min(max(float64(age)/float64(t.Window), initialShare), 1)
+	allowed := budgetUsableShare * (t.Share*float64(b.requests.total(now, t.Window)) + grown*t.Fixed/float64(max(vms, 1)))
+	if !useReserve {
+		allowed *= unstartedShare
 	}
 	if float64(b.repeats.total(now, t.Window)+1) > math.Floor(allowed+b.drawn) {
 		return false
--- a/internal/relay/digest.go
+++ b/internal/relay/digest.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		d[e.target.ID.bucket()] += e.target.hash()
-		if r.missing(e.target) {
+		if r.isAbsent(e.target) {
 			d[e.target.ID.bucket()]++
 		}
 	}
--- a/internal/relay/draining.go
+++ b/internal/relay/draining.go
@@ -21,12 +21,12 @@
 
 // noticeTTL is how long after the last answer with it a draining notice is reported, and how long
 // it is kept once its target is no longer known: as long as control VMs know silent targets.
-const saidKept = time.Minute
+const noticeTTL = time.Minute
 
 // drainNotice records that a target has sent a draining notice with an answer.
 type drainNotice struct {
 	// receivedAt is when the last one was received.
-	saidAt time.Time
+	receivedAt time.Time
 	// confirmed indicates that the control VM's updates contain it too.
 	confirmed bool
 }
@@ -38,7 +38,7 @@
 	if !known {
 		r.ForgetDraining(now) // a VM that serves no callers does this nowhere else
 	}
-	present.saidAt = now
+	present.receivedAt = now
 	if t, here := r.targets[id]; here && !t.Takes() {
 		present.confirmed = true
 	}
@@ -79,7 +79,7 @@
 func (r *Router) Draining(now time.Time) []TargetID {
 	var reported []TargetID
 	for id, d := range r.draining {
-		if !d.confirmed && now.Before(d.saidAt.Add(saidKept)) {
+		if !d.confirmed && now.Before(d.receivedAt.Add(noticeTTL)) {
 			reported = append(reported, id)
 		}
 	}
@@ -90,7 +90,7 @@
 // ForgetDraining removes the notices of targets that are no longer known.
 func (r *Router) ForgetDraining(now time.Time) {
 	for id, d := range r.draining {
-		if _, known := r.targets[id]; !known && !now.Before(d.saidAt.Add(saidKept)) {
+		if _, known := r.targets[id]; !known && !now.Before(d.receivedAt.Add(noticeTTL)) {
 			delete(r.draining, id)
 		}
 	}
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -16,9 +16,9 @@
 const (
 	// estimateMargin is the multiple of a caller's estimate that 99 answers in 100 stay within
 	// (docs/MEASURED.md).
-	sureTimes = 3
+	estimateMargin = 3
 	// reloadProtection is how long after a reload a request must not be cut.
-	reloadShadow = 2 * time.Second
+	reloadProtection = 2 * time.Second
 )
 
 // Ending is the planned end of a VM. The zero value is none.
@@ -47,8 +47,8 @@
 // Tokens returns the length of an answer to plan with, by the caller's estimate and the bound on
 // it; 0 if the caller gives none.
 func (e Ending) Tokens(hint, most int, now time.Time) int {
-	if now.Before(e.ReloadedAt.Add(reloadShadow)) {
-		hint *= sureTimes
+	if now.Before(e.ReloadedAt.Add(reloadProtection)) {
+		hint *= estimateMargin
 	}
 	if most > 0 {
 		return min(hint, most)
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -11,8 +11,8 @@
 const (
 	// initialSuspicion is how long a target is avoided after one failure; each further one in a
 	// row doubles it up to maxSuspicion. A process that crashed is back after some seconds.
-	suspectFirst = 500 * time.Millisecond
-	suspectMost  = 4 * time.Second
+	initialSuspicion = 500 * time.Millisecond
+	maxSuspicion     = 4 * time.Second
 	// failureWeight is the weight of the newest result in the moving mean: ten results make up
 	// most of it.
 	failureWeight = 0.15
@@ -22,8 +22,8 @@
 	// initialFullPause is how long a target that refused a request gets no other; each further
 	// refusal in a row doubles it up to maxFullPause. Capacity becomes free every few hundredths
 	// of a second.
-	fullFirst = 100 * time.Millisecond
-	fullMost  = 800 * time.Millisecond
+	initialFullPause = 100 * time.Millisecond
+	maxFullPause     = 800 * time.Millisecond
 )
 
 // Refused records that a target did not accept a request: it is full, or its layers have changed.
@@ -32,9 +32,9 @@
 	if t, ok := r.targets[id]; ok {
 		t.fullness++
 		if r.settings.Policy.Has(FullPause) {
-			t.fullUntil = now.Add(min(fullFirst<<min(t.fullness-1, 4), fullMost))
+			t.fullUntil = now.Add(min(initialFullPause<<min(t.fullness-1, 4), maxFullPause))
 		}
-		if t.fullness >= refusalsDead {
+		if t.fullness >= deadAfterRefusals {
 			t.failedAt = now
 		}
 	}
@@ -53,7 +53,7 @@
 	}
 	t.trouble++
 	t.failedAt = now
-	pause := min(suspectFirst<<min(t.trouble-1, 4), suspectMost)
+	pause := min(initialSuspicion<<min(t.trouble-1, 4), maxSuspicion)
 	if r.settings.Policy.Has(Suspicion) {
 		t.suspectUntil = now.Add(pause)
 	}
@@ -82,23 +82,23 @@
 const (
 	// slowThreshold is how many times longer than usual the steps of an engine take that counts
 	// as slow: at twice, it serves half as much as it is planned for.
-	slowLeast = 2.0
+	slowThreshold = 2.0
 	// forwardedSlowdown is the slowdown of an engine that has reported to another VM that it is
 	// slow: the update does not contain by how much.
-	slowElsewhere = 4.0
+	forwardedSlowdown = 4.0
 	// initialSlowPeriod is how long an engine that reports that it is slow counts as slow; each
 	// further time that it is found slow doubles it up to maxSuspicion.
-	slowFirst = time.Second
+	initialSlowPeriod = time.Second
 	// slowRecheckLead is how long before that the engine is checked again: if requests were used
 	// to find out, all VMs would send them at once.
-	slowAskAhead = 300 * time.Millisecond
+	slowRecheckLead = 300 * time.Millisecond
 )
 
 // SlowDue returns the engines that this VM has found slow and is to check again now.
 func (r *Router) SlowDue(now time.Time) []Stage {
 	var due []Stage
 	for _, t := range r.targets {
-		if now.Before(t.slowUntil) && !now.Before(t.slowUntil.Add(-slowAskAhead)) && t.takes() && !t.void {
+		if now.Before(t.slowUntil) && !now.Before(t.slowUntil.Add(-slowRecheckLead)) && t.takes() && !t.void {
 			due = append(due, Stage{Target: t.ID, Address: t.Address})
 		}
 	}
@@ -109,26 +109,26 @@
 // It does not count as lost: what it holds stays where it is.
 func (r *Router) TakePace(id TargetID, pace float64, now time.Time) {
 	t, ok := r.targets[id]
-	if !ok || now.Before(t.slowUntil.Add(-slowAskAhead)) || !r.settings.Policy.Has(SlowEngines) {
+	if !ok || now.Before(t.slowUntil.Add(-slowRecheckLead)) || !r.settings.Policy.Has(SlowEngines) {
 		return
 	}
-	if pace < slowLeast {
+	if pace < slowThreshold {
 		t.slowness = 0
 		t.slowUntil = time.Time{}
 		return
 	}
 	t.pace = pace
-	t.slowUntil = now.Add(min(slowFirst<<min(t.slowness, 4), suspectMost))
+	t.slowUntil = now.Add(min(initialSlowPeriod<<min(t.slowness, 4), maxSuspicion))
 	t.slowness++
 }
 
 const (
 	// findingsTTL is how long a VM reports what it found of a target: a VM of the grown fleet
 	// meets each engine about once in this time.
-	findingsKept = 2 * time.Second
+	findingsTTL = 2 * time.Second
 	// deadAfterRefusals is the number of refusals in a row after which an engine counts as dead:
 	// one that is full runs requests, which succeed in between.
-	refusalsDead = 3
+	deadAfterRefusals = 3
 )
 
 // Findings is what a VM has recently found of targets, sorted.
@@ -151,7 +151,7 @@
 
 // Findings returns what this VM has recently found.
 func (r *Router) Findings(now time.Time) Findings {
-	f := Findings{Leaving: r.Draining(now), BackedOff: r.TargetsBackedOff(now), Limited: r.LimitedTargets(now)}
+	f := Findings{Leaving: r.Draining(now), BackedOff: r.BackedOffTargets(now), Limited: r.LimitedTargets(now)}
 	if !r.settings.Policy.Has(SharedFindings) {
 		return f
 	}
@@ -160,9 +160,9 @@
 			continue
 		}
 		switch {
-		case now.Before(t.failedAt.Add(findingsKept)):
+		case now.Before(t.failedAt.Add(findingsTTL)):
 			f.Dead = append(f.Dead, t.key)
-		case now.Before(t.succeededAt.Add(findingsKept)):
+		case now.Before(t.succeededAt.Add(findingsTTL)):
 			f.Sound = append(f.Sound, t.key)
 		}
 		if now.Before(t.slowUntil) {
@@ -193,7 +193,7 @@
 	case now.Before(t.slowUntil):
 		return t.pace
 	case t.slowElsewhere:
-		return slowElsewhere
+		return forwardedSlowdown
 	}
 	return 1
 }
--- a/internal/relay/herd_test.go
+++ b/internal/relay/herd_test.go
@@ -71,7 +71,7 @@
 }
 
 // report sends every VM the work in flight of the others.
-func (h *herd) tell() {
+func (h *herd) report() {
 	sum := make(map[relay.TargetKey]relay.Work)
 	for _, r := range h.routers {
 		for key, w := range r.Own() {
@@ -140,12 +140,12 @@
 	)
 	e := engine()
 	h := newHerd(vms, e, engines(whole))
-	h.tell()
+	h.report()
 	for i := range requests {
 		h.now = h.now.Add(every)
 		h.end()
 		if i%tellEvery == tellEvery-1 {
-			h.tell()
+			h.report()
 		}
 		h.ask(e, answerTime)
 	}
--- a/internal/relay/holding.go
+++ b/internal/relay/holding.go
@@ -50,7 +50,7 @@
 
 // unreadShare is the part of the bound that unread answers may take: the rest is for new
 // requests, whose callers may well read.
-const answerShare = 0.75
+const unreadShare = 0.75
 
 type holding struct {
 	// reserved and unread are in bytes.
@@ -58,7 +58,7 @@
 	unread   int64
 	// blockedAt is since when the kernel accepts nothing more for the caller, zero while it does
 	// or was not asked.
-	stuckAt time.Time
+	blockedAt time.Time
 }
 
 // Holdings are all that a VM holds for others. They are not safe for concurrent use.
@@ -108,16 +108,16 @@
 
 // perTargetShare is the part of the bound that bodies in transit to one target may take: one that
 // does not read leaves room for the others.
-const targetShare = 0.25
+const perTargetShare = 0.25
 
 // Send records a body in transit to a target, and reports whether there is room for it. A target
 // may be sent one body however large.
 func (h *Holdings) Send(address string, bytes int64) bool {
-	way := h.sending[address]
-	if way > 0 && way+bytes > int64(targetShare*float64(h.bound)) {
+	inTransit := h.sending[address]
+	if inTransit > 0 && inTransit+bytes > int64(perTargetShare*float64(h.bound)) {
 		return false
 	}
-	h.sending[address] = way + bytes
+	h.sending[address] = inTransit + bytes
 	return true
 }
 
@@ -169,7 +169,7 @@
 		return 0, nil
 	}
 	wanted := min(bytes, h.terms.Each-one.unread)
-	free := min(h.bound-h.total(), int64(answerShare*float64(h.bound))-h.unread)
+	free := min(h.bound-h.total(), int64(unreadShare*float64(h.bound))-h.unread)
 	room, ends := h.makeRoom(id, wanted, free, now)
 	taken = max(min(wanted, room), 0)
 	if taken > 0 && one.unread == 0 {
@@ -186,7 +186,7 @@
 	if !ok {
 		return
 	}
-	one.stuckAt = time.Time{}
+	one.blockedAt = time.Time{}
 	bytes = min(bytes, one.unread)
 	if bytes > 0 && bytes == one.unread {
 		h.behind--
@@ -204,8 +204,8 @@
 // Stuck records that the kernel accepts nothing more for a caller. Its time counts only from then
 // on: if this VM is too busy to write, callers are not to blame.
 func (h *Holdings) Stuck(id HoldingID, now time.Time) {
-	if one, ok := h.all[id]; ok && one.stuckAt.IsZero() {
-		one.stuckAt = now
+	if one, ok := h.all[id]; ok && one.blockedAt.IsZero() {
+		one.blockedAt = now
 	}
 }
 
@@ -215,13 +215,13 @@
 	if free >= bytes || bytes <= 0 {
 		return free, nil
 	}
-	may := h.evictable(id, now)
+	candidates := h.evictable(id, now)
 	room = free
-	for room < bytes && len(may) > 0 {
-		first := slices.MinFunc(may, func(a, b unreadCost) int {
+	for room < bytes && len(candidates) > 0 {
+		first := slices.MinFunc(candidates, func(a, b unreadCost) int {
 			return cmp.Or(cmp.Compare(b.cost, a.cost), cmp.Compare(a.id, b.id))
 		})
-		may = slices.DeleteFunc(may, func(c unreadCost) bool { return c.id == first.id })
+		candidates = slices.DeleteFunc(candidates, func(c unreadCost) bool { return c.id == first.id })
 		room += h.all[first.id].unread
 		ends = append(ends, first.id)
 	}
@@ -244,14 +244,14 @@
 
 // evictable returns the holdings, except one, that may be evicted to make room, in no order.
 func (h *Holdings) evictable(except HoldingID, now time.Time) []unreadCost {
-	var may []unreadCost
+	var candidates []unreadCost
 	for id, one := range h.all {
-		since := now.Sub(one.stuckAt)
-		if id != except && one.unread > 0 && !one.stuckAt.IsZero() && since >= h.terms.Grace {
-			may = append(may, unreadCost{id, float64(one.unread) * since.Seconds()})
+		since := now.Sub(one.blockedAt)
+		if id != except && one.unread > 0 && !one.blockedAt.IsZero() && since >= h.terms.Grace {
+			candidates = append(candidates, unreadCost{id, float64(one.unread) * since.Seconds()})
 		}
 	}
-	return may
+	return candidates
 }
 
 // EndOverdue ends the holdings whose callers have read nothing for HoldingTerms.Unread, and
@@ -259,7 +259,7 @@
 func (h *Holdings) EndOverdue(now time.Time) []HoldingID {
 	var ends []HoldingID
 	for id, one := range h.all {
-		if one.unread > 0 && !one.stuckAt.IsZero() && now.Sub(one.stuckAt) >= h.terms.Unread {
+		if one.unread > 0 && !one.blockedAt.IsZero() && now.Sub(one.blockedAt) >= h.terms.Unread {
 			ends = append(ends, id)
 		}
 	}
@@ -286,7 +286,7 @@
 	// minBoundParts is the number of equal parts of the limit of which one may be held however
 	// much seems in use: the measurement includes garbage, which is collected when the memory is
 	// needed.
-	leastParts = 16
+	minBoundParts = 16
 )
 
 // Unbounded is the bound if there is no limit.
@@ -297,5 +297,5 @@
 	if m.Limit <= 0 {
 		return Unbounded
 	}
-	return max((m.Limit-m.Program-m.InUse)/memoryParts, m.Limit/leastParts)
+	return max((m.Limit-m.Program-m.InUse)/memoryParts, m.Limit/minBoundParts)
 }
--- a/internal/relay/incarnation.go
+++ b/internal/relay/incarnation.go
@@ -40,22 +40,22 @@
 // startSeparator separates the name and the start in a TargetID, and startBase is the base of the
 // start: a start in milliseconds takes 9 bytes with the separator, and 14 in decimal.
 const (
-	startMark = "@"
-	startBase = 36
+	startSeparator = "@"
+	startBase      = 36
 )
 
 // NewTargetID returns the identity of the incarnation of a target that began at a start, in Unix
 // milliseconds; 0 if it is not known. Two different pairs have different identities.
 func NewTargetID(name string, born uint64) TargetID {
-	if born == 0 && !strings.Contains(name, startMark) {
+	if born == 0 && !strings.Contains(name, startSeparator) {
 		return TargetID(name)
 	}
-	return TargetID(name + startMark + strconv.FormatUint(born, startBase))
+	return TargetID(name + startSeparator + strconv.FormatUint(born, startBase))
 }
 
 // Name returns the name that all incarnations of the target have.
 func (id TargetID) Name() string {
-	if at := strings.LastIndex(string(id), startMark); at >= 0 {
+	if at := strings.LastIndex(string(id), startSeparator); at >= 0 {
 		return string(id[:at])
 	}
 	return string(id)
@@ -63,11 +63,11 @@
 
 // Born returns the start of this incarnation in Unix milliseconds, or 0 if it is not known.
 func (id TargetID) Born() uint64 {
-	at := strings.LastIndex(string(id), startMark)
+	at := strings.LastIndex(string(id), startSeparator)
 	if at < 0 {
 		return 0
 	}
-	born, err := strconv.ParseUint(string(id[at+len(startMark):]), startBase, 64)
+	born, err := strconv.ParseUint(string(id[at+len(startSeparator):]), startBase, 64)
 	if err != nil {
 		return 0 // not created by NewTargetID
 	}
@@ -106,7 +106,7 @@
 }
 
 // absence is a Missed with the time at which it was recorded here.
-type missedNote struct {
+type absence struct {
 	call uint64
 	at   time.Time
 }
@@ -116,32 +116,32 @@
 	// byName and byAddress hold the incarnations of which only one can run.
 	byName    map[string][]TargetID
 	byAddress map[string][]TargetID
-	missed    map[TargetID]missedNote
+	absent    map[TargetID]absence
 	// ended and revived are the changes since the last TakeTransitions.
 	ended   []Succession
 	revived []TargetID
 }
 
 func newIncarnations() incarnations {
-	return incarnations{byName: make(map[string][]TargetID), byAddress: make(map[string][]TargetID), missed: make(map[TargetID]missedNote)}
+	return incarnations{byName: make(map[string][]TargetID), byAddress: make(map[string][]TargetID), absent: make(map[TargetID]absence)}
 }
 
 // index adds an incarnation to its name and address.
-func (l *incarnations) file(t Target) {
-	l.byName[t.ID.Name()] = withID(l.byName[t.ID.Name()], t.ID)
+func (l *incarnations) index(t Target) {
+	l.byName[t.ID.Name()] = appendUnique(l.byName[t.ID.Name()], t.ID)
 	if t.Address != "" {
-		l.byAddress[t.Address] = withID(l.byAddress[t.Address], t.ID)
+		l.byAddress[t.Address] = appendUnique(l.byAddress[t.Address], t.ID)
 	}
 }
 
 // unindex removes an incarnation from its name and address.
-func (l *incarnations) unfile(t Target) {
-	dropID(l.byName, t.ID.Name(), t.ID)
-	dropID(l.byAddress, t.Address, t.ID)
+func (l *incarnations) unindex(t Target) {
+	removeID(l.byName, t.ID.Name(), t.ID)
+	removeID(l.byAddress, t.Address, t.ID)
 }
 
 // appendUnique adds an identity to others unless it is among them.
-func withID(ids []TargetID, id TargetID) []TargetID {
+func appendUnique(ids []TargetID, id TargetID) []TargetID {
 	if slices.Contains(ids, id) {
 		return ids
 	}
@@ -149,7 +149,7 @@
 }
 
 // removeID removes an identity from those at a key.
-func dropID(of map[string][]TargetID, key string, id TargetID) {
+func removeID(of map[string][]TargetID, key string, id TargetID) {
 	left := slices.DeleteFunc(of[key], func(o TargetID) bool { return o == id })
 	of[key] = left
 	if len(left) == 0 {
@@ -165,27 +165,27 @@
 		return all
 	}
 	for _, id := range l.byAddress[t.Address] {
-		all = withID(slices.Clip(all), id)
+		all = appendUnique(slices.Clip(all), id)
 	}
 	return all
 }
 
 // isAbsent reports whether an incarnation has sent nothing since it was noted as absent.
-func (r *Registry) missing(t Target) bool {
-	note, noted := r.incarnations.missed[t.ID]
+func (r *Registry) isAbsent(t Target) bool {
+	note, noted := r.incarnations.absent[t.ID]
 	return noted && t.Call <= note.call
 }
 
 // reindex determines again which incarnations are current where a target's message may change
 // that: the target was not known, has another address, or was absent and reports again. It
 // returns whether it was absent.
-func (r *Registry) refile(before, after Target, known bool) (spokeAgain bool) {
-	note, noted := r.incarnations.missed[after.ID]
-	spokeAgain = noted && after.Call > note.call
-	if known && before.Address == after.Address && !spokeAgain {
+func (r *Registry) reindex(before, after Target, known bool) (reappeared bool) {
+	note, noted := r.incarnations.absent[after.ID]
+	reappeared = noted && after.Call > note.call
+	if known && before.Address == after.Address && !reappeared {
 		return false
 	}
-	r.incarnations.file(after)
+	r.incarnations.index(after)
 	switch {
 	case !known:
 		// An incarnation that was never current here does not end.
@@ -193,19 +193,19 @@
 		_, e.void = r.voidedBy(after)
 		r.targets[after.ID] = e
 	case before.Address != after.Address:
-		dropID(r.incarnations.byAddress, before.Address, before.ID)
-		r.settle(r.incarnations.byAddress[before.Address])
+		removeID(r.incarnations.byAddress, before.Address, before.ID)
+		r.updateVoid(r.incarnations.byAddress[before.Address])
 	}
-	if spokeAgain {
-		delete(r.incarnations.missed, after.ID)
-		r.renew(after.ID)
+	if reappeared {
+		delete(r.incarnations.absent, after.ID)
+		r.markChanged(after.ID)
 	}
-	r.settle(r.incarnations.rivals(after))
-	return spokeAgain
+	r.updateVoid(r.incarnations.rivals(after))
+	return reappeared
 }
 
 // markChanged marks an incarnation as changed, so that followers are sent it again.
-func (r *Registry) renew(id TargetID) {
+func (r *Registry) markChanged(id TargetID) {
 	r.change++
 	e := r.targets[id]
 	e.changed = r.change
@@ -214,7 +214,7 @@
 
 // updateVoid determines which of some incarnations are void, and records those that have become
 // void or current.
-func (r *Registry) settle(ids []TargetID) {
+func (r *Registry) updateVoid(ids []TargetID) {
 	for _, id := range ids {
 		e, known := r.targets[id]
 		if !known {
@@ -243,7 +243,7 @@
 func (r *Registry) voidedBy(t Target) (by TargetID, void bool) {
 	latest := t.ID.Born()
 	for _, id := range r.incarnations.rivals(t) {
-		if born := id.Born(); born > latest && !r.missing(r.targets[id].target) {
+		if born := id.Born(); born > latest && !r.isAbsent(r.targets[id].target) {
 			by, latest, void = id, born, true
 		}
 	}
@@ -252,30 +252,30 @@
 
 // noteAbsent notes the silent ones of the incarnations with a later start than one that has just
 // reported, to this VM or to another one that forwards all heartbeats to it.
-func (r *Registry) missSilent(t Target, now time.Time) {
+func (r *Registry) noteAbsent(t Target, now time.Time) {
 	noted := false
 	for _, id := range r.incarnations.rivals(t) {
 		e := r.targets[id]
-		if id.Born() <= t.ID.Born() || !r.isSilent(e, now) || r.missing(e.target) {
+		if id.Born() <= t.ID.Born() || !r.isSilent(e, now) || r.isAbsent(e.target) {
 			continue
 		}
-		r.incarnations.missed[id] = missedNote{call: e.target.Call, at: now}
+		r.incarnations.absent[id] = absence{call: e.target.Call, at: now}
 		noted = true
 	}
 	if noted {
-		r.settle(r.incarnations.rivals(t))
+		r.updateVoid(r.incarnations.rivals(t))
 	}
 }
 
 // Miss records the note of another VM.
 func (r *Registry) Miss(m Missed, now time.Time) {
 	e, known := r.targets[m.ID]
-	if note, noted := r.incarnations.missed[m.ID]; noted && note.call >= m.Call || known && e.target.Call > m.Call {
+	if note, noted := r.incarnations.absent[m.ID]; noted && note.call >= m.Call || known && e.target.Call > m.Call {
 		return
 	}
-	r.incarnations.missed[m.ID] = missedNote{call: m.Call, at: now}
+	r.incarnations.absent[m.ID] = absence{call: m.Call, at: now}
 	if known {
-		r.settle(r.incarnations.rivals(e.target))
+		r.updateVoid(r.incarnations.rivals(e.target))
 	}
 }
 
@@ -284,7 +284,7 @@
 // them.
 func (r *Registry) Missed() []Missed {
 	var missed []Missed
-	for id, note := range r.incarnations.missed {
+	for id, note := range r.incarnations.absent {
 		if _, known := r.targets[id]; !known {
 			continue
 		}
@@ -319,7 +319,7 @@
 
 // signOffs returns the sign-offs that follow from one message: for the incarnation whose start it
 // contains or, without a start, for those of its name that are current here at this moment.
-func (r *Registry) signOff(t Target) []Target {
+func (r *Registry) signOffs(t Target) []Target {
 	leaving := []Target{t}
 	if t.ID.Born() != 0 {
 		return leaving
@@ -334,19 +334,19 @@
 	return leaving
 }
 
-// forgetIncarnations removes the incarnations that the registry no longer knows, and notes from
+// removeIncarnations removes the incarnations that the registry no longer knows, and notes from
 // before a time.
-func (r *Registry) forgetIncarnations(forgotten []Target, after time.Time) {
-	for _, t := range forgotten {
-		r.incarnations.unfile(t)
+func (r *Registry) removeIncarnations(removed []Target, after time.Time) {
+	for _, t := range removed {
+		r.incarnations.unindex(t)
 	}
-	for id, note := range r.incarnations.missed {
+	for id, note := range r.incarnations.absent {
 		if _, known := r.targets[id]; !known && note.at.Before(after) {
-			delete(r.incarnations.missed, id)
+			delete(r.incarnations.absent, id)
 		}
 	}
-	for _, t := range forgotten {
-		r.settle(r.incarnations.rivals(t))
+	for _, t := range removed {
+		r.updateVoid(r.incarnations.rivals(t))
 	}
 }
 
@@ -356,8 +356,8 @@
 	names, addresses := make(map[string]TargetID), make(map[string]TargetID)
 	for _, t := range messages {
 		if _, known := r.targets[t.ID]; !known && t.ID.Born() > 0 {
-			latest(names, t.ID.Name(), t.ID)
-			latest(addresses, t.Address, t.ID)
+			keepLatest(names, t.ID.Name(), t.ID)
+			keepLatest(addresses, t.Address, t.ID)
 		}
 	}
 	if len(names) == 0 {
@@ -374,7 +374,7 @@
 }
 
 // keepLatest keeps the incarnation with the later start at a key.
-func latest(of map[string]TargetID, key string, id TargetID) { of[key] = later(of[key], id) }
+func keepLatest(of map[string]TargetID, key string, id TargetID) { of[key] = later(of[key], id) }
 
 // later returns the incarnation with the later start.
 func later(a, b TargetID) TargetID {
--- a/internal/relay/incarnation_test.go
+++ b/internal/relay/incarnation_test.go
@@ -21,7 +21,7 @@
 }
 
 // currentIDs returns the identities of the targets of a registry that are not void.
-func counting(r *relay.Registry) []relay.TargetID {
+func currentIDs(r *relay.Registry) []relay.TargetID {
 	var ids []relay.TargetID
 	for _, t := range r.All() {
 		ids = append(ids, t.ID)
@@ -29,7 +29,7 @@
 	return ids
 }
 
-func lifeIDs(borns ...uint64) []relay.TargetID {
+func incarnationIDs(borns ...uint64) []relay.TargetID {
 	var ids []relay.TargetID
 	for _, born := range borns {
 		ids = append(ids, relay.NewTargetID("i-1", born))
@@ -50,7 +50,7 @@
 }
 
 func TestIncarnationsHaveDifferentKeys(t *testing.T) {
-	ids := lifeIDs(0, 1790000000000, 1790000000001, 1790000004000)
+	ids := incarnationIDs(0, 1790000000000, 1790000000001, 1790000004000)
 	keys := make(map[relay.TargetKey]bool)
 	for _, id := range ids {
 		keys[id.Key()] = true
@@ -75,13 +75,13 @@
 	require.True(t, r.Hear(heartbeatOf(200, 1), start))
 	require.Equal(t, []relay.Target{heartbeatOf(200, 1)}, r.All())
 	ended, again := r.TakeTransitions()
-	require.Equal(t, []relay.Succession{{Old: lifeIDs(100)[0], New: lifeIDs(200)[0]}}, ended)
+	require.Equal(t, []relay.Succession{{Old: incarnationIDs(100)[0], New: incarnationIDs(200)[0]}}, ended)
 	require.Empty(t, again)
-	require.Contains(t, r.Silent(start.Add(2*time.Second), silence), lifeIDs(100)[0], "the old incarnation is reported as silent")
+	require.Contains(t, r.Silent(start.Add(2*time.Second), silence), incarnationIDs(100)[0], "the old incarnation is reported as silent")
 }
 
 func TestLateMessagesOfEarlierIncarnationAreIgnored(t *testing.T) {
-	leaving, gone := heartbeatOf(100, 60), relay.Target{ID: lifeIDs(100)[0], Call: 1 << 62, Leaving: true, Gone: true}
+	leaving, gone := heartbeatOf(100, 60), relay.Target{ID: incarnationIDs(100)[0], Call: 1 << 62, Leaving: true, Gone: true}
 	leaving.Leaving = true
 	elsewhere := heartbeatOf(100, 60)
 	elsewhere.Address = "10.0.0.2:80"
@@ -94,7 +94,7 @@
 		"third incarnation":    func(r *relay.Registry, now time.Time) bool { return r.Hear(heartbeatOf(50, 3), now) },
 		"without a start":      func(r *relay.Registry, now time.Time) bool { return r.Hear(heartbeatOf(0, 3), now) },
 		"forwarded beat": func(r *relay.Registry, now time.Time) bool {
-			r.Alive(lifeIDs(100)[0], 60, now)
+			r.Alive(incarnationIDs(100)[0], 60, now)
 			return false
 		},
 	} {
@@ -113,7 +113,7 @@
 			ended, again := r.TakeTransitions()
 			require.Empty(t, ended)
 			require.Empty(t, again)
-			require.NotContains(t, r.Silent(now, 500*time.Millisecond), lifeIDs(200)[0], "a late message does not make the running incarnation silent")
+			require.NotContains(t, r.Silent(now, 500*time.Millisecond), incarnationIDs(200)[0], "a late message does not make the running incarnation silent")
 		})
 	}
 }
@@ -122,7 +122,7 @@
 	r := relay.NewRegistry(silence)
 	r.Hear(heartbeatOf(200, 1), start)
 	require.False(t, r.Hear(heartbeatOf(100, 99), start))
-	require.Equal(t, lifeIDs(200), counting(r))
+	require.Equal(t, incarnationIDs(200), currentIDs(r))
 }
 
 // A sign-off may arrive before the first message of its incarnation.
@@ -130,11 +130,11 @@
 	for _, born := range []uint64{100, 200} {
 		r := relay.NewRegistry(silence)
 		r.Hear(heartbeatOf(100, 50), start)
-		r.Hear(relay.Target{ID: lifeIDs(born)[0], Call: 1 << 62, Leaving: true, Gone: true}, start)
+		r.Hear(relay.Target{ID: incarnationIDs(born)[0], Call: 1 << 62, Leaving: true, Gone: true}, start)
 		r.Hear(heartbeatOf(200, 1), start)
-		held, _ := r.Get(lifeIDs(200)[0])
+		held, _ := r.Get(incarnationIDs(200)[0])
 		require.Equal(t, born != 200, held.Takes())
-		require.Equal(t, lifeIDs(200), counting(r))
+		require.Equal(t, incarnationIDs(200), currentIDs(r))
 	}
 }
 
@@ -143,10 +143,10 @@
 	r.Hear(heartbeatOf(100, 50), start)
 	r.Hear(heartbeatOf(200, 1), start)
 	require.True(t, r.Hear(relay.Target{ID: "i-1", Call: 1 << 62, Leaving: true, Gone: true}, start))
-	held, _ := r.Get(lifeIDs(200)[0])
+	held, _ := r.Get(incarnationIDs(200)[0])
 	require.False(t, held.Takes())
 	r.Hear(heartbeatOf(300, 1), start)
-	held, _ = r.Get(lifeIDs(300)[0])
+	held, _ = r.Get(incarnationIDs(300)[0])
 	require.True(t, held.Takes(), "the sign-off does not apply to a later incarnation")
 }
 
@@ -159,33 +159,33 @@
 			follower.Learn(heartbeatOf(higher, 9), start)
 			for call := uint64(1); call <= 3; call++ {
 				r.Hear(heartbeatOf(200, call), start.Add(time.Duration(call)*time.Second))
-				require.Equal(t, lifeIDs(higher), counting(r))
+				require.Equal(t, incarnationIDs(higher), currentIDs(r))
 			}
 			now := start.Add(silence + time.Second)
 			change := r.Change()
 			require.True(t, r.Hear(heartbeatOf(200, 4), now))
-			require.Contains(t, counting(r), lifeIDs(200)[0])
+			require.Contains(t, currentIDs(r), incarnationIDs(200)[0])
 			_, again := r.TakeTransitions()
 			require.Equal(t, []relay.Target{heartbeatOf(200, 4)}, again)
 
 			for _, told := range r.Since(change) {
 				follower.Learn(told, now)
 			}
-			require.NotContains(t, counting(follower), lifeIDs(200)[0])
+			require.NotContains(t, currentIDs(follower), incarnationIDs(200)[0])
 			for _, m := range r.Missed() {
 				follower.Miss(m, now)
 			}
-			require.Contains(t, counting(follower), lifeIDs(200)[0])
+			require.Contains(t, currentIDs(follower), incarnationIDs(200)[0])
 
 			// The incarnation with the later start was cut off, and reports again.
 			change = r.Change()
 			require.True(t, r.Hear(heartbeatOf(higher, 10), now))
-			require.Equal(t, lifeIDs(higher), counting(r))
+			require.Equal(t, incarnationIDs(higher), currentIDs(r))
 			for _, told := range r.Since(change) {
 				follower.Learn(told, now)
 			}
-			follower.Miss(relay.Missed{ID: lifeIDs(higher)[0], Call: 9}, now) // arrives late
-			require.Equal(t, lifeIDs(higher), counting(follower))
+			follower.Miss(relay.Missed{ID: incarnationIDs(higher)[0], Call: 9}, now) // arrives late
+			require.Equal(t, incarnationIDs(higher), currentIDs(follower))
 			require.Equal(t, r.Digest(), follower.Digest())
 		})
 	}
@@ -197,11 +197,11 @@
 	r := relay.NewRegistry(silence)
 	r.Hear(heartbeatOf(300, 9), start)
 	r.Learn(heartbeatOf(200, 1), start.Add(time.Second))
-	r.Alive(lifeIDs(200)[0], 2, start.Add(2*time.Second))
-	require.Equal(t, lifeIDs(300), counting(r))
-	r.Alive(lifeIDs(200)[0], 3, start.Add(silence+time.Second))
-	require.Contains(t, counting(r), lifeIDs(200)[0])
-	require.Equal(t, []relay.Missed{{ID: lifeIDs(300)[0], Call: 9}}, r.Missed())
+	r.Alive(incarnationIDs(200)[0], 2, start.Add(2*time.Second))
+	require.Equal(t, incarnationIDs(300), currentIDs(r))
+	r.Alive(incarnationIDs(200)[0], 3, start.Add(silence+time.Second))
+	require.Contains(t, currentIDs(r), incarnationIDs(200)[0])
+	require.Equal(t, []relay.Missed{{ID: incarnationIDs(300)[0], Call: 9}}, r.Missed())
 }
 
 // A late message of an incarnation does not mark a later one as absent.
@@ -211,8 +211,8 @@
 	r.Hear(heartbeatOf(200, 1), start)
 	late := start.Add(10 * time.Second)
 	r.Hear(heartbeatOf(100, 5), late)
-	r.Hear(relay.Target{ID: lifeIDs(100)[0], Call: 1 << 62, Leaving: true, Gone: true}, late)
-	require.Equal(t, lifeIDs(200), counting(r))
+	r.Hear(relay.Target{ID: incarnationIDs(100)[0], Call: 1 << 62, Leaving: true, Gone: true}, late)
+	require.Equal(t, incarnationIDs(200), currentIDs(r))
 }
 
 // A VM that follows a new control VM learns that an absent incarnation reports again.
@@ -221,17 +221,17 @@
 	for _, r := range []*relay.Registry{a, b} {
 		r.Learn(heartbeatOf(300, 9), start)
 		r.Learn(heartbeatOf(200, 1), start)
-		r.Miss(relay.Missed{ID: lifeIDs(300)[0], Call: 9}, start)
+		r.Miss(relay.Missed{ID: incarnationIDs(300)[0], Call: 9}, start)
 	}
 	require.Equal(t, a.Digest(), b.Digest())
-	b.Alive(lifeIDs(300)[0], 10, start.Add(time.Second))
+	b.Alive(incarnationIDs(300)[0], 10, start.Add(time.Second))
 	for _, told := range b.Unlike(a.Digest()) {
 		a.Learn(told, start.Add(time.Second))
 	}
-	require.Equal(t, lifeIDs(300), counting(a))
+	require.Equal(t, incarnationIDs(300), currentIDs(a))
 }
 
-func wordAt(id relay.TargetID, address string, call uint64) relay.Target {
+func messageAt(id relay.TargetID, address string, call uint64) relay.Target {
 	t := message(id, call)
 	t.Address = address
 	return t
@@ -243,11 +243,11 @@
 	for _, order := range [][]relay.TargetID{{first, second}, {second, first}, {first, second, first}} {
 		r := relay.NewRegistry(silence)
 		for i, id := range order {
-			r.Hear(wordAt(id, "x", uint64(1+i)), start.Add(time.Duration(i)*time.Second))
+			r.Hear(messageAt(id, "x", uint64(1+i)), start.Add(time.Duration(i)*time.Second))
 		}
-		require.Equal(t, []relay.TargetID{second}, counting(r))
-		r.Hear(wordAt(second, "y", 9), start.Add(3*time.Second))
-		require.ElementsMatch(t, []relay.TargetID{first, second}, counting(r), "its address is free again")
+		require.Equal(t, []relay.TargetID{second}, currentIDs(r))
+		r.Hear(messageAt(second, "y", 9), start.Add(3*time.Second))
+		require.ElementsMatch(t, []relay.TargetID{first, second}, currentIDs(r), "its address is free again")
 	}
 }
 
@@ -258,15 +258,15 @@
 	silent := func(now time.Time) []relay.TargetID {
 		return r.Silent(now, 1500*time.Millisecond)
 	}
-	r.Hear(wordAt("old", "x", 30), start)
+	r.Hear(messageAt("old", "x", 30), start)
 	for i := range 3 {
-		r.Hear(wordAt("new", "x", uint64(1+i)), start.Add(time.Second+time.Duration(i)*1200*time.Millisecond))
+		r.Hear(messageAt("new", "x", uint64(1+i)), start.Add(time.Second+time.Duration(i)*1200*time.Millisecond))
 	}
-	r.Hear(wordAt("old", "x", 31), start.Add(3500*time.Millisecond))
+	r.Hear(messageAt("old", "x", 31), start.Add(3500*time.Millisecond))
 	for _, ms := range []int{3500, 4000, 5000, 5500} {
 		require.Equal(t, []relay.TargetID{"old"}, silent(start.Add(time.Duration(ms)*time.Millisecond)))
 	}
-	r.Hear(wordAt("old", "x", 32), start.Add(9*time.Second))
+	r.Hear(messageAt("old", "x", 32), start.Add(9*time.Second))
 	require.Equal(t, []relay.TargetID{"new"}, silent(start.Add(9*time.Second)), "the later one has died")
 }
 
@@ -298,15 +298,15 @@
 func TestFirstReportEndsEarlierIncarnations(t *testing.T) {
 	r := relay.NewRouter(relay.Settings{})
 	first, second, third := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-2", 200), relay.NewTargetID("i-3", 900)
-	r.TakeTargets([]relay.Target{wordAt(first, "x", 1), wordAt(second, "y", 1), wordAt(third, "z", 1), wordAt("plain", "w", 1)})
+	r.TakeTargets([]relay.Target{messageAt(first, "x", 1), messageAt(second, "y", 1), messageAt(third, "z", 1), messageAt("plain", "w", 1)})
 	later := relay.NewTargetID("i-1", 300)
-	require.Equal(t, []relay.Succession{{Old: first, New: later}, {Old: second, New: later}}, r.EndedBy([]relay.Target{wordAt(later, "y", 1)}))
-	require.Empty(t, r.EndedBy([]relay.Target{wordAt(first, "x", 2), wordAt("other", "x", 1), wordAt(relay.NewTargetID("i-3", 800), "z", 1)}))
+	require.Equal(t, []relay.Succession{{Old: first, New: later}, {Old: second, New: later}}, r.EndedBy([]relay.Target{messageAt(later, "y", 1)}))
+	require.Empty(t, r.EndedBy([]relay.Target{messageAt(first, "x", 2), messageAt("other", "x", 1), messageAt(relay.NewTargetID("i-3", 800), "z", 1)}))
 }
 
 // referenceIncarnations returns what is current after messages in any order: of each incarnation
 // the highest number, and none beside one of the same name or address with a later start.
-func referenceLives(messages map[relay.TargetID][]relay.Target) map[relay.TargetID]relay.Target {
+func referenceIncarnations(messages map[relay.TargetID][]relay.Target) map[relay.TargetID]relay.Target {
 	count := make(map[relay.TargetID]relay.Target)
 	for id, of := range messages {
 		newest := slices.MaxFunc(of, func(a, b relay.Target) int { return int(a.Call) - int(b.Call) })
@@ -328,17 +328,17 @@
 func TestMessageOrderDoesNotReviveIncarnations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const vms = 3
-		registries, heard := make([]*relay.Registry, vms), make([]map[relay.TargetID][]relay.Target, vms)
+		registries, received := make([]*relay.Registry, vms), make([]map[relay.TargetID][]relay.Target, vms)
 		for i := range vms {
-			registries[i], heard[i] = relay.NewRegistry(silence), make(map[relay.TargetID][]relay.Target)
+			registries[i], received[i] = relay.NewRegistry(silence), make(map[relay.TargetID][]relay.Target)
 		}
 		addresses := make(map[relay.TargetID]string)
 		calls := make(map[relay.TargetID]uint64)
-		var said []relay.Target
+		var sent []relay.Target
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			vm := rapid.IntRange(0, vms-1).Draw(t, "vm")
 			take := func(w relay.Target) {
-				heard[vm][w.ID] = append(heard[vm][w.ID], w)
+				received[vm][w.ID] = append(received[vm][w.ID], w)
 				registries[vm].Learn(w, start)
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
@@ -348,17 +348,17 @@
 					addresses[id] = rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "address")
 				}
 				calls[id]++
-				w := wordAt(id, addresses[id], calls[id])
+				w := messageAt(id, addresses[id], calls[id])
 				w.Layers = config.Range{First: 0, Last: rapid.IntRange(0, 9).Draw(t, "layers")}
 				w.Leaving = rapid.IntRange(0, 5).Draw(t, "leaves") == 0
-				said = append(said, w)
+				sent = append(sent, w)
 				if rapid.Bool().Draw(t, "received") {
-					heard[vm][w.ID] = append(heard[vm][w.ID], w)
+					received[vm][w.ID] = append(received[vm][w.ID], w)
 					registries[vm].Hear(w, start)
 				}
 			case 2: // a message arrives late, or again
-				if len(said) > 0 {
-					take(rapid.SampledFrom(said).Draw(t, "late"))
+				if len(sent) > 0 {
+					take(rapid.SampledFrom(sent).Draw(t, "late"))
 				}
 			case 3: // one VM forwards its current targets to another, and some are lost
 				for _, w := range registries[rapid.IntRange(0, vms-1).Draw(t, "from")].All() {
@@ -369,7 +369,7 @@
 			}
 		}
 		for i, r := range registries {
-			want := referenceLives(heard[i])
+			want := referenceIncarnations(received[i])
 			got := make(map[relay.TargetID]relay.Target)
 			for _, w := range r.All() {
 				got[w.ID] = w
@@ -382,8 +382,8 @@
 // A message that anybody may write is removed completely: it neither voids others nor stays.
 func TestRemovedIncarnationVoidsNothing(t *testing.T) {
 	r := relay.NewRegistry(silence)
-	r.Hear(wordAt(relay.NewTargetID("a", 20), "x", 1), start)
-	r.Hear(wordAt(relay.NewTargetID("b", 10), "x", 1), start)
+	r.Hear(messageAt(relay.NewTargetID("a", 20), "x", 1), start)
+	r.Hear(messageAt(relay.NewTargetID("b", 10), "x", 1), start)
 	require.Len(t, r.All(), 1)
 	r.Drop(relay.NewTargetID("a", 20))
 	require.Len(t, r.All(), 1)
--- a/internal/relay/lender.go
+++ b/internal/relay/lender.go
@@ -36,21 +36,21 @@
 	PermitLife = 1500 * time.Millisecond
 	// burstBasePermits and burstSpan make up the burst of a limit: a few requests, and what the
 	// limit allows in the time that a VM takes to report what it has used.
-	burstBase = 4.0
-	burstSpan = time.Second
+	burstBasePermits = 4.0
+	burstSpan        = time.Second
 	// minLimitPerSecond is the least limit that is granted: with none at all, a target would
 	// never be found to accept requests again.
-	limitLeast = 0.1
+	minLimitPerSecond = 0.1
 	// sweepInterval is the time between two checks for expired state of holders: a check costs as
 	// much as there are holders.
-	lendSweep = 100 * time.Millisecond
+	sweepInterval = 100 * time.Millisecond
 	// demandWindow is how long what a VM wanted counts.
-	wantedKept = time.Second
+	demandWindow = time.Second
 	// answerOrderMargin is by how much answers to two VMs must differ for one to count as the
 	// later: messages between VMs take up to that long.
-	orderMargin = 100 * time.Millisecond
+	answerOrderMargin = 100 * time.Millisecond
 	// limitIdleTimeout is how long after the last report on it a limit is kept.
-	limitForgotten = time.Minute
+	limitIdleTimeout = time.Minute
 )
 
 // LimitAnswer is what an answer of a target states about its limit.
@@ -127,20 +127,20 @@
 	life time.Duration
 	// readyAt is when the permits of the previous lender have expired.
 	readyAt time.Time
-	limits  map[TargetKey]*lentLimit[Holder]
+	limits  map[TargetKey]*sharedLimit[Holder]
 }
 
 // sharedLimit is the limit of one target.
-type lentLimit[Holder comparable] struct {
+type sharedLimit[Holder comparable] struct {
 	answer LimitAnswer
 	// free is the permits that are granted to no holder, as of at. It is below 0 where more was
 	// sent without a permit.
 	free    float64
 	at      time.Time
-	holders map[Holder]*loan
+	holders map[Holder]*allocation
 	// wanted is the sum of what holders want, granted that of the permits that they may still
 	// use.
-	wanted, lent int
+	wanted, granted int
 	// sweepAt is when expired state of holders is next removed.
 	sweepAt time.Time
 	// askedAt is when a holder last reported on the limit.
@@ -148,12 +148,12 @@
 }
 
 // allocation is what a holder has of a limit.
-type loan struct {
+type allocation struct {
 	// number is that of its newest renewal, and left the permits that it reported.
 	number uint64
 	left   int
 	// unacknowledged are the grants that it has not reported as accepted.
-	onWay []lentGrant
+	unacknowledged []pendingGrant
 	// until is when all that it holds expires.
 	until  time.Time
 	wanted int
@@ -163,7 +163,7 @@
 	unpaid, returned uint64
 }
 
-type lentGrant struct {
+type pendingGrant struct {
 	number uint64
 	count  int
 }
@@ -171,7 +171,7 @@
 // NewLender returns a Lender that knows no limit, and that replaces another one. Life is how long
 // it counts a permit as outstanding: PermitLife, lengthened by the bound on the drift of clocks.
 func NewLender[Holder comparable](seed uint64, life time.Duration, now time.Time) *Lender[Holder] {
-	return &Lender[Holder]{rand: rand.New(rand.NewPCG(seed, 1)), life: life, readyAt: now.Add(life), limits: make(map[TargetKey]*lentLimit[Holder])}
+	return &Lender[Holder]{rand: rand.New(rand.NewPCG(seed, 1)), life: life, readyAt: now.Add(life), limits: make(map[TargetKey]*sharedLimit[Holder])}
 }
 
 // Limited returns the targets that have a limit, sorted.
@@ -189,7 +189,7 @@
 // Forget removes the limits that no holder has reported on for long.
 func (l *Lender[Holder]) Forget(now time.Time) {
 	for key, limit := range l.limits {
-		if !now.Before(limit.askedAt.Add(limitForgotten)) {
+		if !now.Before(limit.askedAt.Add(limitIdleTimeout)) {
 			delete(l.limits, key)
 		}
 	}
@@ -212,73 +212,73 @@
 	}
 	limit.askedAt = now
 	limit.refill(now)
-	limit.answer = limit.answer.merge(ask.Answer, orderMargin)
+	limit.answer = limit.answer.merge(ask.Answer, answerOrderMargin)
 	if !limit.answer.Limited {
 		return Permits{Target: ask.Target, Over: true}, true
 	}
 	held, ok := limit.holders[h]
 	if !ok {
-		held = &loan{unpaid: ask.Unpaid, returned: ask.Returned}
+		held = &allocation{unpaid: ask.Unpaid, returned: ask.Returned}
 		limit.holders[h] = held
 	}
 	if number <= held.number {
 		return Permits{}, false
 	}
-	limit.hear(held, number, ask, now)
-	limit.trim()
-	count := l.lend(limit, held)
+	limit.receive(held, number, ask, now)
+	limit.clampToBurst()
+	count := l.allocate(limit, held)
 	if count > 0 {
-		held.onWay = append(held.onWay, lentGrant{number: number, count: count})
+		held.unacknowledged = append(held.unacknowledged, pendingGrant{number: number, count: count})
 		limit.free -= float64(count)
-		limit.lent += count
+		limit.granted += count
 	}
 	held.until = now.Add(l.life)
 	return Permits{Target: ask.Target, PerSecond: limit.answer.PerSecond, Count: count}, true
 }
 
 // limit returns the limit that an ask refers to, or nil if there is none.
-func (l *Lender[Holder]) limit(ask PermitAsk, now time.Time) *lentLimit[Holder] {
+func (l *Lender[Holder]) limit(ask PermitAsk, now time.Time) *sharedLimit[Holder] {
 	limit, ok := l.limits[ask.Target]
 	if !ok && !ask.Answer.HeardAt.IsZero() {
-		limit = &lentLimit[Holder]{at: laterTime(now, l.readyAt), holders: make(map[Holder]*loan)}
+		limit = &sharedLimit[Holder]{at: laterTime(now, l.readyAt), holders: make(map[Holder]*allocation)}
 		l.limits[ask.Target] = limit
 	}
 	return limit
 }
 
 // rate is the number of permits that are added in a second.
-func (l *lentLimit[Holder]) rate() float64 {
-	return max(l.answer.PerSecond, limitLeast)
+func (l *sharedLimit[Holder]) rate() float64 {
+	return max(l.answer.PerSecond, minLimitPerSecond)
 }
 
 // burst bounds the permits that can be used.
-func (l *lentLimit[Holder]) burst() float64 {
-	return burstBase + l.answer.PerSecond*burstSpan.Seconds()
+func (l *sharedLimit[Holder]) burst() float64 {
+	return burstBasePermits + l.answer.PerSecond*burstSpan.Seconds()
 }
 
 // refill adds the permits of the time since the last refill.
-func (l *lentLimit[Holder]) refill(now time.Time) {
+func (l *sharedLimit[Holder]) refill(now time.Time) {
 	if !now.Before(l.sweepAt) {
-		l.sweepAt = now.Add(lendSweep)
+		l.sweepAt = now.Add(sweepInterval)
 		l.sweep(now)
 	}
 	if now.After(l.at) {
 		l.free += l.rate() * now.Sub(l.at).Seconds()
 		l.at = now
 	}
-	l.trim()
+	l.clampToBurst()
 }
 
 // sweep removes what holders have had for too long.
-func (l *lentLimit[Holder]) sweep(now time.Time) {
+func (l *sharedLimit[Holder]) sweep(now time.Time) {
 	for h, held := range l.holders {
 		if !now.Before(held.until) {
 			l.wanted -= held.wanted
-			l.lent -= held.lent()
+			l.granted -= held.outstanding()
 			delete(l.holders, h)
 			continue
 		}
-		if held.wanted > 0 && !now.Before(held.wantedAt.Add(wantedKept)) {
+		if held.wanted > 0 && !now.Before(held.wantedAt.Add(demandWindow)) {
 			l.wanted -= held.wanted
 			held.wanted = 0
 		}
@@ -286,30 +286,30 @@
 }
 
 // clampToBurst keeps the permits that can be used within the burst.
-func (l *lentLimit[Holder]) trim() {
-	l.free = min(l.free, l.burst()-float64(l.lent))
+func (l *sharedLimit[Holder]) clampToBurst() {
+	l.free = min(l.free, l.burst()-float64(l.granted))
 }
 
 // outstanding is the permits that the holder may still use.
-func (h *loan) lent() int {
+func (h *allocation) outstanding() int {
 	lent := h.left
-	for _, g := range h.onWay {
+	for _, g := range h.unacknowledged {
 		lent += g.count
 	}
 	return lent
 }
 
 // receive updates the state of a holder from its report.
-func (l *lentLimit[Holder]) hear(held *loan, number uint64, ask PermitAsk, now time.Time) {
-	before := held.lent()
+func (l *sharedLimit[Holder]) receive(held *allocation, number uint64, ask PermitAsk, now time.Time) {
+	before := held.outstanding()
 	held.number = number
 	held.left = ask.Left
-	held.onWay = slices.DeleteFunc(held.onWay, func(g lentGrant) bool { return g.number <= ask.Taken })
+	held.unacknowledged = slices.DeleteFunc(held.unacknowledged, func(g pendingGrant) bool { return g.number <= ask.Taken })
 	// No more than the decrease since: an ask that arrives twice may contain returns that were
 	// counted the first time.
-	gone := max(before-held.lent(), 0)
-	l.lent += held.lent() - before
-	l.free += float64(min(ask.Returned-min(held.returned, ask.Returned), uint64(gone)))
+	decrease := max(before-held.outstanding(), 0)
+	l.granted += held.outstanding() - before
+	l.free += float64(min(ask.Returned-min(held.returned, ask.Returned), uint64(decrease)))
 	l.free -= float64(ask.Unpaid - min(held.unpaid, ask.Unpaid))
 	held.unpaid, held.returned = ask.Unpaid, ask.Returned
 	l.wanted += ask.Wanted - held.wanted
@@ -318,7 +318,7 @@
 
 // allocate returns how many permits a holder is granted: what it wants, up to its part of the
 // burst in proportion to what all want. A fraction of a permit is drawn at random.
-func (l *Lender[Holder]) lend(limit *lentLimit[Holder], held *loan) int {
+func (l *Lender[Holder]) allocate(limit *sharedLimit[Holder], held *allocation) int {
 	if held.wanted <= 0 || limit.free < 1 {
 		return 0
 	}
@@ -328,5 +328,5 @@
 	if l.rand.Float64() < fair-count {
 		count++
 	}
-	return max(int(min(count-float64(held.lent()), math.Floor(limit.free))), 0)
+	return max(int(min(count-float64(held.outstanding()), math.Floor(limit.free))), 0)
 }
--- a/internal/relay/lender_test.go
+++ b/internal/relay/lender_test.go
@@ -13,19 +13,19 @@
 
 // permitWorld simulates holders and leaders. Messages between them are lost, late, repeated and
 // out of order, holders restart and freeze, and leaders change.
-type lending struct {
+type permitWorld struct {
 	t         *rapid.T
 	now       time.Time
 	perSecond float64
 	lender    *relay.Lender[string]
-	holders   []*lendingHolder
-	asks      []lendingAsk
-	grants    []lendingGrant
+	holders   []*worldHolder
+	asks      []askInTransit
+	grants    []grantInTransit
 	sent      []time.Time
 	leaders   uint64
 }
 
-type lendingHolder struct {
+type worldHolder struct {
 	index, incarnation int
 	limits             *relay.RateLimits
 	number             uint64
@@ -35,55 +35,55 @@
 }
 
 // holderLease is the duration of a lease, from the renewal that it answers.
-const lendingLease = 3 * time.Second
+const holderLease = 3 * time.Second
 
-type lendingAsk struct {
+type askInTransit struct {
 	leader uint64
-	from   *lendingHolder
+	from   *worldHolder
 	of     int
 	name   string
 	number uint64
 	asks   []relay.PermitAsk
 }
 
-type lendingGrant struct {
-	to      *lendingHolder
+type grantInTransit struct {
+	to      *worldHolder
 	of      int
 	number  uint64
 	permits []relay.Permits
 }
 
-func (h *lendingHolder) name() string { return fmt.Sprintf("vm-%d.%d", h.index, h.incarnation) }
+func (h *worldHolder) name() string { return fmt.Sprintf("vm-%d.%d", h.index, h.incarnation) }
 
 // start starts a holder as a new incarnation, without any state.
-func (l *lending) start(h *lendingHolder) {
+func (l *permitWorld) start(h *worldHolder) {
 	h.incarnation++
 	h.limits = relay.NewRateLimits(uint64(h.incarnation))
 	h.number = 0
 	h.renewed = make(map[uint64]time.Time)
-	h.leaseUntil = l.now.Add(lendingLease)
-	l.hear(h)
+	h.leaseUntil = l.now.Add(holderLease)
+	l.receiveLimit(h)
 }
 
 // receiveLimit gives a holder the limit with an answer to a request that was sent before.
-func (l *lending) hear(h *lendingHolder) {
+func (l *permitWorld) receiveLimit(h *worldHolder) {
 	h.limits.Hear(limitedTarget, relay.LimitAnswer{Limited: true, PerSecond: l.perSecond, SentAt: l.now.Add(-time.Millisecond), HeardAt: l.now})
 }
 
-func (l *lending) holder() *lendingHolder {
+func (l *permitWorld) holder() *worldHolder {
 	return l.holders[rapid.IntRange(0, len(l.holders)-1).Draw(l.t, "holder")]
 }
 
-func (l *lending) frozen(h *lendingHolder) bool { return l.now.Before(h.frozenUntil) }
+func (l *permitWorld) frozen(h *worldHolder) bool { return l.now.Before(h.frozenUntil) }
 
-func (l *lending) renew(h *lendingHolder) {
+func (l *permitWorld) renew(h *worldHolder) {
 	h.number++
 	h.renewed[h.number] = l.now
-	l.asks = append(l.asks, lendingAsk{leader: l.leaders, from: h, of: h.incarnation, name: h.name(), number: h.number, asks: h.limits.Asks(l.now)})
+	l.asks = append(l.asks, askInTransit{leader: l.leaders, from: h, of: h.incarnation, name: h.name(), number: h.number, asks: h.limits.Asks(l.now)})
 }
 
 // deliver delivers some ask to its leader, and may leave a copy in transit.
-func (l *lending) deliver() {
+func (l *permitWorld) deliver() {
 	if len(l.asks) == 0 {
 		return
 	}
@@ -101,10 +101,10 @@
 			permits = append(permits, p)
 		}
 	}
-	l.grants = append(l.grants, lendingGrant{to: a.from, of: a.of, number: a.number, permits: permits})
+	l.grants = append(l.grants, grantInTransit{to: a.from, of: a.of, number: a.number, permits: permits})
 }
 
-func (l *lending) grant() {
+func (l *permitWorld) grant() {
 	if len(l.grants) == 0 {
 		return
 	}
@@ -116,13 +116,13 @@
 	if g.of != g.to.incarnation || l.frozen(g.to) {
 		return
 	}
-	if until := g.to.renewed[g.number].Add(lendingLease); until.After(g.to.leaseUntil) {
+	if until := g.to.renewed[g.number].Add(holderLease); until.After(g.to.leaseUntil) {
 		g.to.leaseUntil = until
 	}
 	g.to.limits.Grant(g.number, g.permits, g.to.renewed[g.number].Add(relay.PermitLife), l.now)
 }
 
-func (l *lending) send(h *lendingHolder) {
+func (l *permitWorld) send(h *worldHolder) {
 	if !l.now.Before(h.leaseUntil) {
 		return
 	}
@@ -134,7 +134,7 @@
 
 // check checks every span of time that ends now: it brings no more than the burst and what the
 // limit allows.
-func (l *lending) check() {
+func (l *permitWorld) check() {
 	for i, from := range l.sent {
 		allowed := 4 + l.perSecond + l.perSecond*l.now.Sub(from).Seconds()
 		require.LessOrEqual(l.t, float64(len(l.sent)-i), allowed+1e-6, "in the last %v", l.now.Sub(from))
@@ -146,10 +146,10 @@
 // allows in a second.
 func TestPermitsNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &lending{t: t, now: start, perSecond: rapid.SampledFrom([]float64{0.1, 0.5, 4.5, 20}).Draw(t, "limit")}
+		l := &permitWorld{t: t, now: start, perSecond: rapid.SampledFrom([]float64{0.1, 0.5, 4.5, 20}).Draw(t, "limit")}
 		l.lender = relay.NewLender[string](1, relay.PermitLife, start.Add(-time.Hour))
 		for i := range rapid.IntRange(1, 6).Draw(t, "holders") {
-			h := &lendingHolder{index: i}
+			h := &worldHolder{index: i}
 			l.holders = append(l.holders, h)
 			l.start(h)
 		}
@@ -182,7 +182,7 @@
 					l.leaders++
 					l.lender = relay.NewLender[string](l.leaders, relay.PermitLife, l.now)
 				case 3:
-					l.hear(h)
+					l.receiveLimit(h)
 				}
 			}
 			l.check()
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -21,14 +21,14 @@
 const (
 	// limitTTL is how long a limit that no answer to this VM has named counts after the leader
 	// last reported it: as long as a lease, without which this VM sends nothing.
-	limitKept = 3 * time.Second
+	limitTTL = 3 * time.Second
 	// maxPermitAsks bounds the limits in one renewal: 16 are some 0.5 KB.
-	limitAsksMost = 16
+	maxPermitAsks = 16
 	// maxLimits bounds the limits that are kept: as many as backoffs.
-	limitsMost = backoffsMost
+	maxLimits = maxBackoffs
 	// unlimitedFromPerSecond is the limit, in requests a second, from which on a target counts as
 	// unlimited: no target runs as many.
-	limitMost = 1000.0
+	unlimitedFromPerSecond = 1000.0
 )
 
 // limit is what is known of the limit of one target, and what this VM holds of it.
@@ -61,7 +61,7 @@
 // limitCounts count the outcomes of requests that wanted a target.
 type limitCounts struct {
 	// wanted counts those of the last second, and granted the permits that were received in it.
-	wanted, lent window
+	wanted, granted window
 	// used counts those that were sent, and heldBack those that found no permit.
 	used, heldBack int
 }
@@ -82,20 +82,20 @@
 // here.
 func (l *RateLimits) Hear(id TargetID, answer LimitAnswer) bool {
 	known, ok := l.byTarget[id.Key()]
-	if answer.Limited && answer.PerSecond >= limitMost {
+	if answer.Limited && answer.PerSecond >= unlimitedFromPerSecond {
 		answer.Limited, answer.PerSecond = false, 0
 	}
 	if !ok {
 		if !answer.Limited {
 			return false
 		}
-		known = l.begin(id.Key())
+		known = l.add(id.Key())
 	}
 	known.id = id
 	before, was := known.perSecond, known.limited(answer.HeardAt)
 	known.answer = known.answer.merge(answer, 0)
 	if known.answer.Limited {
-		known.lower(known.answer.PerSecond)
+		known.setRate(known.answer.PerSecond)
 	} else if !known.marked {
 		known.knownUntil = time.Time{}
 	}
@@ -111,15 +111,15 @@
 }
 
 // add begins to keep a limit.
-func (l *RateLimits) begin(key TargetKey) *limit {
+func (l *RateLimits) add(key TargetKey) *limit {
 	known := &limit{}
 	l.byTarget[key] = known
 	return known
 }
 
-// setRate sets the rate of a limit. If it is lower than before, the permits of this VM are
+// setRate sets the rate of a limit. If it is setRate than before, the permits of this VM are
 // reduced in proportion.
-func (m *limit) lower(perSecond float64) {
+func (m *limit) setRate(perSecond float64) {
 	if perSecond < m.perSecond {
 		m.left = int(float64(m.left) * perSecond / m.perSecond)
 	}
@@ -151,10 +151,10 @@
 	case !ok && !marked:
 		return
 	case !ok:
-		known = l.begin(key)
+		known = l.add(key)
 	case known.marked && !marked:
 		// A new leader does not mark the target either, until the limit is reported to it.
-		known.knownUntil = laterTime(known.knownUntil, now.Add(limitKept))
+		known.knownUntil = laterTime(known.knownUntil, now.Add(limitTTL))
 	}
 	known.marked = marked
 }
@@ -167,26 +167,26 @@
 			continue
 		}
 		if p.Over {
-			if !known.answer.Limited || known.answer.HeardAt.Add(orderMargin).Before(now) {
+			if !known.answer.Limited || known.answer.HeardAt.Add(answerOrderMargin).Before(now) {
 				delete(l.byTarget, p.Target)
 			}
 			continue
 		}
 		known.expire(now)
 		known.taken = number
-		known.lower(p.PerSecond)
+		known.setRate(p.PerSecond)
 		if until.After(now) {
 			known.left += p.Count
-			known.noteLent(p.Count, now)
+			known.noteGranted(p.Count, now)
 		}
 		known.until = laterTime(known.until, until)
-		known.knownUntil = laterTime(known.knownUntil, now.Add(limitKept))
+		known.knownUntil = laterTime(known.knownUntil, now.Add(limitTTL))
 	}
 }
 
-func (c *limitCounts) noteLent(permits int, now time.Time) {
+func (c *limitCounts) noteGranted(permits int, now time.Time) {
 	for range permits {
-		c.lent.add(now, wantedKept)
+		c.granted.add(now, demandWindow)
 	}
 }
 
@@ -198,7 +198,7 @@
 }
 
 // hasPermit reports whether a permit is left.
-func (m *limit) room(now time.Time) bool {
+func (m *limit) hasPermit(now time.Time) bool {
 	m.expire(now)
 	return m.left > 0
 }
@@ -206,14 +206,14 @@
 // Want counts a request that wants a target.
 func (l *RateLimits) Want(id TargetID, now time.Time) {
 	if m := l.of(id.Key()); m.limited(now) {
-		m.wanted.add(now, wantedKept)
+		m.wanted.add(now, demandWindow)
 	}
 }
 
 // Room reports whether a target may be sent one more request.
 func (l *RateLimits) Room(id TargetID, now time.Time) bool {
 	m := l.of(id.Key())
-	return !m.limited(now) || m.room(now)
+	return !m.limited(now) || m.hasPermit(now)
 }
 
 // Rate returns the permits of a target that this VM receives in a second: those of the last one,
@@ -226,7 +226,7 @@
 }
 
 func (m *limit) rate(vms int, now time.Time) float64 {
-	return max(float64(m.lent.total(now, wantedKept)), max(m.perSecond, limitLeast)/float64(vms))
+	return max(float64(m.granted.total(now, demandWindow)), max(m.perSecond, minLimitPerSecond)/float64(vms))
 }
 
 // Take takes a permit for one request to a target, and reports whether there is one or none is
@@ -289,12 +289,12 @@
 	l.bound()
 	var asks []PermitAsk
 	for key, m := range l.byTarget {
-		if !m.limited(now) && now.After(m.answer.HeardAt.Add(limitKept)) {
+		if !m.limited(now) && now.After(m.answer.HeardAt.Add(limitTTL)) {
 			delete(l.byTarget, key)
 			continue
 		}
 		m.expire(now)
-		wanted := m.wanted.total(now, wantedKept)
+		wanted := m.wanted.total(now, demandWindow)
 		if m.left > wanted {
 			m.returned += uint64(m.left - wanted)
 			m.left = wanted
@@ -302,17 +302,17 @@
 		asks = append(asks, PermitAsk{Target: key, Answer: m.answer, Wanted: wanted, Left: m.left + m.reserved, Taken: m.taken, Unpaid: m.unpaid, Returned: m.returned})
 	}
 	slices.SortFunc(asks, func(a, b PermitAsk) int { return cmp.Compare(a.Target, b.Target) })
-	if len(asks) > limitAsksMost {
+	if len(asks) > maxPermitAsks {
 		l.rand.Shuffle(len(asks), func(i, j int) { asks[i], asks[j] = asks[j], asks[i] })
 		slices.SortStableFunc(asks, func(a, b PermitAsk) int { return cmp.Compare(min(b.Wanted, 1), min(a.Wanted, 1)) })
-		asks = asks[:limitAsksMost]
+		asks = asks[:maxPermitAsks]
 	}
 	return asks
 }
 
 // bound keeps the number of limits within maxLimits by removing those with the oldest answers.
 func (l *RateLimits) bound() {
-	for len(l.byTarget) > limitsMost {
+	for len(l.byTarget) > maxLimits {
 		var oldest TargetKey
 		for key, m := range l.byTarget {
 			if first, ok := l.byTarget[oldest]; !ok || m.answer.HeardAt.Before(first.answer.HeardAt) {
@@ -327,7 +327,7 @@
 // answer.
 func (l *RateLimits) forget(known func(TargetKey) bool, now time.Time) {
 	for key, m := range l.byTarget {
-		if !known(key) && !now.Before(m.answer.HeardAt.Add(saidKept)) {
+		if !known(key) && !now.Before(m.answer.HeardAt.Add(noticeTTL)) {
 			delete(l.byTarget, key)
 		}
 	}
--- a/internal/relay/limits_load_test.go
+++ b/internal/relay/limits_load_test.go
@@ -16,15 +16,15 @@
 // These tests simulate entry VMs that renew with a leader, in front of one target that names a
 // limit of requests a second with each answer, without a network.
 const (
-	limitWay     = time.Millisecond
-	limitRenew   = 500 * time.Millisecond
-	limitUrgent  = 100 * time.Millisecond
-	limitGather  = 15 * time.Millisecond
-	limitFor     = 40 * time.Second
-	limitSettle  = 3 * time.Second
-	limitWindow  = 4 * time.Second
-	limitPoll    = 30 * time.Millisecond
-	limitPatient = 250 * time.Millisecond
+	limitNetworkDelay = time.Millisecond
+	limitRenew        = 500 * time.Millisecond
+	limitUrgent       = 100 * time.Millisecond
+	limitBatchDelay   = 15 * time.Millisecond
+	limitDuration     = 40 * time.Second
+	limitSettle       = 3 * time.Second
+	limitWindow       = 4 * time.Second
+	limitPoll         = 30 * time.Millisecond
+	limitMaxWait      = 250 * time.Millisecond
 )
 
 // limitCase is a load on the simulated VMs.
@@ -125,7 +125,7 @@
 	w.arrive()
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(limitEvent)
-		if e.at.After(start.Add(limitFor)) {
+		if e.at.After(start.Add(limitDuration)) {
 			return
 		}
 		w.now = e.at
@@ -154,7 +154,7 @@
 		w.send(vm)
 		return
 	}
-	if !w.waits || w.now.Sub(began) >= limitPatient {
+	if !w.waits || w.now.Sub(began) >= limitMaxWait {
 		return
 	}
 	if !w.now.Before(vm.urgentAt) {
@@ -165,10 +165,10 @@
 
 func (w *limitWorld) send(vm *limitVM) {
 	sent := w.now
-	w.at(w.now.Add(limitWay), func() {
+	w.at(w.now.Add(limitNetworkDelay), func() {
 		w.arrivals = append(w.arrivals, w.now)
 		named := w.perSecond
-		w.at(w.now.Add(limitWay), func() {
+		w.at(w.now.Add(limitNetworkDelay), func() {
 			w.served++
 			vm.limits.Hear(limitedTarget, relay.LimitAnswer{Limited: named > 0, PerSecond: named, SentAt: sent, HeardAt: w.now})
 		})
@@ -192,7 +192,7 @@
 	if w.rand.Float64() < w.lost {
 		return
 	}
-	w.at(w.now.Add(2*limitWay+time.Duration(w.rand.Int64N(int64(limitGather)))), func() { w.grant(vm, number, asks) })
+	w.at(w.now.Add(2*limitNetworkDelay+time.Duration(w.rand.Int64N(int64(limitBatchDelay)))), func() { w.grant(vm, number, asks) })
 }
 
 func (w *limitWorld) grant(vm *limitVM, number uint64, asks []relay.PermitAsk) {
@@ -206,7 +206,7 @@
 	if w.rand.Float64() < w.lost {
 		return
 	}
-	w.at(w.now.Add(2*limitWay), func() {
+	w.at(w.now.Add(2*limitNetworkDelay), func() {
 		marks := make(map[relay.TargetKey]relay.Mark)
 		for _, key := range w.lender.Limited() {
 			marks[key] = relay.MarkLimited
@@ -267,7 +267,7 @@
 		w.play()
 		from := start.Add(limitSettle)
 		require.LessOrEqual(t, float64(w.most(from)), 1.5*c.perSecond*limitWindow.Seconds()+5)
-		could := c.perSecond * (limitFor - limitSettle).Seconds()
+		could := c.perSecond * (limitDuration - limitSettle).Seconds()
 		require.GreaterOrEqual(t, float64(w.arrivedFrom(from)), 0.9*could)
 	}
 }
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -22,21 +22,21 @@
 const (
 	// minPaceEvents is the number of events after which an answer's mean pause counts as known:
 	// four pauses, since one answer in ten has no more than 13 events.
-	paceEvents = 5
+	minPaceEvents = 5
 	// pausesPerOverdue is the number of pauses of which one is longer than the multiple: a check
 	// costs a short question to each engine of a path, and with this value there is one in 22
 	// answers of 46 events.
-	overdueOne = 1000
+	pausesPerOverdue = 1000
 	// initialOverdueMultiple is the multiple until pauses have changed it: few answers of sound
 	// engines have a longer pause. minOverdueMultiple and maxOverdueMultiple bound it.
-	overdueFirst = 2.0
-	overdueLeast = 1.6
-	overdueMost  = 5.0
+	initialOverdueMultiple = 2.0
+	minOverdueMultiple     = 1.6
+	maxOverdueMultiple     = 5.0
 	// firstEventMultiple is the multiple of the recent mean after which a first event is overdue:
 	// one in a hundred takes longer.
-	firstTimes = 3.5
+	firstEventMultiple = 3.5
 	// overdueMultipleStep is what one longer pause raises it by.
-	overdueStep = 0.1
+	overdueMultipleStep = 0.1
 )
 
 // Pace is the pace of one answer so far. The zero value is that of one that has not begun.
@@ -57,7 +57,7 @@
 
 // Mean returns the mean pause between two events; zero before there are enough.
 func (p Pace) Mean() time.Duration {
-	if p.events < paceEvents {
+	if p.events < minPaceEvents {
 		return 0
 	}
 	return p.last.Sub(p.began) / time.Duration(p.events-1)
@@ -67,24 +67,24 @@
 // that is known yet.
 func (r *Router) OverdueAfter(p Pace) (time.Duration, bool) {
 	mean := p.Mean()
-	return time.Duration(r.overdue.times() * float64(mean)), mean > 0 && r.settings.Policy.Has(OverdueRepair)
+	return time.Duration(r.overdue.multiple() * float64(mean)), mean > 0 && r.settings.Policy.Has(OverdueRepair)
 }
 
 // OverdueMultiple returns the multiple of its mean after which a pause is overdue.
-func (r *Router) OverdueTimes() float64 { return r.overdue.times() }
+func (r *Router) OverdueMultiple() float64 { return r.overdue.multiple() }
 
 // FirstTaken records the time from the sending of a request to its first event.
 func (r *Router) FirstTaken(wait time.Duration) {
 	if r.firstMean.value == 0 {
 		r.firstMean.value = float64(wait)
 	}
-	r.firstMean = r.firstMean.With(float64(wait), waitWeight)
+	r.firstMean = r.firstMean.With(float64(wait), meanWeight)
 }
 
 // FirstOverdueAfter returns the time after which a first event is overdue: where prompts queue up
 // all first events take long, and no engine is at fault.
 func (r *Router) FirstOverdueAfter() time.Duration {
-	return time.Duration(firstTimes * r.firstMean.value)
+	return time.Duration(firstEventMultiple * r.firstMean.value)
 }
 
 // Paused records the pause before an event of an answer over sound engines, which moves the
@@ -99,18 +99,18 @@
 // overdueTimes estimates a high quantile of pauses, as multiples of their mean.
 type overdueTimes struct{ estimate float64 }
 
-func (o overdueTimes) times() float64 {
+func (o overdueTimes) multiple() float64 {
 	if o.estimate == 0 {
-		return overdueFirst
+		return initialOverdueMultiple
 	}
 	return o.estimate
 }
 
 // With returns the estimate after a pause.
-func (o overdueTimes) With(times float64) overdueTimes {
-	next := o.times() - overdueStep/overdueOne
-	if times > o.times() {
-		next = o.times() + overdueStep
+func (o overdueTimes) With(multiple float64) overdueTimes {
+	next := o.multiple() - overdueMultipleStep/pausesPerOverdue
+	if multiple > o.multiple() {
+		next = o.multiple() + overdueMultipleStep
 	}
-	return overdueTimes{estimate: min(max(next, overdueLeast), overdueMost)}
+	return overdueTimes{estimate: min(max(next, minOverdueMultiple), maxOverdueMultiple)}
 }
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -50,7 +50,7 @@
 	for range 5 {
 		r.Paused(pace, 2*time.Second)
 	}
-	require.Less(t, r.OverdueTimes(), 3.0)
+	require.Less(t, r.OverdueMultiple(), 3.0)
 	for i := range 20_000 {
 		pause := 50 * time.Millisecond
 		if i%20 == 0 {
@@ -58,11 +58,11 @@
 		}
 		r.Paused(pace, pause)
 	}
-	require.InDelta(t, 3, r.OverdueTimes(), 0.1)
+	require.InDelta(t, 3, r.OverdueMultiple(), 0.1)
 	for range 2_000_000 {
 		r.Paused(pace, 50*time.Millisecond)
 	}
-	require.InDelta(t, 1.6, r.OverdueTimes(), 0.1)
+	require.InDelta(t, 1.6, r.OverdueMultiple(), 0.1)
 }
 
 // When an engine dies all VMs move their answers at once: 130 of them within half a second. When
--- a/internal/relay/pause.go
+++ b/internal/relay/pause.go
@@ -24,22 +24,22 @@
 const (
 	// meanPauseShare is the part of a route's bound on pauses that the mean pause may take: the
 	// worst pause of an answer is twice its mean.
-	meanShare = 0.5
+	meanPauseShare = 0.5
 	// minHeadroom is the part of that which an empty path must leave for others to count as one
 	// whose answers can be in time.
-	roomLeast = 0.2
+	minHeadroom = 0.2
 	// maxEmptyMultiple is how many times longer than on an empty path pauses may get where none
 	// is in time: an engine whose steps take twice as long as empty ones serves half of what it
 	// could with any number of requests.
-	emptyTimes = 2.0
+	maxEmptyMultiple = 2.0
 	// waitShare is the time of a pass with the waits before it, as a multiple of the pass alone:
 	// a request reaches each stage in the middle of the previous pass. Measured answers adjust
 	// it.
 	waitShare = 1.5
 	// maxWaitMultiple bounds what measured answers may adjust it to.
-	waitMost = 8.0
+	maxWaitMultiple = 8.0
 	// meanWeight is the weight of the newest answer: 14 answers make up half.
-	waitWeight = 0.05
+	meanWeight = 0.05
 )
 
 // passTimes are the times of one pass over the stages of a path.
@@ -61,7 +61,7 @@
 }
 
 // hallWait returns how many times longer a pass takes with the waits before it in a hall.
-func (r *Router) waitOf(hall string) float64 {
+func (r *Router) hallWait(hall string) float64 {
 	if w, ok := r.waits[hall]; ok {
 		return w.value
 	}
@@ -76,10 +76,10 @@
 	if r.meanPause.value == 0 {
 		r.meanPause.value = float64(mean)
 	}
-	r.meanPause = r.meanPause.With(float64(mean), waitWeight)
+	r.meanPause = r.meanPause.With(float64(mean), meanWeight)
 	hall := p.Stages[0].hall
-	measured := min(max(float64(mean)/float64(p.pass.loaded), 1), waitMost)
-	r.waits[hall] = average{value: r.waitOf(hall)}.With(measured, waitWeight)
+	measured := min(max(float64(mean)/float64(p.pass.loaded), 1), maxWaitMultiple)
+	r.waits[hall] = average{value: r.hallWait(hall)}.With(measured, meanWeight)
 }
 
 // AnswerTime returns how long an answer of so many tokens takes by recent pauses, from its first
@@ -98,11 +98,11 @@
 	if a.Resumed || a.Route.Pause <= 0 || !r.settings.Policy.Has(PauseAdmission) {
 		return true
 	}
-	wait := r.waitOf(p.Stages[0].hall)
-	most := meanShare * float64(a.Route.Pause)
+	wait := r.hallWait(p.Stages[0].hall)
+	most := meanPauseShare * float64(a.Route.Pause)
 	empty := wait * float64(p.pass.empty)
-	if empty > (1-roomLeast)*most {
-		most = emptyTimes * empty
+	if empty > (1-minHeadroom)*most {
+		most = maxEmptyMultiple * empty
 	}
 	return wait*float64(p.pass.loaded) <= most
 }
--- a/internal/relay/permits.go
+++ b/internal/relay/permits.go
@@ -21,15 +21,15 @@
 const (
 	// urgencyRanks is the number of ranks of waiting requests: streams in the middle, and the
 	// classes of the others.
-	urgencies = 12
+	urgencyRanks = 12
 	// maxReturnDelay bounds the time after which a caller that found no permit comes back, of
 	// which returnLeast is the least: what is known of limits is out of date by then.
-	returnMost = 10 * time.Second
+	maxReturnDelay = 10 * time.Second
 )
 
 // waiters are the requests that wait for permits of the targets of one service.
 type waiters struct {
-	byUrgency [urgencies]int
+	byUrgency [urgencyRanks]int
 	// returnAt is when the last of the refused callers comes back.
 	returnAt time.Time
 }
@@ -49,11 +49,11 @@
 }
 
 // rank returns an urgency within bounds.
-func rank(urgency int) int { return min(max(urgency, 0), urgencies-1) }
+func rank(urgency int) int { return min(max(urgency, 0), urgencyRanks-1) }
 
 // Wait records that a request waits for a permit of a service's targets, until the returned
 // function is called.
-func (r *Router) Wait(service string, urgency int) (over func()) {
+func (r *Router) Wait(service string, urgency int) (done func()) {
 	w := r.waitersOf(service)
 	w.byUrgency[rank(urgency)]++
 	return func() { w.byUrgency[rank(urgency)]-- }
@@ -102,7 +102,7 @@
 	if !m.limited(now) {
 		return true
 	}
-	return a.permits && m.room(now)
+	return a.permits && m.hasPermit(now)
 }
 
 // wantPermits counts which limited targets a request wants: the one that it got, and all that
@@ -116,8 +116,8 @@
 		got = r.limits.of(chosen.First().Target.Key())
 	}
 	r.limitedMembers(service, a, now, func(m *limit) {
-		if m == got || !a.permits || !m.room(now) {
-			m.wanted.add(now, wantedKept)
+		if m == got || !a.permits || !m.hasPermit(now) {
+			m.wanted.add(now, demandWindow)
 		}
 	})
 }
@@ -203,8 +203,8 @@
 	ahead := w.ahead(rank(a.Urgency), a.Waiting)
 	w.returnAt = laterTime(w.returnAt, now.Add(returnLeast))
 	retryAt := w.returnAt.Add(gap)
-	if retryAt.After(now.Add(returnMost)) {
-		retryAt = now.Add(returnLeast + time.Duration(r.rand.Int64N(int64(returnMost-returnLeast))))
+	if retryAt.After(now.Add(maxReturnDelay)) {
+		retryAt = now.Add(returnLeast + time.Duration(r.rand.Int64N(int64(maxReturnDelay-returnLeast))))
 	}
 	return &Refusal{
 		Kind: RefusedNoRoom, RetryAt: retryAt, NotBefore: now.Add(time.Duration(ahead+1) * gap), NoPermit: true, Service: service,
--- a/internal/relay/permits_test.go
+++ b/internal/relay/permits_test.go
@@ -17,7 +17,7 @@
 }
 
 // grantPermits gives a Router permits with the grant of a number.
-func lend(r *relay.Router, number uint64, count int, ids ...relay.TargetID) {
+func grantPermits(r *relay.Router, number uint64, count int, ids ...relay.TargetID) {
 	var permits []relay.Permits
 	for _, id := range ids {
 		permits = append(permits, relay.Permits{Target: id.Key(), PerSecond: 4, Count: count})
@@ -33,7 +33,7 @@
 	for range 50 {
 		require.Equal(t, relay.TargetID("i-2"), picked(t, r, a, start))
 	}
-	lend(r, 1, 3, "i-1")
+	grantPermits(r, 1, 3, "i-1")
 	var paths []relay.Path
 	for range 20 {
 		paths = append(paths, choose(t, r, a, start))
@@ -60,7 +60,7 @@
 	asks := r.PermitAsks(start)
 	require.Len(t, asks, 1)
 	require.EqualValues(t, 1, asks[0].Unpaid)
-	lend(r, 1, 1, "i-1")
+	grantPermits(r, 1, 1, "i-1")
 	r.ChargePermit("i-1", start)
 	require.False(t, r.TakePermit("i-1", start))
 }
@@ -90,7 +90,7 @@
 	r, a := plainRouter("i-1")
 	limited(r, 4, "i-1")
 	over := r.Wait("web", 1)
-	lend(r, 1, 1, "i-1")
+	grantPermits(r, 1, 1, "i-1")
 	for name, c := range map[string]struct {
 		urgency int
 		waiting bool
--- a/internal/relay/recent.go
+++ b/internal/relay/recent.go
@@ -7,44 +7,44 @@
 // previous one is then dropped as a whole. So a value is kept for ttl, and at most twice as long,
 // unless more than capacity are added in that time. Use NewRecent.
 type Recent[T comparable] struct {
-	most       int
-	kept       time.Duration
-	young, old map[T]bool
-	turnAt     time.Time
+	capacity          int
+	ttl               time.Duration
+	current, previous map[T]bool
+	rotateAt          time.Time
 }
 
 // NewRecent returns an empty set that holds up to a capacity of values in each generation for a
 // time.
-func NewRecent[T comparable](most int, kept time.Duration) Recent[T] {
-	return Recent[T]{most: most, kept: kept, young: make(map[T]bool)}
+func NewRecent[T comparable](capacity int, ttl time.Duration) Recent[T] {
+	return Recent[T]{capacity: capacity, ttl: ttl, current: make(map[T]bool)}
 }
 
 // Add adds a value.
 func (r *Recent[T]) Add(v T, now time.Time) {
-	r.turn(now)
-	if len(r.young) >= r.most {
-		r.young, r.old = make(map[T]bool), r.young
-		r.turnAt = now.Add(r.kept)
+	r.rotate(now)
+	if len(r.current) >= r.capacity {
+		r.current, r.previous = make(map[T]bool), r.current
+		r.rotateAt = now.Add(r.ttl)
 	}
-	r.young[v] = true
+	r.current[v] = true
 }
 
 // Has reports whether a value was added recently.
 func (r *Recent[T]) Has(v T, now time.Time) bool {
-	r.turn(now)
-	return r.young[v] || r.old[v]
+	r.rotate(now)
+	return r.current[v] || r.previous[v]
 }
 
 // rotate starts new generations as their time is over.
-func (r *Recent[T]) turn(now time.Time) {
-	if now.Before(r.turnAt) {
+func (r *Recent[T]) rotate(now time.Time) {
+	if now.Before(r.rotateAt) {
 		return
 	}
-	if !now.Before(r.turnAt.Add(r.kept)) {
-		r.old = nil
+	if !now.Before(r.rotateAt.Add(r.ttl)) {
+		r.previous = nil
 	} else {
-		r.old = r.young
+		r.previous = r.current
 	}
-	r.young = make(map[T]bool)
-	r.turnAt = now.Add(r.kept)
+	r.current = make(map[T]bool)
+	r.rotateAt = now.Add(r.ttl)
 }
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -55,7 +55,9 @@
 }
 
 // sameExceptUpdate reports whether the targets differ at most in what an update contains.
-func (t Target) sameBesides(o Target) bool { return t.With(TargetUpdate{}) == o.With(TargetUpdate{}) }
+func (t Target) sameExceptUpdate(o Target) bool {
+	return t.With(TargetUpdate{}) == o.With(TargetUpdate{})
+}
 
 // Takes reports whether the target accepts new work.
 func (t Target) Takes() bool { return !t.Leaving && !t.Gone }
@@ -91,7 +93,7 @@
 type Registry struct {
 	targets map[TargetID]entry
 	// sortedIDs holds the keys of targets, sorted: they are iterated over several times a second.
-	names        []TargetID
+	sortedIDs    []TargetID
 	incarnations incarnations
 	// change is the number of the last change, for those who follow the registry.
 	change uint64
@@ -111,9 +113,9 @@
 	changed, introduced uint64
 	// ownChanged is the number of the last change for OwnSince, which includes that the target
 	// began to report to this VM.
-	turned uint64
+	ownChanged uint64
 	// direct indicates that the last report of the target came to this VM.
-	firstHand bool
+	direct bool
 	// draining indicates that a VM that received a draining notice from the target reported it to
 	// this VM.
 	draining bool
@@ -134,18 +136,18 @@
 	if !t.Gone {
 		return r.take(t, now, true)
 	}
-	news := false
-	for _, message := range r.signOff(t) {
-		news = r.take(message, now, true) || news
+	isNew := false
+	for _, message := range r.signOffs(t) {
+		isNew = r.take(message, now, true) || isNew
 	}
-	return news
+	return isNew
 }
 
 // Learn processes a report forwarded by another VM, and returns whether it is new. That of a void
 // incarnation is not.
 func (r *Registry) Learn(t Target, now time.Time) bool { return r.take(t, now, false) }
 
-func (r *Registry) take(t Target, now time.Time, firstHand bool) bool {
+func (r *Registry) take(t Target, now time.Time, direct bool) bool {
 	present, known := r.targets[t.ID]
 	next := t
 	if known {
@@ -153,7 +155,7 @@
 	}
 	differs := !known || differs(present.target, next)
 	e := present
-	e.target, e.heardAt, e.firstHand = next, now, firstHand
+	e.target, e.heardAt, e.direct = next, now, direct
 	if !known {
 		e.registered = now
 		e.withheld = r.withholds && next.isEngine()
@@ -161,33 +163,33 @@
 	late := known && t.Call <= present.target.Call
 	if late {
 		e.heardAt = present.heardAt
-		e.firstHand = present.firstHand || firstHand && differs
+		e.direct = present.direct || direct && differs
 	}
 	// A target that begins to report to this VM is sent again to other control VMs, even if its
 	// report is not new: the VM that it reported to before may have failed with its last message.
 	// Unless the target is leaving, this waits until they ask: after a loss of all VMs every
 	// target reports to another VM than before. Followers of this VM alone have been sent it.
-	turned := firstHand && !present.firstHand && !late
-	if differs || turned || known && !late && r.isSilent(present, now) {
+	reattached := direct && !present.direct && !late
+	if differs || reattached || known && !late && r.isSilent(present, now) {
 		r.change++
-		e.turned = r.change
+		e.ownChanged = r.change
 	}
-	if differs || turned && next.Leaving || known && !late && r.isSilent(present, now) {
+	if differs || reattached && next.Leaving || known && !late && r.isSilent(present, now) {
 		e.changed = r.change
 	}
 	// Those who asked for all targets while this one was silent were not sent it.
-	if !known || !present.target.sameBesides(next) || !late && r.isSilent(present, now) {
+	if !known || !present.target.sameExceptUpdate(next) || !late && r.isSilent(present, now) {
 		e.introduced = r.change
 	}
-	if at, known := slices.BinarySearch(r.names, t.ID); !known {
-		r.names = slices.Insert(r.names, at, t.ID)
+	if at, known := slices.BinarySearch(r.sortedIDs, t.ID); !known {
+		r.sortedIDs = slices.Insert(r.sortedIDs, at, t.ID)
 	}
 	r.targets[t.ID] = e
-	spokeAgain := r.refile(present.target, next, known)
-	if firstHand && !late && !t.Gone && r.targets[t.ID].void {
-		r.missSilent(next, now)
+	reappeared := r.reindex(present.target, next, known)
+	if direct && !late && !t.Gone && r.targets[t.ID].void {
+		r.noteAbsent(next, now)
 	}
-	return !r.targets[t.ID].void && (differs || turned && next.Leaving || spokeAgain || present.void)
+	return !r.targets[t.ID].void && (differs || reattached && next.Leaving || reappeared || present.void)
 }
 
 // Drain records that a target has sent another VM a draining notice with an answer, and reports
@@ -200,7 +202,7 @@
 	r.change++
 	e.target.Leaving = true
 	e.draining = true
-	e.changed, e.turned = r.change, r.change
+	e.changed, e.ownChanged = r.change, r.change
 	r.targets[id] = e
 	return true
 }
@@ -226,11 +228,11 @@
 		before := e.target
 		e.target.Call = call
 		e.heardAt = now
-		e.firstHand = false
+		e.direct = false
 		r.targets[id] = e
-		r.refile(before, e.target, true)
+		r.reindex(before, e.target, true)
 		if r.targets[id].void {
-			r.missSilent(e.target, now)
+			r.noteAbsent(e.target, now)
 		}
 	}
 }
@@ -246,13 +248,13 @@
 
 // Drop removes a target.
 func (r *Registry) Drop(id TargetID) {
-	if at, known := slices.BinarySearch(r.names, id); known {
+	if at, known := slices.BinarySearch(r.sortedIDs, id); known {
 		dropped := r.targets[id].target
-		r.names = slices.Delete(r.names, at, at+1)
+		r.sortedIDs = slices.Delete(r.sortedIDs, at, at+1)
 		delete(r.targets, id)
-		delete(r.incarnations.missed, id)
-		r.incarnations.unfile(dropped)
-		r.settle(r.incarnations.rivals(dropped))
+		delete(r.incarnations.absent, id)
+		r.incarnations.unindex(dropped)
+		r.updateVoid(r.incarnations.rivals(dropped))
 	}
 }
 
@@ -272,7 +274,7 @@
 // OwnSince returns the targets that report to this very VM, or whose draining notice was reported
 // to it, and that have changed or begun to report to it after a change.
 func (r *Registry) OwnSince(change uint64) []Target {
-	return r.find(func(e entry) bool { return max(e.changed, e.turned) > change && (e.firstHand || e.draining) })
+	return r.find(func(e entry) bool { return max(e.changed, e.ownChanged) > change && (e.direct || e.draining) })
 }
 
 // Introduced reports whether an update suffices for a receiver that has all changes up to a
@@ -285,7 +287,7 @@
 // find returns the targets that meet a condition, sorted by identity, without void incarnations.
 func (r *Registry) find(wanted func(entry) bool) []Target {
 	var targets []Target
-	for _, id := range r.names {
+	for _, id := range r.sortedIDs {
 		if e := r.targets[id]; !e.void && wanted(e) {
 			targets = append(targets, e.target)
 		}
@@ -305,8 +307,8 @@
 // HeartbeatsSince returns the heartbeats that this very VM received after a time.
 func (r *Registry) HeartbeatsSince(after time.Time) []Heartbeat {
 	var heartbeats []Heartbeat
-	for _, id := range r.names {
-		if e := r.targets[id]; !e.void && e.firstHand && e.heardAt.After(after) {
+	for _, id := range r.sortedIDs {
+		if e := r.targets[id]; !e.void && e.direct && e.heardAt.After(after) {
 			heartbeats = append(heartbeats, Heartbeat{ID: id, Call: e.target.Call})
 		}
 	}
@@ -323,7 +325,7 @@
 func (r *Registry) Silent(now time.Time, replaced time.Duration) []TargetID {
 	var silent []TargetID
 	after, replacedAfter := now.Add(-r.silence), now.Add(-replaced)
-	for _, id := range r.names {
+	for _, id := range r.sortedIDs {
 		e := r.targets[id]
 		if !e.target.Gone && (e.void || e.heardAt.Before(after) || r.replaced(e, after, replacedAfter)) {
 			silent = append(silent, id)
@@ -342,8 +344,8 @@
 		if id == e.target.ID || other.void {
 			continue
 		}
-		spokeLater := e.heardAt.Before(replacedAfter) && e.heardAt.Before(other.heardAt)
-		if other.outlives(e, after, replacedAfter) || spokeLater && !e.outlives(other, after, replacedAfter) {
+		reportedLater := e.heardAt.Before(replacedAfter) && e.heardAt.Before(other.heardAt)
+		if other.outlives(e, after, replacedAfter) || reportedLater && !e.outlives(other, after, replacedAfter) {
 			return true
 		}
 	}
@@ -352,21 +354,21 @@
 
 // outlives reports whether a target registered after another one and is alive.
 func (e entry) outlives(o entry, after, replacedAfter time.Time) bool {
-	lives := !e.heardAt.Before(after) && e.heardAt.After(e.registered)
-	return lives && e.registered.After(o.registered) && e.registered.Before(replacedAfter)
+	alive := !e.heardAt.Before(after) && e.heardAt.After(e.registered)
+	return alive && e.registered.After(o.registered) && e.registered.Before(replacedAfter)
 }
 
 // Forget removes the targets that have not reported after a time.
 func (r *Registry) Forget(after time.Time) {
-	var forgotten []Target
+	var removed []Target
 	for id, e := range r.targets {
 		if e.heardAt.Before(after) {
-			forgotten = append(forgotten, e.target)
+			removed = append(removed, e.target)
 			delete(r.targets, id)
 		}
 	}
-	r.forgetIncarnations(forgotten, after)
-	r.names = slices.DeleteFunc(r.names, func(id TargetID) bool {
+	r.removeIncarnations(removed, after)
+	r.sortedIDs = slices.DeleteFunc(r.sortedIDs, func(id TargetID) bool {
 		_, kept := r.targets[id]
 		return !kept
 	})
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -42,17 +42,17 @@
 	CrashesMost = 3
 	// quarantineTargets is the number of targets that two losses in a row have to make up: two
 	// single ones are chance, and a rack fails under the same copies once.
-	crashedTogether = 4
+	quarantineTargets = 4
 	// reportSkew is how much the delays of the reports of two VMs to the leader may differ: a run
 	// that began within it after the end of another one is taken to overlap it. Without it the
 	// failure of a rack under short copies of a request would blame them.
 	reportSkew = 100 * time.Millisecond
 	// maxSuspects bounds the requests that are suspected, and maxRunsPerSuspect the runs that are
 	// kept of each: some 400 bytes for each, 0.4 MB in all.
-	suspectsMost = 1024
-	suspectRuns  = 8
+	maxSuspects       = 1024
+	maxRunsPerSuspect = 8
 	// suspectTTL is how long after its last run a request is suspected.
-	suspectKept = time.Hour
+	suspectTTL = time.Hour
 )
 
 // CrashedRun is a run of a request without any output before its target ended. Its times are by
@@ -68,12 +68,12 @@
 	// runs are the oldest and the newest crashed ones, by their ends.
 	runs []CrashedRun
 	// succeededAt is when a target last ran it successfully, zero for never.
-	ranWellAt time.Time
+	succeededAt time.Time
 }
 
 // lastSeen returns the end of the newest run of the request.
-func (s suspect) lastAt() time.Time {
-	last := s.ranWellAt
+func (s suspect) lastSeen() time.Time {
+	last := s.succeededAt
 	if len(s.runs) > 0 && s.runs[len(s.runs)-1].Ended.After(last) {
 		last = s.runs[len(s.runs)-1].Ended
 	}
@@ -89,39 +89,39 @@
 // Take records a run, and reports whether its request is to be put into quarantine.
 func (s *Suspects) Take(run CrashedRun) bool {
 	known := s.get(run.Request, run.Ended)
-	if !run.Ended.After(known.ranWellAt) || slices.ContainsFunc(known.runs, func(o CrashedRun) bool { return o.Target == run.Target }) {
-		return known.endsTargets()
+	if !run.Ended.After(known.succeededAt) || slices.ContainsFunc(known.runs, func(o CrashedRun) bool { return o.Target == run.Target }) {
+		return known.crashesTargets()
 	}
 	runs := append(slices.Clip(known.runs), run)
 	slices.SortFunc(runs, func(a, b CrashedRun) int { return a.Ended.Compare(b.Ended) })
-	if len(runs) > suspectRuns {
+	if len(runs) > maxRunsPerSuspect {
 		// The oldest ones stay beside the newest: a burst of ends is one loss, earlier ones may
 		// be another.
-		runs = slices.Delete(runs, suspectRuns/2, suspectRuns/2+1)
+		runs = slices.Delete(runs, maxRunsPerSuspect/2, maxRunsPerSuspect/2+1)
 	}
 	known.runs = runs
 	s.known[run.Request] = known
-	return known.endsTargets()
+	return known.crashesTargets()
 }
 
 // get returns what is known of a request, and makes room for one that is not known yet.
 func (s *Suspects) get(request Fingerprint, now time.Time) suspect {
 	known, ok := s.known[request]
-	if !ok && len(s.known) >= suspectsMost {
+	if !ok && len(s.known) >= maxSuspects {
 		s.forget(now)
 	}
 	return known
 }
 
 // crashesTargets reports whether the runs show that the request crashes the targets that run it.
-func (s suspect) endsTargets() bool {
-	losses := oneAfterTheOther(s.runs)
-	return losses >= CrashesMost || losses > 1 && len(s.runs) >= crashedTogether
+func (s suspect) crashesTargets() bool {
+	losses := sequentialLosses(s.runs)
+	return losses >= CrashesMost || losses > 1 && len(s.runs) >= quarantineTargets
 }
 
 // sequentialLosses returns the greatest number of runs, sorted by their ends, of which each began
 // after the end of the one before.
-func oneAfterTheOther(runs []CrashedRun) int {
+func sequentialLosses(runs []CrashedRun) int {
 	count := 0
 	var ended time.Time
 	for _, r := range runs {
@@ -138,10 +138,10 @@
 // longer counts, whether its report arrived already or comes later.
 func (s *Suspects) Clear(request Fingerprint, at time.Time) {
 	known := s.get(request, at)
-	if at.After(known.ranWellAt) {
-		known.ranWellAt = at
+	if at.After(known.succeededAt) {
+		known.succeededAt = at
 	}
-	known.runs = slices.DeleteFunc(slices.Clone(known.runs), func(r CrashedRun) bool { return !r.Ended.After(known.ranWellAt) })
+	known.runs = slices.DeleteFunc(slices.Clone(known.runs), func(r CrashedRun) bool { return !r.Ended.After(known.succeededAt) })
 	s.known[request] = known
 }
 
@@ -165,8 +165,8 @@
 	var oldest Fingerprint
 	var oldestEnd time.Time
 	for request, known := range s.known {
-		last := known.lastAt()
-		if !now.Before(last.Add(suspectKept)) {
+		last := known.lastSeen()
+		if !now.Before(last.Add(suspectTTL)) {
 			delete(s.known, request)
 			continue
 		}
@@ -174,7 +174,7 @@
 			oldest, oldestEnd = request, last
 		}
 	}
-	if len(s.known) >= suspectsMost {
+	if len(s.known) >= maxSuspects {
 		delete(s.known, oldest)
 	}
 }
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -48,10 +48,10 @@
 const (
 	// maxHerdVMs bounds how many other VMs are assumed to have acted as this one did since the
 	// last report on them: with more, one request of this VM's own would weigh too much.
-	herdMost = 10
+	maxHerdVMs = 10
 	// herdTolerance is how many requests more than before are chance: at ten requests a second a
 	// VM begins and ends about two between two reports.
-	herdUsual = 2
+	herdTolerance = 2
 )
 
 // load is the work in flight at a target, as far as is known or likely. The report on the other
@@ -65,11 +65,11 @@
 		return t.own.Times(r.vms)
 	}
 	load := t.own.Plus(t.others)
-	more := t.own.Requests - t.ownReported.Requests - herdUsual
+	more := t.own.Requests - t.ownReported.Requests - herdTolerance
 	if more <= 0 || !r.settings.Policy.Has(HerdGuess) {
 		return load
 	}
-	herd := min(r.vms-1, herdMost)
+	herd := min(r.vms-1, maxHerdVMs)
 	load.Requests += herd * more
 	load.Tokens += herd * more * t.own.Tokens / t.own.Requests
 	return load
