--- a/internal/relay/backoffs_load_test.go
+++ b/internal/relay/backoffs_load_test.go
@@ -267,7 +267,7 @@
 	turnedAwayMost = 0.1
 )
 
-// servable returns how many requests the targets servable run, at most all that are asked.
+// servable returns how many requests the targets could run, at most all that are asked.
 func (c backoffCase) servable(asked int) float64 {
 	perSecond := backoffSlots / backoffWork.Seconds()
 	availableSeconds := backoffTargets*backoffDuration.Seconds() - float64(c.sheds)*c.shedFor.Seconds()
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -117,7 +117,7 @@
 	return known
 }
 
-// setRate sets the rate of a limit. If it is setRate than before, the permits of this VM are
+// setRate sets the rate of a limit. If it is lower than before, the permits of this VM are
 // reduced in proportion.
 func (m *limit) setRate(perSecond float64) {
 	if perSecond < m.perSecond {
