--- a/internal/relay/lender_test.go
+++ b/internal/relay/lender_test.go
@@ -38,19 +38,19 @@
 const holderLease = 3 * time.Second
 
 type askInTransit struct {
-	leader uint64
-	from   *worldHolder
-	of     int
-	name   string
-	number uint64
-	asks   []relay.PermitAsk
+	leader      uint64
+	from        *worldHolder
+	incarnation int
+	name        string
+	number      uint64
+	asks        []relay.PermitAsk
 }
 
 type grantInTransit struct {
-	to      *worldHolder
-	of      int
-	number  uint64
-	permits []relay.Permits
+	to          *worldHolder
+	incarnation int
+	number      uint64
+	permits     []relay.Permits
 }
 
 func (h *worldHolder) name() string { return fmt.Sprintf("vm-%d.%d", h.index, h.incarnation) }
@@ -79,7 +79,7 @@
 func (l *permitWorld) renew(h *worldHolder) {
 	h.number++
 	h.renewed[h.number] = l.now
-	l.asks = append(l.asks, askInTransit{leader: l.leaders, from: h, of: h.incarnation, name: h.name(), number: h.number, asks: h.limits.Asks(l.now)})
+	l.asks = append(l.asks, askInTransit{leader: l.leaders, from: h, incarnation: h.incarnation, name: h.name(), number: h.number, asks: h.limits.Asks(l.now)})
 }
 
 // deliver delivers some ask to its leader, and may leave a copy in transit.
@@ -101,7 +101,7 @@
 			permits = append(permits, p)
 		}
 	}
-	l.grants = append(l.grants, grantInTransit{to: a.from, of: a.of, number: a.number, permits: permits})
+	l.grants = append(l.grants, grantInTransit{to: a.from, incarnation: a.incarnation, number: a.number, permits: permits})
 }
 
 func (l *permitWorld) grant() {
@@ -113,7 +113,7 @@
 	if !rapid.Bool().Draw(l.t, "again") {
 		l.grants = append(l.grants[:i], l.grants[i+1:]...)
 	}
-	if g.of != g.to.incarnation || l.frozen(g.to) {
+	if g.incarnation != g.to.incarnation || l.frozen(g.to) {
 		return
 	}
 	if until := g.to.renewed[g.number].Add(holderLease); until.After(g.to.leaseUntil) {
--- a/internal/relay/notice.go
+++ b/internal/relay/notice.go
@@ -29,8 +29,8 @@
 
 // LimitAnswer returns what the answer to a request that was sent at a time states about a limit,
 // and whether it states anything.
-func (n Notice) LimitAnswer(sentAt, heardAt time.Time) (LimitAnswer, bool) {
-	return LimitAnswer{Limited: n.Limited, PerSecond: n.Limit, SentAt: sentAt, HeardAt: heardAt}, n.Limited || n.Unlimited
+func (n Notice) LimitAnswer(sentAt, receivedAt time.Time) (LimitAnswer, bool) {
+	return LimitAnswer{Limited: n.Limited, PerSecond: n.Limit, SentAt: sentAt, HeardAt: receivedAt}, n.Limited || n.Unlimited
 }
 
 // said is the state from notices of targets to this VM, by incarnation: it outlasts the rest of
--- a/internal/relay/permits_test.go
+++ b/internal/relay/permits_test.go
@@ -161,24 +161,24 @@
 func TestLaterLimitAnswerCounts(t *testing.T) {
 	const id = relay.TargetID("i-1@5")
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
-	says := func(perSecond float64, sent, heard int) relay.LimitAnswer {
+	answer := func(perSecond float64, sent, heard int) relay.LimitAnswer {
 		return relay.LimitAnswer{Limited: perSecond > 0, PerSecond: perSecond, SentAt: at(sent), HeardAt: at(heard)}
 	}
 	cases := map[string]struct {
 		answers []relay.LimitAnswer
 		want    float64
 	}{
-		"named":                              {answers: []relay.LimitAnswer{says(4, 0, 10)}, want: 4},
-		"not named after that":               {answers: []relay.LimitAnswer{says(4, 0, 10), says(0, 11, 20)}},
-		"an older request's answer":          {answers: []relay.LimitAnswer{says(4, 0, 10), says(0, 5, 20)}, want: 4},
-		"raised":                             {answers: []relay.LimitAnswer{says(4, 0, 10), says(8, 11, 20)}, want: 8},
-		"raised, order not known":            {answers: []relay.LimitAnswer{says(4, 0, 10), says(8, 5, 20)}, want: 4},
-		"lowered, order not known":           {answers: []relay.LimitAnswer{says(8, 0, 10), says(4, 5, 20)}, want: 4},
-		"over, and named again":              {answers: []relay.LimitAnswer{says(4, 0, 10), says(0, 11, 20), says(3, 21, 30)}, want: 3},
-		"late answer after the end":          {answers: []relay.LimitAnswer{says(0, 11, 20), says(4, 0, 21)}, want: 4},
-		"more than any target runs":          {answers: []relay.LimitAnswer{says(1e6, 0, 10)}},
-		"the rate of one request in 10 s":    {answers: []relay.LimitAnswer{says(0.1, 0, 10)}, want: 0.1},
-		"more than any target runs, after 4": {answers: []relay.LimitAnswer{says(4, 0, 10), says(1e6, 11, 20)}},
+		"named":                              {answers: []relay.LimitAnswer{answer(4, 0, 10)}, want: 4},
+		"not named after that":               {answers: []relay.LimitAnswer{answer(4, 0, 10), answer(0, 11, 20)}},
+		"an older request's answer":          {answers: []relay.LimitAnswer{answer(4, 0, 10), answer(0, 5, 20)}, want: 4},
+		"raised":                             {answers: []relay.LimitAnswer{answer(4, 0, 10), answer(8, 11, 20)}, want: 8},
+		"raised, order not known":            {answers: []relay.LimitAnswer{answer(4, 0, 10), answer(8, 5, 20)}, want: 4},
+		"lowered, order not known":           {answers: []relay.LimitAnswer{answer(8, 0, 10), answer(4, 5, 20)}, want: 4},
+		"over, and named again":              {answers: []relay.LimitAnswer{answer(4, 0, 10), answer(0, 11, 20), answer(3, 21, 30)}, want: 3},
+		"late answer after the end":          {answers: []relay.LimitAnswer{answer(0, 11, 20), answer(4, 0, 21)}, want: 4},
+		"more than any target runs":          {answers: []relay.LimitAnswer{answer(1e6, 0, 10)}},
+		"the rate of one request in 10 s":    {answers: []relay.LimitAnswer{answer(0.1, 0, 10)}, want: 0.1},
+		"more than any target runs, after 4": {answers: []relay.LimitAnswer{answer(4, 0, 10), answer(1e6, 11, 20)}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -105,9 +105,9 @@
 
 type entry struct {
 	target Target
-	// heardAt is when any VM last received a report of the target, as far as is known here, and
+	// reportedAt is when any VM last received a report of the target, as far as is known here, and
 	// registered when the target was first known here.
-	heardAt, registered time.Time
+	reportedAt, registered time.Time
 	// changed is the number of the last change of target, and introduced that of the last one
 	// that an update does not cover.
 	changed, introduced uint64
@@ -155,14 +155,14 @@
 	}
 	differs := !known || differs(present.target, next)
 	e := present
-	e.target, e.heardAt, e.direct = next, now, direct
+	e.target, e.reportedAt, e.direct = next, now, direct
 	if !known {
 		e.registered = now
 		e.withheld = r.withholds && next.isEngine()
 	}
 	late := known && t.Call <= present.target.Call
 	if late {
-		e.heardAt = present.heardAt
+		e.reportedAt = present.reportedAt
 		e.direct = present.direct || direct && differs
 	}
 	// A target that begins to report to this VM is sent again to other control VMs, even if its
@@ -209,7 +209,7 @@
 
 // isSilent reports whether a target counts as lost: it is not sent to those who ask for all
 // targets, so that its next message is new to them.
-func (r *Registry) isSilent(e entry, now time.Time) bool { return now.Sub(e.heardAt) > r.silence }
+func (r *Registry) isSilent(e entry, now time.Time) bool { return now.Sub(e.reportedAt) > r.silence }
 
 // differs compares all but the number of the message.
 func differs(a, b Target) bool {
@@ -227,7 +227,7 @@
 		}
 		before := e.target
 		e.target.Call = call
-		e.heardAt = now
+		e.reportedAt = now
 		e.direct = false
 		r.targets[id] = e
 		r.reindex(before, e.target, true)
@@ -308,7 +308,7 @@
 func (r *Registry) HeartbeatsSince(after time.Time) []Heartbeat {
 	var heartbeats []Heartbeat
 	for _, id := range r.sortedIDs {
-		if e := r.targets[id]; !e.void && e.direct && e.heardAt.After(after) {
+		if e := r.targets[id]; !e.void && e.direct && e.reportedAt.After(after) {
 			heartbeats = append(heartbeats, Heartbeat{ID: id, Call: e.target.Call})
 		}
 	}
@@ -327,7 +327,7 @@
 	after, replacedAfter := now.Add(-r.silence), now.Add(-replaced)
 	for _, id := range r.sortedIDs {
 		e := r.targets[id]
-		if !e.target.Gone && (e.void || e.heardAt.Before(after) || r.replaced(e, after, replacedAfter)) {
+		if !e.target.Gone && (e.void || e.reportedAt.Before(after) || r.replaced(e, after, replacedAfter)) {
 			silent = append(silent, id)
 		}
 	}
@@ -344,7 +344,7 @@
 		if id == e.target.ID || other.void {
 			continue
 		}
-		reportedLater := e.heardAt.Before(replacedAfter) && e.heardAt.Before(other.heardAt)
+		reportedLater := e.reportedAt.Before(replacedAfter) && e.reportedAt.Before(other.reportedAt)
 		if other.outlives(e, after, replacedAfter) || reportedLater && !e.outlives(other, after, replacedAfter) {
 			return true
 		}
@@ -354,7 +354,7 @@
 
 // outlives reports whether a target registered after another one and is alive.
 func (e entry) outlives(o entry, after, replacedAfter time.Time) bool {
-	alive := !e.heardAt.Before(after) && e.heardAt.After(e.registered)
+	alive := !e.reportedAt.Before(after) && e.reportedAt.After(e.registered)
 	return alive && e.registered.After(o.registered) && e.registered.Before(replacedAfter)
 }
 
@@ -362,7 +362,7 @@
 func (r *Registry) Forget(after time.Time) {
 	var removed []Target
 	for id, e := range r.targets {
-		if e.heardAt.Before(after) {
+		if e.reportedAt.Before(after) {
 			removed = append(removed, e.target)
 			delete(r.targets, id)
 		}
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -17,8 +17,8 @@
 // tell that the target has: see daemon/endings.go. A run with output is not counted, since a
 // request that crashes its target does so as it begins. The leader gathers the reports of all VMs
 // by fingerprint. Runs that overlap in time are one loss: copies of one request that run on all
-// engines of a rack end together when the rack fails, and that says no more of the request than
-// the end of one of them. A request with CrashesMost losses, one after the other, or with two
+// engines of a rack end together when the rack fails, which is no more evidence against it
+// than the end of one of them. A request with CrashesMost losses, one after the other, or with two
 // losses of quarantineTargets targets in all, and no answer anywhere between, is put into
 // quarantine, which is replicated with the configuration: a VM accepts no work without a lease,
 // and a lease brings it to the newest revision. A complete answer anywhere clears the request.
