--- a/internal/relay/backoffs.go
+++ b/internal/relay/backoffs.go
@@ -175,13 +175,13 @@
 	return slices.ContainsFunc(r.members[service], begins) && r.coveredBy(r.services[service], available)
 }
 
-// ComeBack returns when the caller of a request that no target accepted is to come back: at once,
-// or after a backoff if that is what keeps it from other targets.
-func (r *Router) ComeBack(service string, atOnce time.Duration, now time.Time) time.Time {
+// ComeBack returns when the caller of a request that no target accepted is to come back: after a
+// delay, or after a backoff if that is what keeps it from other targets.
+func (r *Router) ComeBack(service string, delay time.Duration, now time.Time) time.Time {
 	a := Ask{}
 	a.permits = r.permitsFor(service, a, now)
 	if refusal := r.noRoom(service, a, now); !refusal.NotBefore.IsZero() {
 		return refusal.RetryAt
 	}
-	return now.Add(atOnce)
+	return now.Add(delay)
 }
--- a/internal/relay/backoffs_load_test.go
+++ b/internal/relay/backoffs_load_test.go
@@ -20,7 +20,7 @@
 	backoffSlots          = 6
 	backoffQueue          = 24
 	backoffWork           = 30 * time.Millisecond
-	backoffLength         = 3 * time.Second
+	requestedBackoff      = 3 * time.Second
 	backoffNetworkDelay   = time.Millisecond
 	backoffDuration       = 20 * time.Second
 	backoffShedFrom       = 2 * time.Second
@@ -211,7 +211,7 @@
 		w.duringBackoff++
 	}
 	if target.sheds(w.now) || len(target.waiting) >= backoffQueue {
-		target.asked[c.vm] = [2]time.Time{w.now, w.now.Add(backoffLength)}
+		target.asked[c.vm] = [2]time.Time{w.now, w.now.Add(requestedBackoff)}
 		w.turnedAway++
 		w.at(w.now.Add(backoffNetworkDelay), func() { w.refusedByTarget(c) })
 		return
@@ -251,7 +251,7 @@
 	r := w.vms[c.vm]
 	id := c.path.First().Target
 	r.Release(c.path, false)
-	r.Backoff(id, w.now.Add(backoffLength), w.now)
+	r.Backoff(id, w.now.Add(requestedBackoff), w.now)
 	c.avoid = append(c.avoid, id)
 	if c.sent < c.most {
 		w.ask(c)
--- a/internal/relay/holding.go
+++ b/internal/relay/holding.go
@@ -147,37 +147,37 @@
 
 // Reserve adds bytes to what is reserved for a holding, or none if there is no room for them. It
 // returns the holdings that are evicted to make room.
-func (h *Holdings) Reserve(id HoldingID, s Side, bytes int64, now time.Time) (ok bool, ends []HoldingID) {
+func (h *Holdings) Reserve(id HoldingID, s Side, bytes int64, now time.Time) (ok bool, evicted []HoldingID) {
 	one, known := h.all[id]
 	if !known {
 		return false, nil
 	}
-	room, ends := h.makeRoom(id, bytes, h.bound-h.total(), now)
+	room, evicted := h.makeRoom(id, bytes, h.bound-h.total(), now)
 	if room < bytes {
-		return false, ends
+		return false, evicted
 	}
 	one.reserved[s] += bytes
 	h.reserved[s] += bytes
-	return true, ends
+	return true, evicted
 }
 
 // Put adds bytes of an answer that its caller has not read, as many as there is room for. It
 // returns their number and the holdings that are evicted to make room.
-func (h *Holdings) Put(id HoldingID, bytes int64, now time.Time) (taken int64, ends []HoldingID) {
+func (h *Holdings) Put(id HoldingID, bytes int64, now time.Time) (taken int64, evicted []HoldingID) {
 	one, known := h.all[id]
 	if !known {
 		return 0, nil
 	}
 	wanted := min(bytes, h.terms.Each-one.unread)
 	free := min(h.bound-h.total(), int64(unreadShare*float64(h.bound))-h.unread)
-	room, ends := h.makeRoom(id, wanted, free, now)
+	room, evicted := h.makeRoom(id, wanted, free, now)
 	taken = max(min(wanted, room), 0)
 	if taken > 0 && one.unread == 0 {
 		h.behind++
 	}
 	one.unread += taken
 	h.unread += taken
-	return taken, ends
+	return taken, evicted
 }
 
 // Read records that a caller reads, and that bytes of its answer need no longer be held.
@@ -211,7 +211,7 @@
 
 // makeRoom evicts holdings until there is room for bytes, or none is left that may be evicted,
 // and returns the room. If all of them together would not make enough, none is evicted.
-func (h *Holdings) makeRoom(id HoldingID, bytes, free int64, now time.Time) (room int64, ends []HoldingID) {
+func (h *Holdings) makeRoom(id HoldingID, bytes, free int64, now time.Time) (room int64, evicted []HoldingID) {
 	if free >= bytes || bytes <= 0 {
 		return free, nil
 	}
@@ -223,15 +223,15 @@
 		})
 		candidates = slices.DeleteFunc(candidates, func(c unreadCost) bool { return c.id == first.id })
 		room += h.all[first.id].unread
-		ends = append(ends, first.id)
+		evicted = append(evicted, first.id)
 	}
 	if room < bytes {
 		return free, nil
 	}
-	for _, e := range ends {
+	for _, e := range evicted {
 		h.Close(e)
 	}
-	return room, ends
+	return room, evicted
 }
 
 // unreadCost is a holding that may be evicted, with its cost to the others: its unread bytes
@@ -257,17 +257,17 @@
 // EndOverdue ends the holdings whose callers have read nothing for HoldingTerms.Unread, and
 // returns them, sorted.
 func (h *Holdings) EndOverdue(now time.Time) []HoldingID {
-	var ends []HoldingID
+	var overdue []HoldingID
 	for id, one := range h.all {
 		if one.unread > 0 && !one.blockedAt.IsZero() && now.Sub(one.blockedAt) >= h.terms.Unread {
-			ends = append(ends, id)
+			overdue = append(overdue, id)
 		}
 	}
-	for _, id := range ends {
+	for _, id := range overdue {
 		h.Close(id)
 	}
-	slices.Sort(ends)
-	return ends
+	slices.Sort(overdue)
+	return overdue
 }
 
 // Memory is what a VM may use and what it uses beside its holdings, in bytes.
--- a/internal/relay/incarnation.go
+++ b/internal/relay/incarnation.go
@@ -157,9 +157,9 @@
 	}
 }
 
-// rivals returns the incarnations of which at most one runs beside a target: those of its name,
+// conflicting returns the incarnations of which at most one runs beside a target: those of its name,
 // and those at its address.
-func (l *incarnations) rivals(t Target) []TargetID {
+func (l *incarnations) conflicting(t Target) []TargetID {
 	all := l.byName[t.ID.Name()]
 	if t.Address == "" {
 		return all
@@ -200,7 +200,7 @@
 		delete(r.incarnations.absent, after.ID)
 		r.markChanged(after.ID)
 	}
-	r.updateVoid(r.incarnations.rivals(after))
+	r.updateVoid(r.incarnations.conflicting(after))
 	return reappeared
 }
 
@@ -242,7 +242,7 @@
 // voidedBy returns the incarnation with the latest start that voids a target, if there is one.
 func (r *Registry) voidedBy(t Target) (by TargetID, void bool) {
 	latest := t.ID.Born()
-	for _, id := range r.incarnations.rivals(t) {
+	for _, id := range r.incarnations.conflicting(t) {
 		if born := id.Born(); born > latest && !r.isAbsent(r.targets[id].target) {
 			by, latest, void = id, born, true
 		}
@@ -254,7 +254,7 @@
 // reported, to this VM or to another one that forwards all heartbeats to it.
 func (r *Registry) noteAbsent(t Target, now time.Time) {
 	noted := false
-	for _, id := range r.incarnations.rivals(t) {
+	for _, id := range r.incarnations.conflicting(t) {
 		e := r.targets[id]
 		if id.Born() <= t.ID.Born() || !r.isSilent(e, now) || r.isAbsent(e.target) {
 			continue
@@ -263,7 +263,7 @@
 		noted = true
 	}
 	if noted {
-		r.updateVoid(r.incarnations.rivals(t))
+		r.updateVoid(r.incarnations.conflicting(t))
 	}
 }
 
@@ -275,7 +275,7 @@
 	}
 	r.incarnations.absent[m.ID] = absence{call: m.Call, at: now}
 	if known {
-		r.updateVoid(r.incarnations.rivals(e.target))
+		r.updateVoid(r.incarnations.conflicting(e.target))
 	}
 }
 
@@ -346,7 +346,7 @@
 		}
 	}
 	for _, t := range removed {
-		r.updateVoid(r.incarnations.rivals(t))
+		r.updateVoid(r.incarnations.conflicting(t))
 	}
 }
 
--- a/internal/relay/incarnation_test.go
+++ b/internal/relay/incarnation_test.go
@@ -93,7 +93,7 @@
 		"from a control VM":    func(r *relay.Registry, now time.Time) bool { return r.Learn(heartbeatOf(100, 60), now) },
 		"third incarnation":    func(r *relay.Registry, now time.Time) bool { return r.Hear(heartbeatOf(50, 3), now) },
 		"without a start":      func(r *relay.Registry, now time.Time) bool { return r.Hear(heartbeatOf(0, 3), now) },
-		"forwarded beat": func(r *relay.Registry, now time.Time) bool {
+		"forwarded heartbeat": func(r *relay.Registry, now time.Time) bool {
 			r.Alive(incarnationIDs(100)[0], 60, now)
 			return false
 		},
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -135,17 +135,17 @@
 // are unlimited.
 func (l *RateLimits) TakeMarks(marks map[TargetKey]Mark, whole bool, now time.Time) {
 	for key, m := range marks {
-		l.mark(key, m.Has(MarkLimited), now)
+		l.setMarked(key, m.Has(MarkLimited), now)
 	}
 	if !whole {
 		return
 	}
 	for key := range l.byTarget {
-		l.mark(key, marks[key].Has(MarkLimited), now)
+		l.setMarked(key, marks[key].Has(MarkLimited), now)
 	}
 }
 
-func (l *RateLimits) mark(key TargetKey, marked bool, now time.Time) {
+func (l *RateLimits) setMarked(key TargetKey, marked bool, now time.Time) {
 	known, ok := l.byTarget[key]
 	switch {
 	case !ok && !marked:
--- a/internal/relay/pause_test.go
+++ b/internal/relay/pause_test.go
@@ -10,9 +10,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// filled admits requests until one is refused, and returns how many there were. If measured is
-// set, answers have been measured to pause that long.
-func filled(t *testing.T, bound time.Duration, measured time.Duration) int {
+// admitted returns how many requests are admitted before one is refused. If measured is set,
+// answers have been measured to pause that long.
+func admitted(t *testing.T, bound time.Duration, measured time.Duration) int {
 	t.Helper()
 	r, route := newRouter(nil)
 	r.TakeOthers(nil, true)
@@ -38,25 +38,25 @@
 // Engines were filled up to their memory while every answer there was late: pauses of 150 to 200
 // ms on average, for ten seconds, where the bound is 200 ms.
 func TestAdmissionKeepsAnswersInTime(t *testing.T) {
-	free := filled(t, 0, 0)
-	require.Less(t, filled(t, 12*time.Millisecond, 0), free/2)
-	require.Equal(t, free, filled(t, time.Second, 0))
+	free := admitted(t, 0, 0)
+	require.Less(t, admitted(t, 12*time.Millisecond, 0), free/2)
+	require.Equal(t, free, admitted(t, time.Second, 0))
 }
 
 // Pauses that are longer than forecast make the VM admit fewer.
 func TestMeasuredPausesCorrectForecast(t *testing.T) {
-	require.Less(t, filled(t, 30*time.Millisecond, 40*time.Millisecond), filled(t, 30*time.Millisecond, 0))
+	require.Less(t, admitted(t, 30*time.Millisecond, 40*time.Millisecond), admitted(t, 30*time.Millisecond, 0))
 }
 
 // A hall in which no answer can be in time still serves late ones.
 func TestSlowHallsStillServe(t *testing.T) {
-	require.Greater(t, filled(t, time.Millisecond, 0), 50)
+	require.Greater(t, admitted(t, time.Millisecond, 0), 50)
 }
 
 // An absurd measurement neither closes a hall nor fills it without bound.
 func TestForecastStaysWithinBounds(t *testing.T) {
-	require.Positive(t, filled(t, 50*time.Millisecond, time.Hour))
-	require.LessOrEqual(t, filled(t, 50*time.Millisecond, time.Nanosecond), filled(t, 0, 0))
+	require.Positive(t, admitted(t, 50*time.Millisecond, time.Hour))
+	require.LessOrEqual(t, admitted(t, 50*time.Millisecond, time.Nanosecond), admitted(t, 0, 0))
 }
 
 // A request that has a part of its answer continues, also where others are refused.
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -254,7 +254,7 @@
 		delete(r.targets, id)
 		delete(r.incarnations.absent, id)
 		r.incarnations.unindex(dropped)
-		r.updateVoid(r.incarnations.rivals(dropped))
+		r.updateVoid(r.incarnations.conflicting(dropped))
 	}
 }
 
--- a/internal/relay/suspects_test.go
+++ b/internal/relay/suspects_test.go
@@ -90,7 +90,7 @@
 			began := rapid.IntRange(0, 1000).Draw(t, "began")
 			return crashed("a", rapid.IntRange(1, 1000).Draw(t, "target"), began, began+rapid.IntRange(1, 300).Draw(t, "took"))
 		}), 1, 8, func(r relay.CrashedRun) relay.TargetKey { return r.Target }).Draw(t, "runs")
-		count := func(runs []relay.CrashedRun) bool {
+		quarantined := func(runs []relay.CrashedRun) bool {
 			s := relay.NewSuspects()
 			got := false
 			for _, r := range runs {
@@ -98,7 +98,7 @@
 			}
 			return got
 		}
-		require.Equal(t, count(runs), count(append(rapid.Permutation(runs).Draw(t, "again"), runs...)))
+		require.Equal(t, quarantined(runs), quarantined(append(rapid.Permutation(runs).Draw(t, "again"), runs...)))
 	})
 }
 
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -65,13 +65,13 @@
 		return t.own.Times(r.vms)
 	}
 	load := t.own.Plus(t.others)
-	more := t.own.Requests - t.ownReported.Requests - herdTolerance
-	if more <= 0 || !r.settings.Policy.Has(HerdGuess) {
+	excess := t.own.Requests - t.ownReported.Requests - herdTolerance
+	if excess <= 0 || !r.settings.Policy.Has(HerdGuess) {
 		return load
 	}
 	herd := min(r.vms-1, maxHerdVMs)
-	load.Requests += herd * more
-	load.Tokens += herd * more * t.own.Tokens / t.own.Requests
+	load.Requests += herd * excess
+	load.Tokens += herd * excess * t.own.Tokens / t.own.Requests
 	return load
 }
 
