--- a/internal/relay/incarnation.go
+++ b/internal/relay/incarnation.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// conflicting returns the incarnations of which at most one runs beside a target: those of its name,
-// and those at its address.
+// conflicting returns the incarnations of which at most one runs beside a target: those of its
+// name, and those at its address.
 func (l *incarnations) conflicting(t Target) []TargetID {
 	all := l.byName[t.ID.Name()]
 	if t.Address == "" {
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -105,8 +105,8 @@
 
 type entry struct {
 	target Target
-	// reportedAt is when any VM last received a report of the target, as far as is known here, and
-	// registered when the target was first known here.
+	// reportedAt is when any VM last received a report of the target, as far as is known here,
+	// and registered when the target was first known here.
 	reportedAt, registered time.Time
 	// changed is the number of the last change of target, and introduced that of the last one
 	// that an update does not cover.
