--- a/internal/relay/backoffs_load_test.go
+++ b/internal/relay/backoffs_load_test.go
@@ -12,26 +12,27 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// The world of these tests: entry VMs before the three targets of a plain service, without a
-// network. Targets that turn a request away ask its VM to back off.
+// These tests simulate entry VMs in front of the three targets of a plain service, without a
+// network. Targets that refuse a request ask its VM to back off.
 const (
-	backoffVMs      = 10
-	backoffTargets  = 3
-	backoffSlots    = 6
-	backoffQueue    = 24
-	backoffWork     = 30 * time.Millisecond
-	backoffLength   = 3 * time.Second
-	backoffWay      = time.Millisecond
-	backoffFor      = 20 * time.Second
-	backoffShedFrom = 2 * time.Second
-	backoffAim      = 150 * time.Millisecond
-	backoffSlack    = 500 * time.Millisecond
-	backoffTold     = 500 * time.Millisecond
+	backoffVMs            = 10
+	backoffTargets        = 3
+	backoffSlots          = 6
+	backoffQueue          = 24
+	backoffWork           = 30 * time.Millisecond
+	requestedBackoff      = 3 * time.Second
+	backoffNetworkDelay   = time.Millisecond
+	backoffDuration       = 20 * time.Second
+	backoffShedFrom       = 2 * time.Second
+	backoffLatencyTarget  = 150 * time.Millisecond
+	backoffSlack          = 500 * time.Millisecond
+	backoffReportInterval = 500 * time.Millisecond
 )
 
-// backoffCase is a load on that world.
+// backoffCase is a load on the simulated VMs.
 type backoffCase struct {
-	// perSecond is what callers ask, sheds the targets that turn everything away for shedFor.
+	// perSecond is the rate of requests, sheds the number of targets that refuse everything for
+	// shedFor.
 	perSecond float64
 	sheds     int
 	shedFor   time.Duration
@@ -79,7 +80,7 @@
 	return last
 }
 
-// backoffWorld plays a case.
+// backoffWorld simulates a case.
 type backoffWorld struct {
 	backoffCase
 	rand    *rand.Rand
@@ -92,11 +93,11 @@
 	backoffResult
 }
 
-// backoffResult is what became of the calls.
+// backoffResult counts the outcomes of the calls.
 type backoffResult struct {
 	asked, inTime, late, refused int
-	// turnedAway is what targets refused, and broken what reached one in its backoff.
-	turnedAway, broken int
+	// turnedAway counts what targets refused, and duringBackoff what reached one in its backoff.
+	turnedAway, duringBackoff int
 }
 
 func newBackoffWorld(c backoffCase) *backoffWorld {
@@ -132,7 +133,7 @@
 
 func (w *backoffWorld) play() backoffResult {
 	w.arrive()
-	w.tell()
+	w.report()
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(backoffEvent)
 		w.now = e.at
@@ -143,7 +144,7 @@
 
 func (w *backoffWorld) arrive() {
 	gap := time.Duration(w.rand.ExpFloat64() / w.perSecond * float64(time.Second))
-	if next := w.now.Add(gap); next.Before(start.Add(backoffFor)) {
+	if next := w.now.Add(gap); next.Before(start.Add(backoffDuration)) {
 		w.at(next, func() {
 			w.asked++
 			most := 1 + w.rand.IntN(2)
@@ -153,16 +154,16 @@
 	}
 }
 
-// tell has all VMs hear what the others have under way.
-func (w *backoffWorld) tell() {
-	if !w.now.Before(start.Add(backoffFor)) {
+// report sends all VMs the work in flight of the others.
+func (w *backoffWorld) report() {
+	if !w.now.Before(start.Add(backoffDuration)) {
 		return
 	}
 	var own []map[relay.TargetKey]relay.Work
 	for _, r := range w.vms {
 		own = append(own, r.Own())
 	}
-	w.at(w.now.Add(backoffTold/2), func() {
+	w.at(w.now.Add(backoffReportInterval/2), func() {
 		for i, r := range w.vms {
 			others := make(map[relay.TargetKey]relay.Work)
 			for j, work := range own {
@@ -177,7 +178,7 @@
 			r.ForgetBackoffs(w.now)
 		}
 	})
-	w.at(w.now.Add(backoffTold), w.tell)
+	w.at(w.now.Add(backoffReportInterval), w.report)
 }
 
 func (w *backoffWorld) ask(c *backoffCall) {
@@ -188,7 +189,7 @@
 	}
 	c.path = path
 	c.sent++
-	w.at(w.now.Add(backoffWay), func() { w.reach(c) })
+	w.at(w.now.Add(backoffNetworkDelay), func() { w.reach(c) })
 }
 
 // refuse has a caller come back once, within a third of its time.
@@ -207,12 +208,12 @@
 func (w *backoffWorld) reach(c *backoffCall) {
 	target := w.targets[c.path.First().Target]
 	if asked := target.asked[c.vm]; w.now.After(asked[0].Add(backoffSlack)) && w.now.Before(asked[1]) {
-		w.broken++
+		w.duringBackoff++
 	}
 	if target.sheds(w.now) || len(target.waiting) >= backoffQueue {
-		target.asked[c.vm] = [2]time.Time{w.now, w.now.Add(backoffLength)}
+		target.asked[c.vm] = [2]time.Time{w.now, w.now.Add(requestedBackoff)}
 		w.turnedAway++
-		w.at(w.now.Add(backoffWay), func() { w.turned(c) })
+		w.at(w.now.Add(backoffNetworkDelay), func() { w.refusedByTarget(c) })
 		return
 	}
 	target.waiting = append(target.waiting, c)
@@ -228,7 +229,7 @@
 		w.at(w.now.Add(took), func() {
 			target.running--
 			w.work(target)
-			w.at(w.now.Add(backoffWay), func() { w.answered(c) })
+			w.at(w.now.Add(backoffNetworkDelay), func() { w.answered(c) })
 		})
 	}
 }
@@ -238,19 +239,19 @@
 	id := c.path.First().Target
 	r.Release(c.path, false)
 	r.Succeeded(id, w.now)
-	if w.now.Sub(c.began) <= backoffAim {
+	if w.now.Sub(c.began) <= backoffLatencyTarget {
 		w.inTime++
 		return
 	}
 	w.late++
 }
 
-// turned takes the answer of a target that asks to back off.
-func (w *backoffWorld) turned(c *backoffCall) {
+// refusedByTarget processes the answer of a target that asks for a backoff.
+func (w *backoffWorld) refusedByTarget(c *backoffCall) {
 	r := w.vms[c.vm]
 	id := c.path.First().Target
 	r.Release(c.path, false)
-	r.Backoff(id, w.now.Add(backoffLength), w.now)
+	r.Backoff(id, w.now.Add(requestedBackoff), w.now)
 	c.avoid = append(c.avoid, id)
 	if c.sent < c.most {
 		w.ask(c)
@@ -260,31 +261,31 @@
 }
 
 const (
-	// servedLeast is the part of what targets can run that an overload is to leave served.
+	// servedLeast is the part of what targets can run that must be served in an overload.
 	servedLeast = 0.8
-	// turnedAwayMost is the part of what is asked that targets may turn away.
+	// turnedAwayMost is the part of the requests that targets may refuse.
 	turnedAwayMost = 0.1
 )
 
-// could returns how many requests the targets could run, at most all that are asked.
-func (c backoffCase) could(asked int) float64 {
+// servable returns how many requests the targets could run, at most all that are asked.
+func (c backoffCase) servable(asked int) float64 {
 	perSecond := backoffSlots / backoffWork.Seconds()
-	awake := backoffTargets*backoffFor.Seconds() - float64(c.sheds)*c.shedFor.Seconds()
-	return min(float64(asked), perSecond*awake)
+	availableSeconds := backoffTargets*backoffDuration.Seconds() - float64(c.sheds)*c.shedFor.Seconds()
+	return min(float64(asked), perSecond*availableSeconds)
 }
 
-// The load of a target that VMs back off from goes to the others, which are full then and ask to back off too:
-// without a bound on what they are given, two of five requests that they could have run were
-// refused, and three of four in a larger overload. Where all want backoff and callers came back at
-// its end, they turned nearly all of them away again.
-func TestBackoffsLeaveServedWhatCanBe(t *testing.T) {
+// The load of a target that VMs back off from goes to the others, which are then full and ask for
+// a backoff too: without a bound on what they are given, two of five requests that they could
+// have run were refused, and three of four in a larger overload. Where all targets asked for a
+// backoff and callers came back at its end, nearly all of these were refused again.
+func TestBackoffsKeepThroughput(t *testing.T) {
 	for name, c := range map[string]backoffCase{
-		"one of three backoffs":                       {perSecond: 300, sheds: 1, shedFor: 8 * time.Second},
-		"one of three backoffs, too much for two":     {perSecond: 500, sheds: 1, shedFor: 8 * time.Second},
-		"the last of three serves what it can":        {perSecond: 300, sheds: 2, shedFor: 8 * time.Second},
-		"all backoff, and all come back":              {perSecond: 500, sheds: 3, shedFor: 4 * time.Second, deadline: 20 * time.Second},
-		"a burst that none of them asked backoff for": {perSecond: 700},
-		"more than twice what they bear":              {perSecond: 1500},
+		"one target backs off":                        {perSecond: 300, sheds: 1, shedFor: 8 * time.Second},
+		"one target backs off, too much for two":      {perSecond: 500, sheds: 1, shedFor: 8 * time.Second},
+		"two targets back off":                        {perSecond: 300, sheds: 2, shedFor: 8 * time.Second},
+		"all targets back off, and callers come back": {perSecond: 500, sheds: 3, shedFor: 4 * time.Second, deadline: 20 * time.Second},
+		"overload without shedding targets":           {perSecond: 700},
+		"more than twice the capacity":                {perSecond: 1500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
@@ -293,8 +294,8 @@
 					c.deadline = 2500 * time.Millisecond
 				}
 				r := newBackoffWorld(c).play()
-				require.Zero(t, r.broken, "requests that reach a target in its backoff")
-				require.GreaterOrEqual(t, float64(r.inTime+r.late), servedLeast*c.could(r.asked))
+				require.Zero(t, r.duringBackoff, "requests that reach a target in its backoff")
+				require.GreaterOrEqual(t, float64(r.inTime+r.late), servedLeast*c.servable(r.asked))
 				require.LessOrEqual(t, float64(r.turnedAway), turnedAwayMost*float64(r.asked))
 			}
 		})
--- a/internal/relay/incarnation.go
+++ b/internal/relay/incarnation.go
@@ -8,146 +8,148 @@
 	"time"
 )
 
-// This file tells the incarnations of a target apart: one that starts again under
-// its name knows nothing of the requests of the one before and holds none of its layers.
+// This file distinguishes the incarnations of a target. One that restarts under its name knows
+// nothing of the requests of the previous one and holds none of its layers.
 //
-// Problem: what an incarnation that has ended had sent may arrive after what the next one sends, by
-// any way and in any order, and must not bring it back.
+// Problem: messages of an incarnation that has ended may arrive after those of the next one, by
+// any path and in any order, and must not revive it.
 //
-// Algorithm: the start is a part of the identity, so that all that is kept by TargetID is of
-// one incarnation. Of the incarnations of one name, and of those at one address, the one with the latest
-// start counts and the others are void. Each registry finds that out from the incarnations that it
-// knows, so that neither the order of arrival nor any clock of its own matters.
+// Algorithm: the start is part of the identity, so that all state kept by TargetID belongs to one
+// incarnation. Of the incarnations of one name, and of those at one address, the one with the
+// latest start is current and the others are void. Each registry derives this from the
+// incarnations that it knows, so that neither the order of arrival nor its own clock matters.
 //
-// Where a clock was set back, the incarnation that runs has not the latest start. It is taken once
-// the later ones have been silent for the silence after which a target counts as lost: the control VM that hears it notes them as
-// missed, up to the last message that it has of each, and tells others with it. A missed incarnation
-// voids nothing. Its next message, which is newer than the note, ends that.
+// After a clock was set back, the running incarnation does not have the latest start. It becomes
+// current once the later ones have been silent for the time after which a target counts as lost:
+// the control VM that receives its report notes them as absent, up to the last message that it
+// has of each, and forwards the notes. An absent incarnation voids nothing. Its next message,
+// which is newer than the note, ends that.
 //
-// Invariants: what counts depends on the incarnations and notes that are known, not on the order in
-// which they arrived; a void incarnation is told to nobody, saved nowhere and given nothing.
+// Invariants: what is current depends on the incarnations and notes that are known, not on the
+// order in which they arrived; a void incarnation is sent to no VM, saved nowhere and given no
+// work.
 //
-// Limits: a message of an earlier incarnation that comes when the later one has been silent for
-// so long has the earlier one count until the later one speaks or the earlier one is
-// silent for as long. A target at an address that one with a later start had before, by
-// another machine's clock, is taken up to that silence late.
+// Limits: if a message of an earlier incarnation arrives when the later one has been silent for
+// that time, the earlier one is current until the later one reports or the earlier one has been
+// silent for as long. A target at an address where one with a later start, by another machine's
+// clock, ran before is accepted up to that time late.
 
-// TargetID names one incarnation of a target: by its name and, where it is told, its start.
+// TargetID identifies one incarnation of a target: by its name and, where it is known, its start.
 type TargetID string
 
-// startMark stands between the name and the start in a TargetID, and startBase is the base
-// of the start: a start in milliseconds takes 9 bytes with the mark, and 14 in decimal.
+// startSeparator separates the name and the start in a TargetID, and startBase is the base of the
+// start: a start in milliseconds takes 9 bytes with the separator, and 14 in decimal.
 const (
-	startMark = "@"
-	startBase = 36
+	startSeparator = "@"
+	startBase      = 36
 )
 
 // NewTargetID returns the identity of the incarnation of a target that began at a start, in Unix
-// milliseconds; 0 where that is not told. Two different pairs have different identities.
+// milliseconds; 0 if it is not known. Two different pairs have different identities.
 func NewTargetID(name string, born uint64) TargetID {
-	if born == 0 && !strings.Contains(name, startMark) {
+	if born == 0 && !strings.Contains(name, startSeparator) {
 		return TargetID(name)
 	}
-	return TargetID(name + startMark + strconv.FormatUint(born, startBase))
+	return TargetID(name + startSeparator + strconv.FormatUint(born, startBase))
 }
 
 // Name returns the name that all incarnations of the target have.
 func (id TargetID) Name() string {
-	if at := strings.LastIndex(string(id), startMark); at >= 0 {
+	if at := strings.LastIndex(string(id), startSeparator); at >= 0 {
 		return string(id[:at])
 	}
 	return string(id)
 }
 
-// Born returns the start of this incarnation in Unix milliseconds, or 0 where it is not told.
+// Born returns the start of this incarnation in Unix milliseconds, or 0 if it is not known.
 func (id TargetID) Born() uint64 {
-	at := strings.LastIndex(string(id), startMark)
+	at := strings.LastIndex(string(id), startSeparator)
 	if at < 0 {
 		return 0
 	}
-	born, err := strconv.ParseUint(string(id[at+len(startMark):]), startBase, 64)
+	born, err := strconv.ParseUint(string(id[at+len(startSeparator):]), startBase, 64)
 	if err != nil {
-		return 0 // not made by NewTargetID
+		return 0 // not created by NewTargetID
 	}
 	return born
 }
 
-// OtherIncarnation reports whether what told a start speaks of another incarnation than this one. It does
-// not where either start is not told.
+// OtherIncarnation reports whether a start belongs to another incarnation than this one. It
+// returns false if either start is not known.
 func (id TargetID) OtherIncarnation(born uint64) bool {
 	own := id.Born()
 	return own != 0 && born != 0 && own != born
 }
 
-// TargetKey stands for a TargetID in what VMs tell each other several times a second: it
-// takes 5 bytes there, and the identity 22. Two of 3,000 targets have the same key once in
-// 1,000 deployments; the one then counts as busy, or is left alone, with the other.
+// TargetKey represents a TargetID in messages that VMs send each other several times a second: it
+// takes 5 bytes there, and the identity 22. Two of 3,000 targets have the same key once in 1,000
+// deployments; one of them is then treated as busy or avoided whenever the other is.
 type TargetKey uint32
 
 // Key returns the key of this incarnation: that of another incarnation of the same name differs.
 func (id TargetID) Key() TargetKey {
 	h := fnv.New32a()
-	h.Write([]byte(id)) // a hash takes everything
+	h.Write([]byte(id)) // a hash accepts any write
 	return TargetKey(h.Sum32())
 }
 
-// Succession says that an incarnation of a target, or the target at an address, has ended because
-// another one has begun.
+// Succession indicates that an incarnation of a target, or the target at an address, has ended
+// because another one has begun.
 type Succession struct{ Old, New TargetID }
 
-// Missed is a note that an incarnation with a later start was silent when one with an earlier start
-// spoke: it counts no more unless it has spoken after Call.
+// Missed notes that an incarnation with a later start was silent when one with an earlier start
+// reported: it is no longer current unless it has sent a message after Call.
 type Missed struct {
 	_    struct{} `cbor:",toarray"`
 	ID   TargetID `cbor:"id"`
 	Call uint64   `cbor:"call"`
 }
 
-// missedNote is a Missed with the time at which it was taken here.
-type missedNote struct {
+// absence is a Missed with the time at which it was recorded here.
+type absence struct {
 	call uint64
 	at   time.Time
 }
 
-// incarnations is what a Registry keeps to tell which incarnation counts.
+// incarnations is what a Registry keeps to determine which incarnation is current.
 type incarnations struct {
-	// byName and byAddress hold the incarnations that only one of can run.
+	// byName and byAddress hold the incarnations of which only one can run.
 	byName    map[string][]TargetID
 	byAddress map[string][]TargetID
-	missed    map[TargetID]missedNote
-	// ended and revived are what has changed since the last TakeTransitions.
+	absent    map[TargetID]absence
+	// ended and revived are the changes since the last TakeTransitions.
 	ended   []Succession
 	revived []TargetID
 }
 
 func newIncarnations() incarnations {
-	return incarnations{byName: make(map[string][]TargetID), byAddress: make(map[string][]TargetID), missed: make(map[TargetID]missedNote)}
+	return incarnations{byName: make(map[string][]TargetID), byAddress: make(map[string][]TargetID), absent: make(map[TargetID]absence)}
 }
 
-// file notes an incarnation under its name and address.
-func (l *incarnations) file(t Target) {
-	l.byName[t.ID.Name()] = withID(l.byName[t.ID.Name()], t.ID)
+// index adds an incarnation to its name and address.
+func (l *incarnations) index(t Target) {
+	l.byName[t.ID.Name()] = appendUnique(l.byName[t.ID.Name()], t.ID)
 	if t.Address != "" {
-		l.byAddress[t.Address] = withID(l.byAddress[t.Address], t.ID)
+		l.byAddress[t.Address] = appendUnique(l.byAddress[t.Address], t.ID)
 	}
 }
 
-// unfile drops an incarnation from its name and address.
-func (l *incarnations) unfile(t Target) {
-	dropID(l.byName, t.ID.Name(), t.ID)
-	dropID(l.byAddress, t.Address, t.ID)
+// unindex removes an incarnation from its name and address.
+func (l *incarnations) unindex(t Target) {
+	removeID(l.byName, t.ID.Name(), t.ID)
+	removeID(l.byAddress, t.Address, t.ID)
 }
 
-// withID adds an identity to others unless it is among them.
-func withID(ids []TargetID, id TargetID) []TargetID {
+// appendUnique adds an identity to others unless it is among them.
+func appendUnique(ids []TargetID, id TargetID) []TargetID {
 	if slices.Contains(ids, id) {
 		return ids
 	}
 	return append(ids, id)
 }
 
-// dropID removes an identity from those at a key.
-func dropID(of map[string][]TargetID, key string, id TargetID) {
+// removeID removes an identity from those at a key.
+func removeID(of map[string][]TargetID, key string, id TargetID) {
 	left := slices.DeleteFunc(of[key], func(o TargetID) bool { return o == id })
 	of[key] = left
 	if len(left) == 0 {
@@ -155,62 +157,64 @@
 	}
 }
 
-// rivals returns the incarnations of which at most one runs beside a target: those of its name, and
-// those at its address.
-func (l *incarnations) rivals(t Target) []TargetID {
+// conflicting returns the incarnations of which at most one runs beside a target: those of its
+// name, and those at its address.
+func (l *incarnations) conflicting(t Target) []TargetID {
 	all := l.byName[t.ID.Name()]
 	if t.Address == "" {
 		return all
 	}
 	for _, id := range l.byAddress[t.Address] {
-		all = withID(slices.Clip(all), id)
+		all = appendUnique(slices.Clip(all), id)
 	}
 	return all
 }
 
-// missing reports whether an incarnation has said nothing since it was noted as missed.
-func (r *Registry) missing(t Target) bool {
-	note, noted := r.incarnations.missed[t.ID]
+// isAbsent reports whether an incarnation has sent nothing since it was noted as absent.
+func (r *Registry) isAbsent(t Target) bool {
+	note, noted := r.incarnations.absent[t.ID]
 	return noted && t.Call <= note.call
 }
 
-// refile works out again which incarnation counts where a target's heartbeat may change that: the
-// target was not known, has another address, or was missed and speaks. It reports the last.
-func (r *Registry) refile(before, after Target, known bool) (spokeAgain bool) {
-	note, noted := r.incarnations.missed[after.ID]
-	spokeAgain = noted && after.Call > note.call
-	if known && before.Address == after.Address && !spokeAgain {
+// reindex determines again which incarnations are current where a target's message may change
+// that: the target was not known, has another address, or was absent and reports again. It
+// returns whether it was absent.
+func (r *Registry) reindex(before, after Target, known bool) (reappeared bool) {
+	note, noted := r.incarnations.absent[after.ID]
+	reappeared = noted && after.Call > note.call
+	if known && before.Address == after.Address && !reappeared {
 		return false
 	}
-	r.incarnations.file(after)
+	r.incarnations.index(after)
 	switch {
 	case !known:
-		// An incarnation that never counted here does not end.
+		// An incarnation that was never current here does not end.
 		e := r.targets[after.ID]
 		_, e.void = r.voidedBy(after)
 		r.targets[after.ID] = e
 	case before.Address != after.Address:
-		dropID(r.incarnations.byAddress, before.Address, before.ID)
-		r.settle(r.incarnations.byAddress[before.Address])
+		removeID(r.incarnations.byAddress, before.Address, before.ID)
+		r.updateVoid(r.incarnations.byAddress[before.Address])
 	}
-	if spokeAgain {
-		delete(r.incarnations.missed, after.ID)
-		r.renew(after.ID)
+	if reappeared {
+		delete(r.incarnations.absent, after.ID)
+		r.markChanged(after.ID)
 	}
-	r.settle(r.incarnations.rivals(after))
-	return spokeAgain
+	r.updateVoid(r.incarnations.conflicting(after))
+	return reappeared
 }
 
-// renew marks an incarnation as changed, so that followers are sent it again.
-func (r *Registry) renew(id TargetID) {
+// markChanged marks an incarnation as changed, so that followers are sent it again.
+func (r *Registry) markChanged(id TargetID) {
 	r.change++
 	e := r.targets[id]
 	e.changed = r.change
 	r.targets[id] = e
 }
 
-// settle works out which of some incarnations are void, and notes those where that has changed.
-func (r *Registry) settle(ids []TargetID) {
+// updateVoid determines which of some incarnations are void, and records those that have become
+// void or current.
+func (r *Registry) updateVoid(ids []TargetID) {
 	for _, id := range ids {
 		e, known := r.targets[id]
 		if !known {
@@ -238,48 +242,49 @@
 // voidedBy returns the incarnation with the latest start that voids a target, if there is one.
 func (r *Registry) voidedBy(t Target) (by TargetID, void bool) {
 	latest := t.ID.Born()
-	for _, id := range r.incarnations.rivals(t) {
-		if born := id.Born(); born > latest && !r.missing(r.targets[id].target) {
+	for _, id := range r.incarnations.conflicting(t) {
+		if born := id.Born(); born > latest && !r.isAbsent(r.targets[id].target) {
 			by, latest, void = id, born, true
 		}
 	}
 	return by, void
 }
 
-// missSilent notes the silent ones of the incarnations with a later start than one that has just
-// spoken, to this VM or to another that it is told all signs of life by.
-func (r *Registry) missSilent(t Target, now time.Time) {
+// noteAbsent notes the silent ones of the incarnations with a later start than one that has just
+// reported, to this VM or to another one that forwards all heartbeats to it.
+func (r *Registry) noteAbsent(t Target, now time.Time) {
 	noted := false
-	for _, id := range r.incarnations.rivals(t) {
+	for _, id := range r.incarnations.conflicting(t) {
 		e := r.targets[id]
-		if id.Born() <= t.ID.Born() || !r.isSilent(e, now) || r.missing(e.target) {
+		if id.Born() <= t.ID.Born() || !r.isSilent(e, now) || r.isAbsent(e.target) {
 			continue
 		}
-		r.incarnations.missed[id] = missedNote{call: e.target.Call, at: now}
+		r.incarnations.absent[id] = absence{call: e.target.Call, at: now}
 		noted = true
 	}
 	if noted {
-		r.settle(r.incarnations.rivals(t))
+		r.updateVoid(r.incarnations.conflicting(t))
 	}
 }
 
-// Miss takes the note of another VM.
+// Miss records the note of another VM.
 func (r *Registry) Miss(m Missed, now time.Time) {
 	e, known := r.targets[m.ID]
-	if note, noted := r.incarnations.missed[m.ID]; noted && note.call >= m.Call || known && e.target.Call > m.Call {
+	if note, noted := r.incarnations.absent[m.ID]; noted && note.call >= m.Call || known && e.target.Call > m.Call {
 		return
 	}
-	r.incarnations.missed[m.ID] = missedNote{call: m.Call, at: now}
+	r.incarnations.absent[m.ID] = absence{call: m.Call, at: now}
 	if known {
-		r.settle(r.incarnations.rivals(e.target))
+		r.updateVoid(r.incarnations.conflicting(e.target))
 	}
 }
 
-// Missed returns the notes on incarnations that have said nothing since, sorted. A note on an incarnation
-// that is forgotten here is told no more: two VMs would keep it alive between them.
+// Missed returns the notes on incarnations that have sent nothing since, sorted. A note on an
+// incarnation that has been removed here is no longer sent: two VMs would keep it alive between
+// them.
 func (r *Registry) Missed() []Missed {
 	var missed []Missed
-	for id, note := range r.incarnations.missed {
+	for id, note := range r.incarnations.absent {
 		if _, known := r.targets[id]; !known {
 			continue
 		}
@@ -289,8 +294,8 @@
 	return missed
 }
 
-// TakeTransitions returns the incarnations that have ended, and those that count again, since it was
-// last called. Ended that did both since are left out of the one that no longer holds.
+// TakeTransitions returns the incarnations that have ended, and those that have become current
+// again, since its last call. One that did both is returned only for the state that holds now.
 func (r *Registry) TakeTransitions() (ended []Succession, again []Target) {
 	for _, s := range r.incarnations.ended {
 		if r.targets[s.Old].void {
@@ -312,9 +317,9 @@
 	return known && !e.void
 }
 
-// signOff returns the incarnations that a target which signs off speaks of: the one whose start it
-// tells or, where it tells none, those of its name that count here at this moment.
-func (r *Registry) signOff(t Target) []Target {
+// signOffs returns the sign-offs that follow from one message: for the incarnation whose start it
+// contains or, without a start, for those of its name that are current here at this moment.
+func (r *Registry) signOffs(t Target) []Target {
 	leaving := []Target{t}
 	if t.ID.Born() != 0 {
 		return leaving
@@ -329,30 +334,30 @@
 	return leaving
 }
 
-// forgetIncarnations drops the incarnations that the registry no longer knows, and notes from before a
-// time.
-func (r *Registry) forgetIncarnations(forgotten []Target, after time.Time) {
-	for _, t := range forgotten {
-		r.incarnations.unfile(t)
+// removeIncarnations removes the incarnations that the registry no longer knows, and notes from
+// before a time.
+func (r *Registry) removeIncarnations(removed []Target, after time.Time) {
+	for _, t := range removed {
+		r.incarnations.unindex(t)
 	}
-	for id, note := range r.incarnations.missed {
+	for id, note := range r.incarnations.absent {
 		if _, known := r.targets[id]; !known && note.at.Before(after) {
-			delete(r.incarnations.missed, id)
+			delete(r.incarnations.absent, id)
 		}
 	}
-	for _, t := range forgotten {
-		r.settle(r.incarnations.rivals(t))
+	for _, t := range removed {
+		r.updateVoid(r.incarnations.conflicting(t))
 	}
 }
 
-// EndedBy returns the incarnations known here that end with the first messages of others. A VM that
-// follows a registry for long may know targets that its own registry has forgotten.
+// EndedBy returns the incarnations known here that end with the first messages of others. A VM
+// that follows a registry for long may know targets that its own registry has removed.
 func (r *Router) EndedBy(messages []Target) (ended []Succession) {
 	names, addresses := make(map[string]TargetID), make(map[string]TargetID)
 	for _, t := range messages {
 		if _, known := r.targets[t.ID]; !known && t.ID.Born() > 0 {
-			latest(names, t.ID.Name(), t.ID)
-			latest(addresses, t.Address, t.ID)
+			keepLatest(names, t.ID.Name(), t.ID)
+			keepLatest(addresses, t.Address, t.ID)
 		}
 	}
 	if len(names) == 0 {
@@ -368,8 +373,8 @@
 	return ended
 }
 
-// latest keeps the incarnation with the later start at a key.
-func latest(of map[string]TargetID, key string, id TargetID) { of[key] = later(of[key], id) }
+// keepLatest keeps the incarnation with the later start at a key.
+func keepLatest(of map[string]TargetID, key string, id TargetID) { of[key] = later(of[key], id) }
 
 // later returns the incarnation with the later start.
 func later(a, b TargetID) TargetID {
@@ -379,9 +384,8 @@
 	return a
 }
 
-// End takes the incarnations that have ended: they get nothing new, what runs there counts as lost,
-// and nothing that is known of them is carried over. It returns the addresses of those that
-// this VM knew.
+// End ends incarnations: they get no new work, what runs there counts as lost, and no state of
+// them is carried over. It returns the addresses of those that this VM knew.
 func (r *Router) End(ended []Succession) (addresses []string) {
 	for _, s := range ended {
 		t, known := r.targets[s.Old]
