--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -13,7 +13,7 @@
 //
 // A request that can't be served before its deadline is refused on arrival, with
 // a retry time. A queued one that can no longer meet its deadline is refused
-// within sweepEvery. A refusal here precedes every dispatch, so it says "ran: no",
+// within sweepEvery. A refusal here precedes every dispatch, so it states "ran: no",
 // and the request has left the queue for good.
 
 // waiting is work queued for a route: a stream or a call.
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -15,7 +15,7 @@
 // obtains a claim that is durable on a quorum of control VMs, and only its
 // holder may dispatch the call, once. A resend to any entry VM finds the claim.
 // It gets the recorded answer, waits for the holder, or, when the holder is
-// lost, gets a refusal that says that the outcome is unknown. No VM runs it again.
+// lost, gets a refusal that states that the outcome is unknown. No VM runs it again.
 //
 // Invariants: a claimed call is dispatched again only after a target has
 // provably not run it. A call that was refused with "ran: no" has no claim, or
@@ -164,7 +164,7 @@
 }
 
 // answerPending answers a resend from a record that is not durable yet. Until
-// it is durable, no new attempt may begin here, unless the record says "ran: no".
+// it is durable, no new attempt may begin here, unless the record states "ran: no".
 func (n *Node) answerPending(c *call) bool {
 	p, ok := n.entry.records[c.asked.ID]
 	if !ok || p.request.Ran == RanNo {
@@ -323,7 +323,7 @@
 // An identity chosen by the caller may have been sent to another entry VM
 // before. A refusal with "ran: no" states that no attempt under the identity has
 // run, so the control VMs are first asked for the state of its claim. Without
-// their answer the refusal says that the outcome is unknown.
+// their answer the refusal states that the outcome is unknown.
 func (n *Node) refuseCall(c *call, r Refusal) {
 	unsettled := !c.repeatable && c.asked.Returnable && !c.claimed && !c.disconnected
 	if unsettled && r.Ran == RanNo && r.Kind != RefusedConflict {
--- a/internal/core/common_start.go
+++ b/internal/core/common_start.go
@@ -6,8 +6,8 @@
 //
 // Problem: a replica denies its vote for ElectionMin after its start, because it may have
 // acknowledged a leader just before, whose lease depends on that. After a loss of all VMs
-// no leader exists, and this wait protects no lease: there was no service for 0.5 to 0.8 s
-// while callers reconnected.
+// no leader exists, and this wait protects no lease: it would leave callers that reconnect
+// without service for 0.5 to 0.8 s.
 //
 // Algorithm: a replica that has had no leader in its incarnation asks all voters whether the
 // same holds for them. Each reply names the incarnation of its sender. Wait until every
--- a/internal/core/config/text.go
+++ b/internal/core/config/text.go
@@ -11,7 +11,7 @@
 // This file compresses the text of a document for the wire and the disk.
 //
 // Problem: a document of 1,900 routes is some 600 KB, and most changes alter one route.
-// Sending the whole text for each change saturated the links of a fleet of 300 VMs.
+// Sending the whole text for each change would saturate the links of a fleet of 300 VMs.
 //
 // Algorithm: a text is sent and stored compressed. A change is sent as the new text
 // compressed with the old one as its dictionary, so its size is little more than that of the
--- a/internal/core/entries_test.go
+++ b/internal/core/entries_test.go
@@ -65,8 +65,8 @@
 	require.Empty(t, e.addresses(t))
 }
 
-// Covers a deployment of a thousand VMs in five halls, which used to return all of them to
-// every caller.
+// Guards against a deployment of a thousand VMs in five halls returning all of them to every
+// caller.
 func TestCallerReceivesFewVMsOfItsHall(t *testing.T) {
 	const vms, halls = 1000, 5
 	e := newEntryNode(core.Settings{})
--- a/internal/core/fair_queue.go
+++ b/internal/core/fair_queue.go
@@ -9,8 +9,8 @@
 // its share while others wait, and gets all spare capacity.
 //
 // Tags advance when work is served, not when it arrives, so work dropped from
-// the queue costs its flow nothing. Charging on arrival was rejected: a flow
-// whose work had expired was then not served at all.
+// the queue costs its flow nothing. If flows were charged on arrival, a flow
+// whose work has expired would not be served at all.
 //
 // Push and pop take time logarithmic in the number of waiting flows.
 type fairQueue[T any] struct {
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -188,7 +188,7 @@
 
 // Covers a fleet that grows while its load stays the same. What an entry VM receives, and what
 // the leader sends beside its work for the entry VMs of its hall, must follow the requests and
-// the changes: entry VMs used to receive all engines and every change of them.
+// the changes: entry VMs must not receive all engines and every change of them.
 func TestEntryVMTrafficIsIndependentOfFleetSize(t *testing.T) {
 	const smaller = 200
 	// Only the list of entry VMs covers the whole fleet. It is sent in full at a start, and
--- a/internal/core/identity.go
+++ b/internal/core/identity.go
@@ -10,7 +10,7 @@
 
 // Incarnation distinguishes successive identities of a VM. A control VM stores
 // its incarnation with its log, so that one that lost its disk returns under a new
-// one and cannot vote under the old. An entry VM draws a new one at each start.
+// one and cannot vote under the old. An entry VM generates a new one at each start.
 type Incarnation uint64
 
 // ReplicaID is the identity of one replica of the control state.
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -28,7 +28,7 @@
 //
 // Known limits: an answer is lost when owner and keeper are lost within the
 // time it takes to update a new keeper, about PeerReply; the caller then gets a
-// refusal that says so. With a single entry VM there is no keeper.
+// refusal that states so. With a single entry VM there is no keeper.
 
 // rendezvousWidth is the number of VMs that are asked for a stream in any hall.
 const rendezvousWidth = 3
--- a/internal/core/quarantine.go
+++ b/internal/core/quarantine.go
@@ -23,8 +23,8 @@
 // lease carries to its holder. Mere suspicion isn't in the log: it is lost with the leader,
 // except for the reports of the last crashesRepeatedFor.
 //
-// Two alternatives were rejected. If each report were in the log, nothing would be lost with a
-// leader, but the loss of a rack would add some hundred entries that say nothing. If decisions
+// Two alternatives are worse. If each report were in the log, nothing would be lost with a
+// leader, but the loss of a rack would add some hundred entries without information. If decisions
 // were only sent with leases, a loss of all VMs would let the request end targets again.
 //
 // Invariants: a VM that holds a lease granted after the decision knows the decision, whatever
@@ -254,7 +254,7 @@
 	name := request.String()
 	q, held := n.machine.Config.Quarantine.Get(name)
 	if !held || !wall(at).After(q.FirstEnd) {
-		return // a survival is reported for a while, even if the request ends targets afterwards
+		return // a survival is reported for crashesRepeatedFor, even if the request ends targets afterwards
 	}
 	n.note("request in quarantine has run well: it is let go", name)
 	n.propose(Entry{Changes: []config.Change{{Release: name}}})
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -26,11 +26,11 @@
 //
 // A control VM saves its state from time to time, without a sync. After a power loss of all VMs
 // these hints let them serve before the targets have reported again, which takes up to 3 s. A
-// hint is valid for as long as a report received at the start. When it was valid for half as
-// long, hints expired while live targets still looked for a control VM, and their running
-// requests were given up. Requests to a target that has ended find it dead.
+// hint is valid for as long as a report received at the start. If it were valid for half as long,
+// hints would expire while live targets still look for a control VM, and their running requests
+// would be given up. Requests to a target that has ended find it dead.
 //
-// Invariants: a control VM that hasn't recently heard from the leader accepts no report, so
+// Invariants: a control VM without a recent message from the leader accepts no report, so
 // that a target turns to one that reaches its followers; what is pushed is what targets
 // reported, never an inference.
 //
@@ -291,7 +291,7 @@
 }
 
 // drainingHeard handles leaving notices that targets sent to a VM with their answers. They have
-// the effect of a heartbeat that says the same.
+// the effect of a heartbeat that reports the same.
 func (n *Node) drainingHeard(ids []relay.TargetID, reportedBy VMName) {
 	for _, id := range ids {
 		if !n.registry.targets.Drain(id) {
@@ -305,7 +305,7 @@
 }
 
 // hasLeaderContact reports whether this control VM is in contact with a quorum: it leads with a
-// lease, or has recently heard from the leader.
+// lease, or has recently received a message from the leader.
 func (n *Node) hasLeaderContact() bool {
 	if n.replica.role == Leader {
 		return n.holdsLease()
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -295,7 +295,7 @@
 	n.maybeSnapshot()
 }
 
-// leaderHint returns the VM that is believed to lead, or the empty name.
+// leaderHint returns the last known leader, or the empty name.
 func (n *Node) leaderHint() VMName { return n.replica.leader.VM }
 
 // wall returns t without its monotonic clock reading, as the log stores it.
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -253,7 +253,7 @@
 	n.releaseEngines(s)
 }
 
-// FinishStop and FinishLength say why an answer ended.
+// FinishStop and FinishLength state why an answer ended.
 const (
 	FinishStop   = "stop"
 	FinishLength = "length"
--- a/internal/core/tenure.go
+++ b/internal/core/tenure.go
@@ -272,8 +272,8 @@
 const renewRetryDelay = 100 * time.Millisecond
 
 // retryRenewSoon schedules the next renewal after renewRetryDelay. Only one such refusal per
-// renewal interval counts as a failed try, so that the control VMs of the hall have as much
-// time as before to find a leader.
+// renewal interval counts as a failed try, so that the shorter delay leaves the control VMs of
+// the hall no less time to find a leader.
 func (n *Node) retryRenewSoon() {
 	t := &n.entry.tenure
 	t.renewAt = earlier(t.renewAt, n.now.Add(renewRetryDelay))
@@ -332,7 +332,7 @@
 
 // granted applies a lease and the configuration that comes with it. It drops a lease with an
 // older revision or term than this VM has, so that nothing is reverted, and one granted to an
-// earlier incarnation of this VM, whose renewal numbers say nothing about when this one asked.
+// earlier incarnation of this VM, whose renewal numbers are unrelated to when this one asked.
 func (n *Node) granted(from ReplicaID, g Grant) {
 	t := &n.entry.tenure
 	sent, ok := t.sentAt[g.Number]
--- a/internal/core/window.go
+++ b/internal/core/window.go
@@ -18,8 +18,8 @@
 // grows by one when the mean latency of a run is near the minimum seen, and
 // shrinks by a tenth when it is far above. A refusal halves it. Each entry VM
 // does so on its own; they share a route since all of them see the same delay.
-// Growing by one for every run at first was rejected: when an event opened, the
-// engines were filled to twice what they can run before the delay showed.
+// A window that grew by one for every run at first would fill the engines, when
+// an event opens, to twice what they can run before the delay shows.
 //
 // Known limits: the minimum expires after minDelayLifetime at the earliest, so a
 // route that has become permanently slower is underused until then.
--- a/internal/relay/ask.go
+++ b/internal/relay/ask.go
@@ -32,7 +32,7 @@
 
 const (
 	// hintWeight is the weight of the caller's estimate in the expected length; the usual
-	// answer has the rest. Estimates are right in the middle and often far off, so that
+	// answer has the rest. Estimates are right in the median and often far off, so that
 	// large ones are mostly too large.
 	hintWeight = 0.6
 	// meanAnswerShare is the part of an answer that is in memory on average, with some
--- a/internal/relay/backoffs.go
+++ b/internal/relay/backoffs.go
@@ -10,7 +10,7 @@
 
 // This file holds the backoffs that targets have asked this VM for.
 //
-// Problem: a target that refuses a request may state for how long it wants nothing from this VM.
+// Problem: a target that refuses a request may state for how long it accepts nothing from this VM.
 // Whatever is sent to it in that time is refused again and adds to its load. Its share goes to
 // the other targets of its service, which may then ask for a backoff too, until none is left.
 //
@@ -45,13 +45,13 @@
 	returnLeast = 500 * time.Millisecond
 )
 
-// backoff is a time in which a target wants nothing from this VM.
+// backoff is a time in which a target accepts nothing from this VM.
 type backoff struct{ began, until time.Time }
 
 // holds reports whether the backoff has not ended. The zero value has ended.
 func (r backoff) holds(now time.Time) bool { return now.Before(r.until) }
 
-// Backoff records that a target wants nothing from this VM until a time.
+// Backoff records that a target accepts nothing from this VM until a time.
 func (r *Router) Backoff(id TargetID, until, now time.Time) {
 	present := r.backoffs[id]
 	if !until.After(present.until) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// BackedOff returns until when a target wants nothing from this VM, and whether it does.
+// BackedOff returns until when a target accepts nothing from this VM, and whether it does.
 func (r *Router) BackedOff(id TargetID, now time.Time) (until time.Time, backedOff bool) {
 	known := r.backoffs[id]
 	return known.until, known.holds(now)
@@ -96,7 +96,7 @@
 	maps.DeleteFunc(r.backoffs, func(_ TargetID, known backoff) bool { return !known.holds(now) })
 }
 
-// TargetBackedOff is a target that wants nothing from this VM until a time.
+// TargetBackedOff is a target that accepts nothing from this VM until a time.
 type TargetBackedOff struct {
 	Target TargetID
 	Until  time.Time
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -34,7 +34,7 @@
 	// joined and are not known everywhere.
 	budgetUsableShare = 0.95
 	// unstartedShare is the part of a VM's own budget for requests whose callers have received
-	// nothing yet: they can be told to come back, and a stream in the middle can't.
+	// nothing yet: they can be told to come back, and a stream in mid-answer can't.
 	// pooledUnstartedShare is that of the budget of all VMs, which is divided more finely: what
 	// is kept back covers the loss of an engine that 130 streams pass, of a bound of 900.
 	unstartedShare       = 0.6
@@ -133,7 +133,7 @@
 	return total
 }
 
-// takeOfSums takes one repeat, if the budget of all VMs allows it. UseReserve indicates that it
+// takeOfSums takes one repeat, if the budget of all VMs allows it. useReserve indicates that it
 // may take the last one.
 func (b *budget) takeOfSums(now time.Time, t BudgetTerms, usage Usage, reporting, vms int, useReserve bool) bool {
 	known := float64(max(vms, reporting, 1))
@@ -162,7 +162,7 @@
 	return rand.New(rand.NewPCG(r.settings.Seed, h.Sum64())).Float64()
 }
 
-// take takes one repeat, if the budget of this VM allows it. UseReserve indicates that it may
+// take takes one repeat, if the budget of this VM allows it. useReserve indicates that it may
 // take the last one.
 func (b *budget) take(now time.Time, t BudgetTerms, vms int, age time.Duration, useReserve bool) bool {
 	grown := min(max(float64(age)/float64(t.Window), initialShare), 1)
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -242,7 +242,7 @@
 
 // shares is the number of equal shares into which the answers in progress are divided. Each
 // share counts with the time of its slowest answer, so the rate is a lower bound that is
-// too low by at most one share.
+// too low by at most the rate of one share.
 const shares = 16
 
 // rateOf returns the rate at which the given number of answers in progress end.
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -6,7 +6,7 @@
 //
 // Problem: an engine that dies falls silent, and so does every answer that passes it. Callers
 // accept a pause of about four usual ones; a fixed time for all paths is either longer than that,
-// or takes slow paths for lost.
+// or counts slow paths as lost.
 //
 // Algorithm: the pauses of one answer are alike, since it passes the same stages each time. Each
 // answer has its own mean pause, and the next event is overdue after a multiple of it that all
--- a/internal/relay/path.go
+++ b/internal/relay/path.go
@@ -107,7 +107,7 @@
 // pathWithinHall draws one of the best paths that stay within a hall, each with a
 // probability that falls with its cost. If the cheapest were always chosen, all VMs would
 // take the same one until the next load report, 0.4 s later: on the users' grown fleet,
-// halls filled up in turn, for a second each.
+// halls would fill up in turn, for a second each.
 func (r *Router) pathWithinHall(s *Service, a Ask, engines []*target, now time.Time) (Path, bool) {
 	byHall := make(map[string][]*target)
 	for _, t := range engines {
--- a/internal/relay/pause.go
+++ b/internal/relay/pause.go
@@ -8,8 +8,8 @@
 // This file forecasts the pauses between the events of an answer, and admits requests by them.
 //
 // Problem: each request that is admitted to a path lengthens the pauses of all that run there.
-// Past a point, none of them is in time any more: where engines were slow or a hall had lost its
-// fastest, every answer there was late, for as long as engines were filled up to their memory.
+// Past a point, none of them is in time any more: where engines are slow or a hall has lost its
+// fastest, every answer there is late for as long as engines are filled up to their memory.
 //
 // Algorithm: the cost model of the engines gives the time of one pass over all stages of a path
 // at their present load. It is corrected by the measured pauses of the answers of a hall, as a
--- a/internal/relay/permits.go
+++ b/internal/relay/permits.go
@@ -19,7 +19,7 @@
 // callers of refused requests get retry times that follow each other at that rate.
 
 const (
-	// urgencyRanks is the number of ranks of waiting requests: streams in the middle, and the
+	// urgencyRanks is the number of ranks of waiting requests: streams in mid-answer, and the
 	// classes of the others.
 	urgencyRanks = 12
 	// maxReturnDelay bounds the time after which a caller that found no permit comes back, of
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -121,7 +121,7 @@
 	draining bool
 	// void indicates that another incarnation runs in place of this one.
 	void bool
-	// withheld indicates that followers are not sent the target.
+	// withheld indicates that entry VMs that follow are not sent the target unless it leaves.
 	withheld bool
 }
 
@@ -297,8 +297,8 @@
 
 // Heartbeat is a sign that a target is alive.
 type Heartbeat struct {
-	// Encoded as an array: on every beat each control VM receives all targets from each other
-	// one, and field names took as many bytes as the start does in an ID.
+	// Encoded as an array: twice a second each control VM receives all targets from each other
+	// one, and field names would take as many bytes as the start does in an ID.
 	_    struct{} `cbor:",toarray"`
 	ID   TargetID `cbor:"id"`
 	Call uint64   `cbor:"call"`
--- a/internal/relay/shortlist.go
+++ b/internal/relay/shortlist.go
@@ -25,7 +25,7 @@
 // received an incarnation also receives the one that replaces it.
 //
 // Limits: a list is up to one lease renewal behind the load, which shortlistRoom allows
-// for. During the life of a process, lists grow by the number of engines that have replaced
+// for. While a process runs, lists grow by the number of engines that have replaced
 // others.
 
 const (
@@ -41,7 +41,7 @@
 // isEngine reports whether a target runs a part of a model.
 func (t Target) isEngine() bool { return t.Accelerator != "" }
 
-// listed reports whether VMs that follow the registry receive a target.
+// listed reports whether entry VMs that follow the registry receive a target.
 func (e entry) listed() bool { return !e.withheld || !e.target.Takes() }
 
 // WithholdEngines makes the registry withhold engines that it does not know yet until they
--- a/internal/relay/substitute.go
+++ b/internal/relay/substitute.go
@@ -7,7 +7,7 @@
 
 // This file replaces stages of a running request.
 //
-// The engine that is first on a path can be told to continue with another engine in the
+// The engine that is first on a path can be ordered to continue with another engine in the
 // place of a later one: the new engine reads all tokens so far through its layers, and all
 // other stages keep their state. A run that starts over reads them through all stages,
 // costs a repeat, and pauses the answer until then.
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -14,7 +14,7 @@
 // them.
 //
 // Algorithm: a VM reports each run without any output before its target ended, as far as it can
-// tell that the target has: see daemon/endings.go. A run with output is not counted, since a
+// determine that the target has: see daemon/endings.go. A run with output is not counted, since a
 // request that crashes its target does so as it begins. The leader gathers the reports of all VMs
 // by fingerprint. Runs that overlap in time are one loss: copies of one request that run on all
 // engines of a rack end together when the rack fails, which is no more evidence against it
@@ -32,7 +32,7 @@
 // blame them; they are released by an operator or when their time is over. A target that does not
 // report its start is one target, however often it ends: reports of one run are repeated, and
 // arrive with other delays each time. A request that falls silent with its target, or that
-// crashes it in mid-answer, is never suspected: it cannot be told from a loss of power, or from
+// crashes it in mid-answer, is never suspected: it cannot be distinguished from a loss of power, or from
 // the others in mid-answer beside it.
 
 const (
