--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -374,7 +374,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkMemory measures the memory of an entry VM per stream, and for its targets.
+// BenchmarkMemory measures the memory of an entry VM per request, and of one without requests.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		before := heapBytes()
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -30,13 +30,13 @@
 // hints would expire while live targets still look for a control VM, and their running requests
 // would be given up. Requests to a target that has ended find it dead.
 //
-// Invariants: a control VM without a recent message from the leader accepts no report, so
-// that a target turns to one that reaches its followers; what is pushed is what targets
-// reported, never an inference.
+// Invariants: a control VM without a recent message from the leader accepts no report, so that a
+// target reports to one that reaches its followers; what is pushed is what targets reported, never
+// an inference.
 //
 // Limits: a report that only one control VM has received is lost if that VM dies within one
-// push. Targets repeat their reports until they end, and the control VM that a target turns to
-// forwards them again.
+// push. Targets repeat their reports until they end, and the control VM that a target reports to
+// next forwards them again.
 
 // TargetSpoke is a report of a target that this VM received.
 type TargetSpoke struct {
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -66,7 +66,7 @@
 	require.Equal(t, []relay.Target{again}, news(nextPush(n, now), "e1"), "c2 may have died before it forwarded its report")
 }
 
-// After a loss of all VMs, every target turns to a control VM that it hasn't reported to
+// After a loss of all VMs, every target reports to a control VM that it hasn't reported to
 // before. The resulting 105 pushes to 76 followers kept the leader from granting leases for a
 // second.
 func TestUnchangedReportToNewControlVMIsNotPushed(t *testing.T) {
--- a/internal/core/unnamed.go
+++ b/internal/core/unnamed.go
@@ -15,9 +15,9 @@
 // Algorithm: the control VM that receives such a report acknowledges it and stores it
 // separately. Once its document names the service, the stored report is handled as if it had
 // just arrived. While a VM has no document, it distributes reports as they arrive: it can't
-// distinguish declared services, and leaving targets must be known. Nothing looks up the
-// targets that were accepted then or whose service was removed since; their reports are held
-// back from then on, so that they count as silent and are removed.
+// distinguish declared services from others, and leaving targets must be known. Nothing looks
+// up the targets that were accepted then or whose service was removed since; their reports are
+// held back from then on, so that they count as silent and are removed.
 //
 // Invariants: a report that is held back is neither distributed nor saved, and replaces
 // nothing; a live target is accepted soon after its service is named.
--- a/internal/relay/path_test.go
+++ b/internal/relay/path_test.go
@@ -11,8 +11,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// An engine may run a part of its layers, so overlapping ranges can be joined. The ranges
-// of a path used to have to end where the next ones began.
+// An engine may run a part of its layers, so overlapping ranges can be joined, not only
+// those where one ends where the next begins.
 func TestPathsJoinOverlappingRanges(t *testing.T) {
 	r, route := newRouter(nil)
 	r.TakeTargets(placed("large", config.Range{First: 0, Last: 35}, config.Range{First: 30, Last: 60}, config.Range{First: 50, Last: 80}))
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -337,7 +337,8 @@
 // replaced reports whether another target that is not void runs at the address of e. Where their
 // starts do not decide, either the other one has reported after the last report of e, which came
 // before replacedAfter; or it registered later, but before replacedAfter, and has reported again
-// since, so that only a late message of e can be newer.
+// since, so that only a late message of e can be newer. The former does not count if the latter
+// holds for e against the other one.
 func (r *Registry) replaced(e entry, after, replacedAfter time.Time) bool {
 	for _, id := range r.incarnations.byAddress[e.target.Address] {
 		other := r.targets[id]
