--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -340,7 +340,7 @@
 	Leader VMName `cbor:"leader,omitempty"`
 	// Others is what all other entry VMs have in flight. VMs counts the entry VMs.
 	Others map[relay.TargetKey]relay.Work `cbor:"others,omitempty"`
-	// With OthersWhole, targets missing in Others have no work or come with the next lease.
+	// OthersWhole: targets missing in Others have no work or come with the next lease.
 	// WorkUpto is what the holder sends as WorkSeen from then on.
 	OthersWhole bool   `cbor:"others_whole,omitempty"`
 	WorkUpto    uint64 `cbor:"work_upto,omitempty"`
