--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -195,12 +195,13 @@
 	n.requestVotes(Vote{Term: n.replica.hard.Term + 1, Pre: true}, voteAfterSilence)
 }
 
-// voteReason states why a candidate may request votes.
+// voteReason states why votes may be requested before the lease of a leader has expired.
 type voteReason int
 
 // The reasons.
 const (
-	// voteAfterSilence means that the election timeout has elapsed.
+	// voteAfterSilence is no such reason: the election timeout has elapsed, and voters deny
+	// their vote while a leader may hold its lease.
 	voteAfterSilence voteReason = iota
 	// voteAfterTransfer means that the leader has given up its lease.
 	voteAfterTransfer
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -51,8 +51,8 @@
 	Receipt *Receipt `cbor:"rc,omitempty"`
 }
 
-// Receipt acknowledges messages between the runtimes of two VMs. The Node neither sets nor
-// reads it.
+// Receipt acknowledges messages between the runtimes of two VMs, which detect a silent link by
+// it. The Node neither sets nor reads it.
 type Receipt struct {
 	_ struct{} `cbor:",toarray"`
 	// Number is the sequence number of this message from its sender to this VM.
@@ -194,7 +194,7 @@
 	MarksSeen uint64 `cbor:"marks_seen,omitempty"`
 	// Work is what the entry VM has in flight at registered targets.
 	Work map[relay.TargetKey]relay.Work `cbor:"work,omitempty"`
-	// Usage is the entry VM's requests and retries in the last window, by service.
+	// Usage is the entry VM's requests and repeats in the last window, by service.
 	Usage map[string]relay.Usage `cbor:"usage,omitempty"`
 	// Dead lists the targets that failed recently without a success since, Sound
 	// those that served successfully.
@@ -236,7 +236,7 @@
 // FleetPart aggregates the renewals of the entry VMs that renew with one control VM.
 type FleetPart struct {
 	Work map[relay.TargetKey]relay.Work `cbor:"work,omitempty"`
-	// Usage is the sum of their requests and retries, VMs the number of entry VMs.
+	// Usage is the sum of their requests and repeats, VMs the number of entry VMs.
 	Usage map[string]relay.Usage `cbor:"usage,omitempty"`
 	VMs   int                    `cbor:"vms"`
 	// Dead and Sound count the entry VMs that reported a target as such.
@@ -353,7 +353,7 @@
 	MarksWhole bool                           `cbor:"marks_whole,omitempty"`
 	MarksUpto  uint64                         `cbor:"marks_upto,omitempty"`
 	VMs        int                            `cbor:"vms,omitempty"`
-	// Usage sums the requests and retries of UsageBy entry VMs in the last window, by
+	// Usage sums the requests and repeats of UsageBy entry VMs in the last window, by
 	// service. It comes with WorkReported.
 	Usage   map[string]relay.Usage `cbor:"usage,omitempty"`
 	UsageBy int                    `cbor:"usage_by,omitempty"`
--- a/internal/core/placing_notes.go
+++ b/internal/core/placing_notes.go
@@ -49,7 +49,7 @@
 const (
 	// loggedLosses is the number of lost engines for which a logged plan states the rate.
 	loggedLosses = 3
-	// timeUnit is the unit to which logged times are rounded.
+	// timeUnit is the unit to which logged times are rounded: operators need no finer ones.
 	timeUnit = 10 * time.Millisecond
 )
 
