--- a/internal/daemon/answer.go
+++ b/internal/daemon/answer.go
@@ -14,42 +14,42 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// This file gives callers their final answers.
+// This file sends callers their final answers.
 
-// wholeAnswer is an answer that was read to its end.
+// wholeAnswer is an answer that was read completely.
 type wholeAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// served notes an answer that was given whole.
-func (f *forwarding) served(path relay.Path) {
+// noteServed records an answer that was sent completely.
+func (f *forwarding) noteServed(path relay.Path) {
 	f.g.ranWell(f.fingerprint)
 	f.g.meter.served(f.call.Arrived)
 	first := int64(-1)
-	if !f.beganAt.IsZero() {
-		first = f.beganAt.Sub(f.call.Arrived).Milliseconds()
+	if !f.firstEventAt.IsZero() {
+		first = f.firstEventAt.Sub(f.call.Arrived).Milliseconds()
 	}
-	f.g.log.Info("request served", "request", f.call.ID, "held_ms", f.askedAt.Sub(f.call.Arrived).Milliseconds(), "first_ms", first, "events", f.events, "worst_pause_ms", f.worstPause.Milliseconds(), "took_ms", clock.Since(f.call.Arrived).Milliseconds(),
+	f.g.log.Info("request served", "request", f.call.ID, "held_ms", f.firstPickedAt.Sub(f.call.Arrived).Milliseconds(), "first_ms", first, "events", f.events, "worst_pause_ms", f.worstPause.Milliseconds(), "took_ms", clock.Since(f.call.Arrived).Milliseconds(),
 		"tries", f.count, "prompt", f.call.Prompt, "answer", f.call.Answer, "hint", f.call.Hint, "forecast_us", path.Forecast().Microseconds(), "path", path.String())
 }
 
-// notePauses tells the router of the pauses of an answer that one path gave whole.
+// notePauses reports to the router the mean pause of an answer that came from one path.
 func (f *forwarding) notePauses(path relay.Path) {
 	if f.count > 1 || f.events < 2 {
 		return
 	}
-	mean := (f.lastEvent.Sub(f.beganAt) - f.heldUp) / time.Duration(f.events-1)
+	mean := (f.lastEvent.Sub(f.firstEventAt) - f.heldUp) / time.Duration(f.events-1)
 	f.g.mu.Lock()
 	defer f.g.mu.Unlock()
 	f.g.router.TakePauses(path, mean)
 }
 
-// end gives the caller a final answer that is not a served one.
+// end sends the caller a final answer other than a served one.
 func (f *forwarding) end(ctx context.Context, refusal *relay.Refusal) {
 	if callerLeft(ctx) {
-		f.g.meter.left()
+		f.g.meter.callerLeft()
 		f.g.log.Info("caller left", "request", f.call.ID, "after_ms", clock.Since(f.call.Arrived).Milliseconds(), "tries", f.count, "begun", f.begun, "path", f.lastPath.String())
 		panic(http.ErrAbortHandler)
 	}
@@ -58,8 +58,8 @@
 		f.g.log.Info("stream cut", "request", f.call.ID, "fingerprint", f.fingerprint, "after", f.after, "reason", refusal.Reason, "tries", f.count, "path", f.lastPath.String())
 		panic(http.ErrAbortHandler)
 	}
-	if f.kept != nil {
-		f.giveWhole(f.kept)
+	if f.failedAnswer != nil {
+		f.writeWhole(f.failedAnswer)
 		return
 	}
 	if (f.doubt || len(f.attempts.Ran) > 0) && refusal.NotRun() {
@@ -68,13 +68,13 @@
 	f.g.refuse(f.w, f.call, refusal, f)
 }
 
-// callerLeft reports whether a call's context ended with its caller's connection rather
-// than with its time.
+// callerLeft reports whether a call's context ended because the caller disconnected rather
+// than at its deadline.
 func callerLeft(ctx context.Context) bool { return errors.Is(context.Cause(ctx), context.Canceled) }
 
 // abandon ends a call whose caller's connection can't be written to.
 func (f *forwarding) abandon(cause error) {
-	f.g.meter.left()
+	f.g.meter.callerLeft()
 	f.last = "caller left: " + cause.Error()
 	f.g.log.Info("caller left", "request", f.call.ID, "after_ms", clock.Since(f.call.Arrived).Milliseconds(), "tries", f.count, "begun", f.begun, "path", f.lastPath.String(), "error", cause.Error())
 	panic(http.ErrAbortHandler)
@@ -93,8 +93,8 @@
 	g.platform.Codec.Refuse(w, r, now)
 }
 
-// whole takes the answer of a plain service.
-func (f *forwarding) whole(ctx context.Context, path relay.Path, watch *watcher, answer *target.Answer) result {
+// forwardWhole forwards the answer of a plain service.
+func (f *forwarding) forwardWhole(ctx context.Context, path relay.Path, watch *watcher, answer *target.Answer) result {
 	held := f.g.daemon.outbox.open()
 	defer held.close()
 	body, err := f.readWhole(ctx, held, answer)
@@ -102,10 +102,10 @@
 		return f.answerWithoutMemory(path)
 	}
 	if err != nil {
-		return f.broken(ctx, path, watch, err)
+		return f.handleBroken(ctx, path, watch, err)
 	}
 	if len(body) > wholeLimit {
-		return f.long(answer, body)
+		return f.forwardLong(answer, body)
 	}
 	f.g.ranWell(f.fingerprint)
 	given := &wholeAnswer{status: answer.Status, header: answer.Header, body: body}
@@ -115,7 +115,7 @@
 			f.last = "target answered " + strconv.Itoa(answer.Status) + " in the middle of a stream"
 			return resultBroken
 		}
-		f.giveWhole(given)
+		f.writeWhole(given)
 		return resultDone
 	}
 	f.g.failed(path.First().Target, false)
@@ -124,23 +124,23 @@
 		return resultBroken
 	}
 	if f.route.Repeat != relay.RepeatNever {
-		f.kept = given
+		f.failedAnswer = given
 		f.avoid = append(f.avoid, path.First().Target)
 		return resultBroken
 	}
-	f.giveWhole(given)
+	f.writeWhole(given)
 	return resultDone
 }
 
-// long hands on an answer that is too long to be held.
-func (f *forwarding) long(answer *target.Answer, head []byte) result {
+// forwardLong forwards an answer that is too long to be buffered.
+func (f *forwarding) forwardLong(answer *target.Answer, head []byte) result {
 	copyHeader(f.w.Header(), answer.Header)
 	if answer.Length >= 0 {
 		f.w.Header().Set("Content-Length", strconv.FormatInt(answer.Length, 10))
 	}
 	f.w.WriteHeader(answer.Status)
 	f.begun = true
-	f.caller.waitsFor(true)
+	f.caller.setTargetWaits(true)
 	if _, err := io.Copy(f.w, io.MultiReader(bytes.NewReader(head), answer)); err != nil {
 		f.last = err.Error()
 		return resultGone
@@ -148,23 +148,23 @@
 	return resultDone
 }
 
-func (f *forwarding) giveWhole(a *wholeAnswer) {
-	f.caller.waitsFor(false)
+func (f *forwarding) writeWhole(a *wholeAnswer) {
+	f.caller.setTargetWaits(false)
 	copyHeader(f.w.Header(), a.header)
 	f.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	f.w.WriteHeader(a.status)
 	if _, err := f.w.Write(a.body); err != nil {
-		f.g.log.V(1).Info("caller left before its answer", "request", f.call.ID, "error", err.Error())
+		f.g.log.V(1).Info("caller disconnected before its answer was written", "request", f.call.ID, "error", err.Error())
 	}
 }
 
-// connectionHeaders concern one connection only.
+// connectionHeaders are the headers that apply to one connection only.
 var connectionHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true, "Trailer": true,
 	"Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 }
 
-// copyHeader copies all but what concerns one connection.
+// copyHeader copies all headers but connectionHeaders.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !connectionHeaders[name] {
--- a/internal/daemon/caller_conn.go
+++ b/internal/daemon/caller_conn.go
@@ -14,10 +14,10 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file is the connection of a caller, which holds what the caller has not read yet; see
-// outbox.go for how much and who ends.
+// This file is the connection of a caller, which buffers what the caller has not read yet;
+// outbox.go bounds the memory and decides whose connection is ended.
 
-// callers has a server's connections hold what their callers have not read.
+// callers returns a listener whose connections buffer what their callers have not read.
 func (o *outbox) callers(server *http.Server, l net.Listener) net.Listener {
 	server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, conn)
@@ -32,8 +32,8 @@
 	return callerListener{TCPListener: tcp, o: o}
 }
 
-// boundKernel bounds what the kernel holds of each answer. Connections have what their
-// listener has.
+// boundKernel bounds the kernel's send buffer for each answer. Accepted connections inherit
+// the option from their listener.
 func (o *outbox) boundKernel(l *net.TCPListener) {
 	raw, err := l.SyscallConn()
 	if err == nil {
@@ -50,7 +50,7 @@
 
 type connKey struct{}
 
-// connectionOf returns the caller's connection, or nil where it is of another kind.
+// connectionOf returns the caller's connection, or nil where it is of another type.
 func connectionOf(ctx context.Context) *callerConn {
 	c, _ := ctx.Value(connKey{}).(*callerConn)
 	return c
@@ -71,47 +71,47 @@
 	if err != nil {
 		return nil, errors.Join(err, tcp.Close())
 	}
-	c := &callerConn{TCPConn: tcp, tcp: tcp, raw: raw, o: l.o, over: make(chan struct{})}
-	c.attempt = c.writeOnce
+	c := &callerConn{TCPConn: tcp, tcp: tcp, raw: raw, o: l.o, done: make(chan struct{})}
+	c.writeFunc = c.writeOnce
 	return c, nil
 }
 
-// callerConn is a connection to a caller. One goroutine at a time writes to it.
+// callerConn is a connection to a caller. Only one goroutine at a time writes to it.
 type callerConn struct {
 	*net.TCPConn
 	tcp *net.TCPConn
 	raw syscall.RawConn
 	o   *outbox
-	// named is the id of the request that is under way.
-	named atomic.Pointer[string]
-	// target says that a target's answer waits for the caller, and stalled how long the
-	// writer has waited since that was last asked. Both belong to the writer.
-	target  bool
-	stalled time.Duration
-	// attempt tries to write now what it is given in give, and says in gave and fault what
-	// came of it; kept, so that a write costs no allocation.
-	attempt func(fd uintptr) bool
-	give    []byte
-	gave    int
-	fault   error
-	// late says that something is held, so that the writer must not write by itself.
-	late atomic.Bool
-
-	// The rest is under the lock of o.
-	id       relay.HoldingID
-	pieces   [][]byte
-	offset   int
-	stuckAt  time.Time
-	writing  bool
-	draining bool
-	closing  bool
-	failed   error
-	// over is closed when the caller has left or was ended.
-	over chan struct{}
+	// requestID is the id of the request in progress.
+	requestID atomic.Pointer[string]
+	// targetWaits says that a target's answer waits for the caller, and stalled is how long the
+	// writer has waited since takeStall. Both belong to the writer.
+	targetWaits bool
+	stalled     time.Duration
+	// writeFunc writes writeBuf without blocking, and sets written and writeErr; it is kept so
+	// that a write allocates nothing.
+	writeFunc func(fd uintptr) bool
+	writeBuf  []byte
+	written   int
+	writeErr  error
+	// behind says that bytes are buffered, so that the writer must not write to the socket itself.
+	behind atomic.Bool
+
+	// The lock of o guards the fields below.
+	id           relay.HoldingID
+	pieces       [][]byte
+	offset       int
+	blockedSince time.Time
+	writing      bool
+	draining     bool
+	closing      bool
+	failed       error
+	// done is closed when the caller has disconnected or was ended.
+	done chan struct{}
 }
 
 func (c *callerConn) request() string {
-	if name := c.named.Load(); name != nil {
+	if name := c.requestID.Load(); name != nil {
 		return *name
 	}
 	return ""
@@ -125,9 +125,9 @@
 	return max(n, 0)
 }
 
-// writeOnce writes as much as the kernel takes now. It never waits.
+// writeOnce writes as much as the kernel accepts now. It never waits.
 func (c *callerConn) writeOnce(fd uintptr) bool {
-	c.gave, c.fault = writeNow(fd, c.give)
+	c.written, c.writeErr = writeNow(fd, c.writeBuf)
 	return true
 }
 
@@ -146,17 +146,17 @@
 	}
 }
 
-// Write implements net.Conn. It returns once the bytes are the kernel's or held.
+// Write implements net.Conn. It returns once the bytes are written to the kernel or buffered.
 func (c *callerConn) Write(p []byte) (int, error) {
 	n := 0
-	if !c.late.Load() {
-		c.give = p
-		err := c.raw.Write(c.attempt)
-		c.give = nil
-		if err = errors.Join(err, c.fault); err != nil {
+	if !c.behind.Load() {
+		c.writeBuf = p
+		err := c.raw.Write(c.writeFunc)
+		c.writeBuf = nil
+		if err = errors.Join(err, c.writeErr); err != nil {
 			return 0, fmt.Errorf("write to the caller: %w", err)
 		}
-		if n = c.gave; n == len(p) {
+		if n = c.written; n == len(p) {
 			return n, nil
 		}
 	}
@@ -164,36 +164,36 @@
 	return n + kept, err
 }
 
-// ReadFrom hides that of the TCP connection, which writes by itself.
+// ReadFrom hides the method of the TCP connection, which writes to the socket itself.
 func (c *callerConn) ReadFrom(r io.Reader) (int64, error) {
 	return io.Copy(struct{ io.Writer }{c}, r)
 }
 
-// hold keeps bytes until the caller reads them. It waits where there is no room.
+// hold buffers bytes until the caller reads them. It waits where there is no room.
 func (c *callerConn) hold(p []byte) (int, error) {
 	c.o.mu.Lock()
 	defer c.o.mu.Unlock()
 	if c.failed != nil {
 		return 0, c.failed
 	}
-	c.fallBehind()
+	c.markBehind()
 	c.writing = true
-	defer c.wrote()
+	defer c.finishWrite()
 	kept, waited := 0, false
 	began := time.Now()
 	until := began.Add(c.patience())
 	for kept < len(p) {
-		n := c.keep(p[kept:])
+		n := c.buffer(p[kept:])
 		kept += n
 		switch {
 		case n > 0:
-			c.drainSoon()
+			c.startDrain()
 			continue
-		case c.endsWaiting(time.Now(), until):
+		case c.givesUp(time.Now(), until):
 			c.o.holdings.Close(c.id)
-			c.o.endHeld(c.id, time.Now(), "there is no room for more of its answer")
+			c.o.endCaller(c.id, time.Now(), "there is no room for more of its answer")
 		default:
-			c.o.await(until, c.over)
+			c.o.awaitRoom(until, c.done)
 			waited = true
 		}
 		if c.failed != nil {
@@ -202,38 +202,37 @@
 	}
 	if waited {
 		c.stalled += time.Since(began)
-		c.o.moreRoom() // there may be some left for the next
+		c.o.wakeNext() // there may be room left for the next writer
 	}
 	return kept, nil
 }
 
-// endsWaiting reports whether a writer that finds no room gives up: when its target bears
-// the wait no more, or, where the memory of all is short, as soon as its caller does not
-// read at all.
-func (c *callerConn) endsWaiting(now, until time.Time) bool {
-	return !now.Before(until) || c.target && !c.o.holdings.Full(c.id) && !c.stuckAt.IsZero() && now.Sub(c.stuckAt) >= readGrace
+// givesUp reports whether a writer without room stops waiting: at the time limit of its target
+// or, where the memory of all is short, as soon as its caller does not read at all.
+func (c *callerConn) givesUp(now, until time.Time) bool {
+	return !now.Before(until) || c.targetWaits && !c.o.holdings.Full(c.id) && !c.blockedSince.IsZero() && now.Sub(c.blockedSince) >= readGrace
 }
 
-// patience is how long the writer waits for room.
+// patience returns how long the writer waits for room.
 func (c *callerConn) patience() time.Duration {
-	if c.target {
+	if c.targetWaits {
 		return engineStallLimit
 	}
 	return c.o.unread
 }
 
-func (c *callerConn) fallBehind() {
-	if c.late.Load() {
+func (c *callerConn) markBehind() {
+	if c.behind.Load() {
 		return
 	}
 	c.id = c.o.holdings.Open()
-	c.stuckAt = time.Time{}
+	c.blockedSince = time.Time{}
 	c.o.behind[c.id] = c
-	c.late.Store(true)
+	c.behind.Store(true)
 }
 
-// keep copies bytes to what is held, as many as there is room for.
-func (c *callerConn) keep(p []byte) int {
+// buffer copies bytes to the buffer, as many as there is room for.
+func (c *callerConn) buffer(p []byte) int {
 	if last := len(c.pieces) - 1; last >= 0 && len(c.pieces[last]) < cap(c.pieces[last]) {
 		piece := c.pieces[last]
 		n := min(len(p), cap(piece)-len(piece))
@@ -241,9 +240,9 @@
 		return n
 	}
 	now := time.Now()
-	size, ends := c.o.holdings.Put(c.id, int64(max(len(p), pieceLeast)), now)
+	size, ends := c.o.holdings.Put(c.id, int64(max(len(p), minPieceBytes)), now)
 	for _, e := range ends {
-		c.o.endHeld(e, now, "the memory is needed for callers that read")
+		c.o.endCaller(e, now, "the memory is needed for callers that read")
 	}
 	if size == 0 {
 		return 0
@@ -253,34 +252,34 @@
 	return n
 }
 
-func (c *callerConn) drainSoon() {
+func (c *callerConn) startDrain() {
 	if !c.draining {
 		c.draining = true
 		go c.drain()
 	}
 }
 
-// wrote ends a write. The lock is held.
-func (c *callerConn) wrote() {
+// finishWrite ends a write. The lock is held.
+func (c *callerConn) finishWrite() {
 	c.writing = false
 	c.catchUp()
 }
 
-// catchUp notes that nothing is held any more. The lock is held.
+// catchUp ends the buffering once the buffer is empty. The lock is held.
 func (c *callerConn) catchUp() {
 	if c.writing || c.draining || len(c.pieces) > 0 || c.failed != nil {
 		return
 	}
 	c.o.holdings.Close(c.id)
 	delete(c.o.behind, c.id)
-	c.o.moreRoom()
-	c.late.Store(false)
+	c.o.wakeNext()
+	c.behind.Store(false)
 	if c.closing {
-		go c.tcp.Close() // nobody is left to be told of an error
+		go c.tcp.Close() // no caller is left to get the error
 	}
 }
 
-// drain writes what is held as the caller reads.
+// drain writes the buffered bytes as the caller reads.
 func (c *callerConn) drain() {
 	for {
 		c.o.mu.Lock()
@@ -297,7 +296,7 @@
 		err := c.raw.Write(func(fd uintptr) bool {
 			n, fault = writeNow(fd, next)
 			if n == 0 && fault == nil {
-				c.stuck()
+				c.noteBlocked()
 				return false
 			}
 			return true
@@ -306,18 +305,18 @@
 	}
 }
 
-// stuck notes that the kernel takes nothing more.
-func (c *callerConn) stuck() {
+// noteBlocked records that the kernel accepts no more bytes.
+func (c *callerConn) noteBlocked() {
 	now := time.Now()
 	c.o.mu.Lock()
 	defer c.o.mu.Unlock()
-	if c.stuckAt.IsZero() {
-		c.stuckAt = now
+	if c.blockedSince.IsZero() {
+		c.blockedSince = now
 		c.o.holdings.Stuck(c.id, now)
 	}
 }
 
-// drained notes what the kernel took for the caller.
+// drained records the bytes that the kernel accepted.
 func (c *callerConn) drained(n int, err error) {
 	c.o.mu.Lock()
 	defer c.o.mu.Unlock()
@@ -328,7 +327,7 @@
 		c.fail(err)
 		return
 	}
-	c.stuckAt = time.Time{}
+	c.blockedSince = time.Time{}
 	c.offset += n
 	freed := 0
 	if c.offset == len(c.pieces[0]) {
@@ -339,22 +338,22 @@
 	}
 	c.o.holdings.Read(c.id, int64(freed))
 	if freed > 0 {
-		c.o.moreRoom()
+		c.o.wakeNext()
 	}
 }
 
-// fail takes a caller that has left. The lock is held.
+// fail handles a caller that has disconnected. The lock is held.
 func (c *callerConn) fail(err error) {
 	c.failed = fmt.Errorf("write to the caller: %w", err)
 	c.pieces = nil
-	close(c.over)
+	close(c.done)
 	c.o.holdings.Close(c.id)
 	delete(c.o.behind, c.id)
-	c.o.moreRoom()
-	go c.tcp.Close() // it is broken already
+	c.o.wakeNext()
+	go c.tcp.Close() // it has failed already
 }
 
-// Close implements net.Conn. What is held still reaches the caller.
+// Close implements net.Conn. Buffered bytes still reach the caller.
 func (c *callerConn) Close() error {
 	if c.closeLater() {
 		return nil
@@ -366,7 +365,7 @@
 	return c.tcp.Close()
 }
 
-// CloseWrite has the caller see the end after what is held for it.
+// CloseWrite closes the sending side after the buffered bytes.
 func (c *callerConn) CloseWrite() error {
 	if c.closeLater() {
 		return nil
@@ -374,43 +373,43 @@
 	return c.tcp.CloseWrite()
 }
 
-// wasEnded reports whether the caller was ended for what it did not read: it must not see
-// a usual end.
+// wasEnded reports whether the caller was ended for not reading: it must not see a regular end
+// of the connection.
 func (c *callerConn) wasEnded() bool {
 	c.o.mu.Lock()
 	defer c.o.mu.Unlock()
-	return errors.Is(c.failed, errUnread)
+	return errors.Is(c.failed, errCallerNotReading)
 }
 
-// closeLater has the connection closed once its caller has read what is held, and reports
-// whether there is anything.
+// closeLater has the connection closed once its caller has read the buffer, and reports
+// whether anything is buffered.
 func (c *callerConn) closeLater() bool {
 	c.o.mu.Lock()
 	defer c.o.mu.Unlock()
-	if !c.late.Load() || c.failed != nil {
+	if !c.behind.Load() || c.failed != nil {
 		return false
 	}
 	c.closing = true
 	return true
 }
 
-// begin notes which request is under way. No target waits for its caller yet.
+// begin records which request is in progress. No target waits for its caller yet.
 func (c *callerConn) begin(request string) {
 	if c != nil {
-		c.named.Store(&request)
-		c.target = false
-		c.stalled = 0 // what the one before waited
+		c.requestID.Store(&request)
+		c.targetWaits = false
+		c.stalled = 0 // the wait of the previous request
 	}
 }
 
-// waitsFor notes whether a target's answer waits while the caller does not read.
-func (c *callerConn) waitsFor(target bool) {
+// setTargetWaits records whether a target's answer waits while the caller does not read.
+func (c *callerConn) setTargetWaits(target bool) {
 	if c != nil {
-		c.target = target
+		c.targetWaits = target
 	}
 }
 
-// takeStall returns how long the writer has waited for the caller since it was last asked.
+// takeStall returns how long the writer has waited for the caller since the last call.
 func (c *callerConn) takeStall() time.Duration {
 	if c == nil {
 		return 0
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -25,9 +25,9 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// The headers that callers use beside the usual ones.
+// Headers of callers' requests and answers that are not standard.
 const (
-	// headerTimeout is how long the caller needs the answer, as in "1.5s".
+	// headerTimeout is how long the caller waits for the answer, as in "1.5s".
 	headerTimeout = "Request-Timeout"
 	headerLastID  = "Last-Event-ID"
 	headerReplay  = "Idempotency-Replayed"
@@ -38,11 +38,11 @@
 	daemon *Daemon
 	mu     sync.Mutex
 	boxes  map[core.ConnID]*mailbox
-	open   chan struct{}
+	slots  chan struct{}
 }
 
-// mailbox holds the effects for one caller until its handler takes them, so
-// that a slow caller never holds up the loop.
+// mailbox queues the effects for one caller until its handler takes them, so that a slow
+// caller never blocks the loop.
 type mailbox struct {
 	mu      sync.Mutex
 	effects []core.Effect
@@ -54,11 +54,11 @@
 	return &callers{
 		daemon: d,
 		boxes:  make(map[core.ConnID]*mailbox),
-		open:   make(chan struct{}, d.settings.Limits.Requests),
+		slots:  make(chan struct{}, d.settings.Limits.Requests),
 	}
 }
 
-// attach makes a mailbox for a new connection.
+// attach creates a mailbox for a new connection.
 func (c *callers) attach(call target.Call) (core.ConnID, *mailbox) {
 	conn := c.daemon.newConn()
 	box := &mailbox{wake: make(chan struct{}, 1), call: call}
@@ -68,7 +68,7 @@
 	return conn, box
 }
 
-// detach ends a connection and tells the Node.
+// detach removes a connection and notifies the Node.
 func (c *callers) detach(conn core.ConnID) {
 	c.daemon.post(core.CallerGone{Conn: conn})
 	c.mu.Lock()
@@ -105,7 +105,7 @@
 	return 0
 }
 
-// give puts an effect into its caller's mailbox.
+// give appends an effect to its caller's mailbox.
 func (c *callers) give(effect core.Effect) {
 	c.daemon.metrics.answered(effect)
 	box, ok := c.box(connOf(effect))
@@ -121,8 +121,8 @@
 	}
 }
 
-// take returns what is in the mailbox, and waits until there is something. It
-// returns nothing when the caller or the process goes.
+// take returns the effects in the mailbox, and waits until there are some. It returns nil when
+// the caller disconnects or the process stops.
 func (c *callers) take(r *http.Request, box *mailbox) []core.Effect {
 	for {
 		box.mu.Lock()
@@ -175,8 +175,8 @@
 func (c *callers) limited(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case c.open <- struct{}{}:
-			defer func() { <-c.open }()
+		case c.slots <- struct{}{}:
+			defer func() { <-c.slots }()
 			next(w, r)
 		default:
 			writeRefusal(w, "", core.Refusal{Kind: core.RefusedOverload, Ran: core.RanNo,
@@ -186,7 +186,7 @@
 	}
 }
 
-// identity returns the request's identity, and whether the caller gave it.
+// identityOf returns the request's id, and whether the caller gave it.
 func identityOf(r *http.Request) (core.RequestID, bool) {
 	if key := r.Header.Get(target.HeaderIdempotencyKey); key != "" {
 		return core.RequestID(key), true
@@ -198,7 +198,7 @@
 	return strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 }
 
-// deadlineOf returns when the caller no longer needs the answer.
+// deadlineOf returns the caller's deadline.
 func (c *callers) deadlineOf(r *http.Request) (time.Time, error) {
 	most := time.Duration(c.daemon.settings.Limits.RequestTime)
 	text := r.Header.Get(headerTimeout)
@@ -231,7 +231,7 @@
 	writeRefusal(w, "", core.Refusal{Kind: core.RefusedRequest, Ran: core.RanNo, Reason: reason, Remedy: "correct the request and send it again"}, 0)
 }
 
-// entriesReply is the answer of GET /v1/entries.
+// entriesReply is the response to GET /v1/entries.
 type entriesReply struct {
 	Entries []core.EntryAddress `json:"entries"`
 	// KeepUntil is when the caller has to ask again.
@@ -301,8 +301,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// errorReply is the JSON of a refusal. Its shape is that of the OpenAI API,
-// with fields added.
+// errorReply is the JSON of a refusal: the format of the OpenAI API with additional fields.
 type errorReply struct {
 	Error errorBody `json:"error"`
 }
@@ -315,7 +314,7 @@
 	Ran     core.Ran `json:"ran"`
 	Remedy  string   `json:"remedy"`
 	Request string   `json:"request_id,omitempty"`
-	// RetryAt is when coming back helps.
+	// RetryAt is when a retry may succeed.
 	RetryAt *time.Time `json:"retry_at,omitempty"`
 	Others  []string   `json:"other_entries,omitempty"`
 }
@@ -332,20 +331,19 @@
 	return errorReply{Error: body}
 }
 
-// writeRefusal gives a caller its refusal, with the status of its kind unless
-// another is given.
+// writeRefusal writes a refusal, with the status of its kind unless another one is given.
 func writeRefusal(w http.ResponseWriter, id core.RequestID, r core.Refusal, status int) {
 	if status == 0 {
 		status = statusOf(r.Kind)
 	}
-	if r.Ran != core.RanNo && promises(status) {
+	if r.Ran != core.RanNo && meansNotRun(status) {
 		status = http.StatusBadGateway
 	}
 	if !r.RetryAt.IsZero() {
 		seconds := math.Ceil(clock.Until(r.RetryAt).Seconds())
 		w.Header().Set("Retry-After", strconv.Itoa(max(int(seconds), 0)))
 	}
-	// Clients that retry by themselves would repeat what may have run.
+	// Clients with automatic retries would repeat a request that may have run.
 	if r.Ran != core.RanNo {
 		w.Header().Set("X-Should-Retry", "false")
 	}
@@ -376,8 +374,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// promises reports whether a status tells callers that a request has not run.
-func promises(status int) bool {
+// meansNotRun reports whether a status tells callers that a request has not run.
+func meansNotRun(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
--- a/internal/daemon/choosing.go
+++ b/internal/daemon/choosing.go
@@ -9,10 +9,10 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file picks the targets that a request goes to next, and waits where there are none.
+// This file chooses the next targets of a request, and waits where there are none.
 
-// choose picks the next path, and waits a little for room where mayWait says so, or for a permit
-// that comes soon enough.
+// choose returns the next path. It waits for room where waitsForRoom allows it, or for a
+// permit that is due soon enough.
 func (f *forwarding) choose(ctx context.Context) (relay.Path, *relay.Refusal) {
 	until := f.waitUntil()
 	waiting := false
@@ -32,55 +32,55 @@
 	}
 }
 
-// worthWaiting reports whether another look before a time may find what this one did not.
+// worthWaiting reports whether another choice before a time may succeed where this one failed.
 func (f *forwarding) worthWaiting(r *relay.Refusal, until time.Time) bool {
 	if r.Kind == relay.RefusedCrashes || !r.NotBefore.Before(until) {
 		return false
 	}
-	return f.mayWait() || r.NoPermit
+	return f.waitsForRoom() || r.NoPermit
 }
 
-// waitUntil is how long a request waits for room, or for a repeat: a caller gives an answer
-// up that has brought nothing for callerPatience. One that can be told to come back waits for a
-// permit alone, for a part of the time within which its answer is to begin.
+// waitUntil returns until when a request waits for room, or for a repeat: callers abandon an
+// answer that has sent nothing for callerEventTimeout. A request that can be told to come back
+// waits for a permit only, for a part of its route's objective.
 func (f *forwarding) waitUntil() time.Time {
-	if !f.mayWait() {
-		return f.call.Arrived.Add(min(f.route.Objective/permitWaitPart, callerPatience))
+	if !f.waitsForRoom() {
+		return f.call.Arrived.Add(min(f.route.Objective/permitWaitDivisor, callerEventTimeout))
 	}
 	since := f.call.Arrived
 	if f.begun {
 		since = f.lastEvent
 	}
-	return since.Add(callerPatience)
+	return since.Add(callerEventTimeout)
 }
 
-// permitWaitPart is the part of a route's objective for which a request waits for a permit: the
-// rest is for its answer.
-const permitWaitPart = 2
+// permitWaitDivisor is the divisor of a route's objective that gives the longest wait for a
+// permit: the rest is for the answer.
+const permitWaitDivisor = 2
 
-// pause waits before another look, and reports false where the wait is over.
+// pause waits before the next check, and reports false when the wait is over.
 func (f *forwarding) pause(ctx context.Context, until time.Time) bool {
 	if !clock.Now().Before(until) {
 		return false
 	}
 	select {
-	case <-time.After(resumePause):
+	case <-time.After(roomRetryInterval):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// mayWait reports whether a request waits for room. A stream that its caller has a part
-// of does, in this answer or one that broke off: refusing it would throw away what was
-// done. So does any call of a VM that has just started and takes no more than its share.
-func (f *forwarding) mayWait() bool { return f.resumed() || f.g.starting() }
+// waitsForRoom reports whether a request waits for room. A stream of which the caller has
+// received a part, in this call or an earlier one, does: refusing it would discard completed
+// work. So does any call on a VM that has just started and takes no more than its share.
+func (f *forwarding) waitsForRoom() bool { return f.resumed() || f.g.starting() }
 
-// resumed reports whether the caller has a part of the answer, from this call or one
-// before.
+// resumed reports whether the caller has received a part of the answer, in this call or an
+// earlier one.
 func (f *forwarding) resumed() bool { return f.begun || f.call.After != "" }
 
-// starting reports whether this VM has not been told yet what others have under way.
+// starting reports whether this VM has not yet received what other VMs have in flight.
 func (g *Gateway) starting() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -105,8 +105,8 @@
 	return path, refusal
 }
 
-// avoided returns the targets that are not asked again. One that had no room is, by a
-// stream in the middle: it can't be told to come back.
+// avoided returns the targets that are excluded. A stream that has begun does not exclude
+// targets that had no room: its caller can't be told to come back.
 func (f *forwarding) avoided() []relay.TargetID {
 	if f.begun {
 		return f.avoid
@@ -114,7 +114,7 @@
 	return slices.Concat(f.avoid, f.full)
 }
 
-// withTarget returns targets and one more, each once.
+// withTarget returns ids with id added, without duplicates.
 func withTarget(ids []relay.TargetID, id relay.TargetID) []relay.TargetID {
 	if slices.Contains(ids, id) {
 		return ids
--- a/internal/daemon/crashes.go
+++ b/internal/daemon/crashes.go
@@ -9,40 +9,40 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file is a gateway's part in keeping requests away from targets that they would end:
-// relay/suspects.go has the problem, core/quarantine.go how all VMs know.
+// This file is the gateway's part in quarantining requests that crash their targets;
+// relay/suspects.go describes the problem, core/quarantine.go how all VMs learn of it.
 
 const (
-	// survivedKept is how long a request that a target has run well is not held to be what
-	// ends others: requests that look alike come again within seconds or minutes. Where more
-	// than survivedMost others come meanwhile, it is less; they take some 0.3 MB.
-	survivedKept = time.Minute
-	survivedMost = 4096
-	// reportedMost bounds the requests of which it is told that they have run well since.
-	reportedMost = 256
-	// provenAfter is the time since its first event after which a run counts as a good one:
-	// what ends its target does so as it begins.
-	provenAfter = time.Second
+	// survivedTTL is how long a request that a target has run well is not suspected of crashing
+	// targets: requests that look alike come again within seconds or minutes. It is shorter where
+	// more than maxSurvived others arrive meanwhile; these take some 0.3 MB.
+	survivedTTL = time.Minute
+	maxSurvived = 4096
+	// maxReported bounds the reported requests of which the leader is notified when they run well.
+	maxReported = 256
+	// provenRunTime is the time since its first event after which a run counts as good: a request
+	// that crashes its target does so as it starts.
+	provenRunTime = time.Second
 )
 
-// crashes is what a gateway knows of requests that end their targets.
+// crashes is what a gateway knows of requests that crash their targets.
 type crashes struct {
 	mu sync.Mutex
 	// quarantine holds the requests that are sent to no target, and until when.
 	quarantine map[relay.Fingerprint]time.Time
-	// survived are requests that a target has run well of late, and reported those that the
-	// leader was told of.
+	// survived are the requests that a target has run well recently, and reported those that were
+	// reported to the leader.
 	survived relay.Recent[relay.Fingerprint]
 	reported relay.Recent[relay.Fingerprint]
 }
 
-// init makes the sets.
+// init creates the sets.
 func (c *crashes) init() {
-	c.survived = relay.NewRecent[relay.Fingerprint](survivedMost, survivedKept)
-	c.reported = relay.NewRecent[relay.Fingerprint](reportedMost, survivedKept)
+	c.survived = relay.NewRecent[relay.Fingerprint](maxSurvived, survivedTTL)
+	c.reported = relay.NewRecent[relay.Fingerprint](maxReported, survivedTTL)
 }
 
-// quarantined reports whether a request is sent to no target.
+// quarantined reports whether a request is in quarantine.
 func (c *crashes) quarantined(request relay.Fingerprint, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,8 +50,8 @@
 	return held && now.Before(until)
 }
 
-// suspected returns the runs of requests that have not run well here of late, and notes that
-// they are reported.
+// suspected returns the runs of requests that have not run well here recently, and records
+// them as reported.
 func (c *crashes) suspected(runs []relay.CrashedRun, now time.Time) []relay.CrashedRun {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,8 +66,8 @@
 	return suspected
 }
 
-// ranWell notes that a target has run a request well, and reports whether the leader is to
-// hear of it.
+// ranWell records that a target has run a request well, and reports whether the leader has to
+// be notified.
 func (c *crashes) ranWell(request relay.Fingerprint, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,7 +76,7 @@
 	return !known && c.reported.Has(request, now)
 }
 
-// takeQuarantine takes the requests that are sent to no target.
+// takeQuarantine replaces the set of requests in quarantine.
 func (g *Gateway) takeQuarantine(e core.QuarantineInForce) {
 	g.crashes.mu.Lock()
 	before := len(g.crashes.quarantine)
@@ -86,7 +86,7 @@
 	g.log.Info("quarantine in force", "requests", len(e.Until), "before", before)
 }
 
-// reportCrashed has the leader hear of runs that ended with their target.
+// reportCrashed reports runs that ended with their target to the leader.
 func (g *Gateway) reportCrashed(runs []relay.CrashedRun) {
 	if len(runs) == 0 {
 		return
@@ -98,15 +98,15 @@
 	}
 }
 
-// ranWell notes that a target has run a request well.
+// ranWell records that a target has run a request well.
 func (g *Gateway) ranWell(request relay.Fingerprint) {
 	if now := clock.Now(); g.crashes.ranWell(request, now) {
 		g.daemon.post(core.RequestSurvived{Request: request, At: now})
 	}
 }
 
-// quarantineRefusal is what the caller of a request in quarantine is told: that it has run, and
-// no time to come back at. An answer that has begun is not cut.
+// quarantineRefusal returns the refusal of a request in quarantine: it says that the request
+// has run, and gives no time to come back. An answer that has begun is not cut off.
 func (g *Gateway) quarantineRefusal(f *forwarding, now time.Time) *relay.Refusal {
 	if f.begun || !g.crashes.quarantined(f.fingerprint, now) {
 		return nil
--- a/internal/daemon/endings.go
+++ b/internal/daemon/endings.go
@@ -12,53 +12,54 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file finds out whether a target ended under the requests that it had.
+// This file determines whether a target ended while it had requests in flight.
 //
-// A connection that closes in the middle of a request says little: the target may have
-// dropped it, or a link reset it. Where the address refuses new connections right after, or
-// another incarnation has taken the target's place, the target has ended. One that says
-// nothing at all may be behind a cut or without power, and nobody's request is to blame.
+// A connection that closes in the middle of a request proves little: the target may have
+// dropped it, or a link reset it. If the address refuses new connections right after, or
+// another incarnation has replaced the target, the target has ended. A target that does not
+// respond at all may be partitioned or without power, and no request is to blame.
 
 const (
-	// endingDialLimit bounds the look at an address: a machine whose process has ended
-	// refuses within a round trip.
-	endingDialLimit = 200 * time.Millisecond
-	// endingGather is how long after that other requests that broke off with the same target
-	// still go into one report: this VM notices them within some 10 ms of each other.
-	endingGather = 20 * time.Millisecond
-	// endingsAtOnce bounds the looks under way: a hall has fewer targets.
-	endingsAtOnce = 256
-	// startingMost bounds the runs that are reported of one target: the one that it ended
-	// under is among the few that it was beginning.
-	startingMost = 32
-	// undecidedKept is how long a target that answered the look may still turn out to have
-	// ended: another incarnation has registered by then. undecidedMost bounds them.
-	undecidedKept = 5 * time.Second
-	undecidedMost = 64
-	// namedRequests bounds the fingerprints in one line.
-	namedRequests = 8
+	// endCheckDialTimeout bounds the check of an address: a machine whose process has ended
+	// refuses a connection within a round trip.
+	endCheckDialTimeout = 200 * time.Millisecond
+	// endCheckGatherTime is how long after that other requests that broke off with the same target
+	// are added to the same report: this VM notices them within some 10 ms of each other.
+	endCheckGatherTime = 20 * time.Millisecond
+	// maxEndChecks bounds the checks in progress: a hall has fewer targets.
+	maxEndChecks = 256
+	// maxReportedRuns bounds the runs that are reported for one target: the run that ended it is
+	// among the few that were starting.
+	maxReportedRuns = 32
+	// undecidedTTL is how long a target that accepted the check's connection may still turn out to
+	// have ended: another incarnation has registered by then. maxUndecided bounds the number of
+	// such targets.
+	undecidedTTL = 5 * time.Second
+	maxUndecided = 64
+	// maxLoggedFingerprints bounds the fingerprints in one log line.
+	maxLoggedFingerprints = 8
 )
 
 // run is one sending of a request to a target.
 type run struct {
 	request relay.Fingerprint
 	began   time.Time
-	// started says that it has brought something.
+	// started says that the run has produced output.
 	started bool
 }
 
-// ending is what is known of the end of one target.
-type ending struct {
+// targetEnd is what is known of the end of one target.
+type targetEnd struct {
 	target relay.TargetID
 	// at is when the first run broke off.
 	at time.Time
-	// starting are the runs that had brought nothing yet, midway counts the others.
+	// starting are the runs without output so far, and midway counts the others.
 	starting []run
 	midway   int
 }
 
-// crashed returns the runs that ended with the target before they had brought anything.
-func (e ending) crashed() []relay.CrashedRun {
+// crashed returns the runs that ended with the target before they produced output.
+func (e targetEnd) crashed() []relay.CrashedRun {
 	var runs []relay.CrashedRun
 	for _, r := range e.starting {
 		runs = append(runs, relay.CrashedRun{Request: r.request, Target: e.target.Key(), Began: r.began, Ended: e.at})
@@ -66,100 +67,99 @@
 	return runs
 }
 
-// fingerprints returns the first requests that had brought nothing yet, for the log.
-func (e ending) fingerprints() []relay.Fingerprint {
+// fingerprints returns the first requests without output, for the log.
+func (e targetEnd) fingerprints() []relay.Fingerprint {
 	var requests []relay.Fingerprint
-	for _, r := range e.starting[:min(len(e.starting), namedRequests)] {
+	for _, r := range e.starting[:min(len(e.starting), maxLoggedFingerprints)] {
 		requests = append(requests, r.request)
 	}
 	return requests
 }
 
-// endings are the looks under way, by target, and those that were undecided: another
-// incarnation may have been started at the address before the look.
+// endings are the checks in progress, by target, and the undecided ones: another incarnation
+// may have started at the address before the check.
 type endings struct {
 	mu        sync.Mutex
-	looking   map[relay.TargetID]*ending
-	undecided []ending
+	checking  map[relay.TargetID]*targetEnd
+	undecided []targetEnd
 }
 
 // note adds a run that broke off with a target, and reports whether it is the first one, so
-// that the target is to be looked at.
+// that the target has to be checked.
 func (e *endings) note(s relay.Stage, r run, now time.Time) (first bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	known, looking := e.looking[s.Target]
+	known, looking := e.checking[s.Target]
 	if !looking {
-		if r.started || len(e.looking) >= endingsAtOnce {
+		if r.started || len(e.checking) >= maxEndChecks {
 			return false
 		}
-		known = &ending{target: s.Target, at: now}
+		known = &targetEnd{target: s.Target, at: now}
 		first = true
-		if e.looking == nil {
-			e.looking = make(map[relay.TargetID]*ending)
+		if e.checking == nil {
+			e.checking = make(map[relay.TargetID]*targetEnd)
 		}
-		e.looking[s.Target] = known
+		e.checking[s.Target] = known
 	}
 	if r.started {
 		known.midway++
 		return first
 	}
-	if len(known.starting) < startingMost {
+	if len(known.starting) < maxReportedRuns {
 		known.starting = append(known.starting, r)
 	}
 	return first
 }
 
-// take ends the look at a target and returns what it has gathered.
-func (e *endings) take(id relay.TargetID) ending {
+// take ends the check of a target and returns what it has gathered.
+func (e *endings) take(id relay.TargetID) targetEnd {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	known := *e.looking[id]
-	delete(e.looking, id)
+	known := *e.checking[id]
+	delete(e.checking, id)
 	return known
 }
 
-// keep keeps the end of a target that may still turn out to have ended.
-func (e *endings) keep(known ending) {
+// keepUndecided stores a target that may still turn out to have ended.
+func (e *endings) keepUndecided(known targetEnd) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.undecided = append(e.undecided, known)
-	e.undecided = e.undecided[max(0, len(e.undecided)-undecidedMost):]
+	e.undecided = e.undecided[max(0, len(e.undecided)-maxUndecided):]
 }
 
-// confirm returns the runs that broke off of late with targets that have turned out to have
-// ended.
+// confirm returns the recent runs that broke off with targets now known to have ended.
 func (e *endings) confirm(ended []relay.Succession, now time.Time) []relay.CrashedRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var runs []relay.CrashedRun
-	e.undecided = slices.DeleteFunc(e.undecided, func(known ending) bool {
+	e.undecided = slices.DeleteFunc(e.undecided, func(known targetEnd) bool {
 		confirmed := slices.ContainsFunc(ended, func(s relay.Succession) bool { return s.Old == known.target })
 		if confirmed {
 			runs = append(runs, known.crashed()...)
 		}
-		return confirmed || !now.Before(known.at.Add(undecidedKept))
+		return confirmed || !now.Before(known.at.Add(undecidedTTL))
 	})
 	return runs
 }
 
-// brokeOff notes a run that broke off with a target, and has that looked at. Certain says that
-// the target is known to have ended.
+// brokeOff records a run that broke off with a target, and has the target checked. Certain
+// says that the target is known to have ended.
 func (g *Gateway) brokeOff(s relay.Stage, r run, certain bool) {
 	if g.endings.note(s, r, clock.Now()) {
-		go g.lookAtEnd(s, certain)
+		go g.checkEnded(s, certain)
 	}
 }
 
-// lookAtEnd finds out whether a target has ended, and has the leader hear of the runs that
-// ended with it.
-func (g *Gateway) lookAtEnd(s relay.Stage, certain bool) {
+// checkEnded checks whether a target has ended, and reports the runs that ended with it to the
+// leader.
+func (g *Gateway) checkEnded(s relay.Stage, certain bool) {
 	var err error
 	if !certain {
 		err = dialOnce(s.Address)
 	}
 	select {
-	case <-time.After(endingGather):
+	case <-time.After(endCheckGatherTime):
 	case <-g.daemon.context.Done():
 	}
 	known := g.endings.take(s.Target)
@@ -167,15 +167,15 @@
 	g.log.Info("requests broke off with a target", "target", s.Target, "address", s.Address, "ended", ended, "look", errorText(err),
 		"starting", len(known.starting), "midway", known.midway, "fingerprints", known.fingerprints())
 	if !ended {
-		g.endings.keep(known)
+		g.endings.keepUndecided(known)
 		return
 	}
 	g.reportCrashed(known.crashed())
 }
 
-// dialOnce returns why no connection to an address comes about, or nil.
+// dialOnce returns why a connection to an address fails, or nil.
 func dialOnce(address string) error {
-	conn, err := net.DialTimeout("tcp", address, endingDialLimit)
+	conn, err := net.DialTimeout("tcp", address, endCheckDialTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/entrance.go
+++ b/internal/daemon/entrance.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// entrance watches whether callers' connections are taken: a VM that has no descriptors left
-// takes none, and must not say that it is ready. The zero value is open.
-type entrance struct {
-	// closedUntil is when to count as open again, in Unix nanoseconds.
-	closedUntil atomic.Int64
+// acceptHealth tracks whether callers' connections are accepted: a VM without free file
+// descriptors accepts none, and must not report itself ready. The zero value is healthy.
+type acceptHealth struct {
+	// failingUntil is when to count as healthy again, in Unix nanoseconds.
+	failingUntil atomic.Int64
 }
 
-// closedFor is how long a VM isn't ready after a connection that it could not take. The HTTP
-// server tries again after a second at the most; the next failure comes before this is over.
-const closedFor = 1500 * time.Millisecond
+// acceptFailureHold is how long a VM isn't ready after a failed accept. The HTTP server
+// retries after a second at the most, so the next failure comes before this time is over.
+const acceptFailureHold = 1500 * time.Millisecond
 
-// open reports whether connections are taken.
-func (e *entrance) open(now time.Time) bool { return now.UnixNano() >= e.closedUntil.Load() }
+// healthy reports whether connections are accepted.
+func (e *acceptHealth) healthy(now time.Time) bool { return now.UnixNano() >= e.failingUntil.Load() }
 
-// over returns a listener whose connections are counted.
-func (e *entrance) over(l net.Listener, meter *gatewayMetrics) net.Listener {
-	return &watchedListener{Listener: l, entrance: e, meter: meter}
+// wrap returns a listener that counts its connections.
+func (e *acceptHealth) wrap(l net.Listener, meter *gatewayMetrics) net.Listener {
+	return &monitoredListener{Listener: l, entrance: e, meter: meter}
 }
 
-type watchedListener struct {
+type monitoredListener struct {
 	net.Listener
-	entrance *entrance
+	entrance *acceptHealth
 	meter    *gatewayMetrics
 }
 
 // Accept implements net.Listener.
-func (l *watchedListener) Accept() (net.Conn, error) {
+func (l *monitoredListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if errors.Is(err, net.ErrClosed) {
-		return nil, err // the VM stops
+		return nil, err // the VM is stopping
 	}
 	if err != nil {
-		l.entrance.closedUntil.Store(time.Now().Add(closedFor).UnixNano())
+		l.entrance.failingUntil.Store(time.Now().Add(acceptFailureHold).UnixNano())
 	}
 	l.meter.accepted(err == nil)
 	return conn, err
--- a/internal/daemon/events.go
+++ b/internal/daemon/events.go
@@ -11,7 +11,7 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// promptRead notes that the present path's answer has begun.
+// promptRead records that the answer on the present path has begun.
 func (f *forwarding) promptRead() {
 	if f.read {
 		return
@@ -23,11 +23,11 @@
 	f.g.router.FirstTaken(clock.Since(f.sentAt))
 }
 
-// stream hands on events as they come, whole ones only.
+// stream forwards events as they arrive, only whole ones.
 func (f *forwarding) stream(ctx context.Context, path relay.Path, watch *watcher, answer *target.Answer) result {
 	var pending []byte
 	buffer := make([]byte, eventBuffer)
-	f.caller.waitsFor(true)
+	f.caller.setTargetWaits(true)
 	for {
 		n, err := answer.Read(buffer)
 		if n > 0 {
@@ -35,13 +35,13 @@
 			f.leftUnread = false
 			f.promptRead()
 			var left error
-			if pending, left = f.handOn(answer, append(pending, buffer[:n]...)); left != nil {
+			if pending, left = f.forwardEvents(answer, append(pending, buffer[:n]...)); left != nil {
 				f.last = "caller left: " + left.Error()
 				return resultGone
 			}
 			f.explainStall(watch)
-			f.leaveMoving(ctx)
-			watch.listen()
+			f.leaveMovingEngine(ctx)
+			watch.resetPatience()
 		}
 		switch {
 		case err == nil:
@@ -54,20 +54,20 @@
 		case errors.Is(err, io.EOF):
 			err = io.ErrUnexpectedEOF
 		}
-		if f.leftUnread && !errors.Is(err, target.ErrSilent) && watch.living.Err() == nil {
+		if f.leftUnread && !errors.Is(err, target.ErrSilent) && watch.incarnationCtx.Err() == nil {
 			f.last = "the answer was left unread for its caller: " + err.Error()
 			return resultGone
 		}
-		return f.broken(ctx, f.lastPath, watch, err)
+		return f.handleBroken(ctx, f.lastPath, watch, err)
 	}
 }
 
-// eventEnd ends each event.
+// eventEnd terminates an event.
 var eventEnd = []byte("\n\n")
 
-// handOn writes the whole events of data to the caller, and returns the rest. Its error
-// says that the caller has left or was ended.
-func (f *forwarding) handOn(answer *target.Answer, data []byte) ([]byte, error) {
+// forwardEvents writes the whole events of data to the caller, and returns the rest. Its error
+// says that the caller has disconnected or was ended.
+func (f *forwarding) forwardEvents(answer *target.Answer, data []byte) ([]byte, error) {
 	end := bytes.LastIndex(data, eventEnd)
 	if end < 0 {
 		return data, nil
@@ -77,12 +77,12 @@
 		copyHeader(f.w.Header(), answer.Header)
 		f.w.WriteHeader(answer.Status)
 		f.begun = true
-		f.beganAt = clock.Now()
+		f.firstEventAt = clock.Now()
 		f.g.meter.firstEvent(f.call.Arrived)
 	}
 	f.countEvents(whole)
 	if _, err := f.w.Write(whole); err != nil {
-		if !errors.Is(err, errUnread) {
+		if !errors.Is(err, errCallerNotReading) {
 			f.abandon(err)
 		}
 		return nil, err
@@ -91,7 +91,7 @@
 	return append([]byte(nil), data[end+len(eventEnd):]...), nil
 }
 
-// countEvents notes the events that are handed on.
+// countEvents records the events that are forwarded.
 func (f *forwarding) countEvents(events []byte) {
 	if id := lastEventID(events); id != "" {
 		f.after = id
@@ -107,7 +107,7 @@
 	f.pauseExplained = false
 	f.pace = f.pace.With(count, now)
 	f.events += count
-	if !f.proven && now.Sub(f.beganAt) >= provenAfter {
+	if !f.proven && now.Sub(f.firstEventAt) >= provenRunTime {
 		f.proven = true
 		f.g.ranWell(f.fingerprint)
 	}
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -11,38 +11,37 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// This file takes one request from a caller to targets and their answer back.
+// This file forwards one request from a caller to targets, and their answer to the caller.
 //
-// Problem: a target may refuse, die in the middle, fall silent or garble its
-// answer. The caller is to get one whole answer of one run, or the truth about
-// what became of its request.
+// Problem: a target may refuse a request, fail in the middle, stop sending or send a malformed
+// answer. The caller must get one whole answer of one run, or the correct outcome of its
+// request.
 //
-// Algorithm: pick a path, send, read the answer; go on with another path while
-// that is allowed. What has provably not run may be sent again in any case. What
-// may have run is sent again only where the route says so, and a stream that its
-// caller has seen a part of only with the id of the last event given, so that
-// the new run goes on from there. Only whole events are handed on: a run that
-// breaks off inside one leaves nothing that the next could contradict. The head
-// goes to the caller with the first event, and an answer of a plain service once
-// it is there whole.
+// Algorithm: choose a path, send the request and read the answer; repeat with another path
+// while that is allowed. A request that has provably not run may always be sent again. One
+// that may have run is sent again only where its route allows it; a stream of which the caller
+// has received a part is sent again only with the id of the last event received, so that the
+// new run resumes there. Only whole events are forwarded: a run that fails inside an event
+// leaves nothing that the next run could contradict. The head is sent with the first event,
+// and the answer of a plain service once it is complete.
 //
-// Invariants: a request that may run once is sent once, unless its target says
-// that it did not run; 503 is said only of what has not run; an answer that is
-// not whole never looks complete; repeats are drawn from the budget.
+// Invariants: a request that may run once is sent once, unless its target reports that it did
+// not run; 503 is returned only for requests that have not run; an incomplete answer never
+// looks complete; repeats are charged to the retry budget.
 
-// result is how one try ended.
+// result is the outcome of one try.
 type result int
 
 const (
-	// resultDone: the caller has its final answer.
+	// resultDone: the caller has received its final answer.
 	resultDone result = iota
-	// resultNotRun: it has provably not run.
+	// resultNotRun: the request has provably not run.
 	resultNotRun
-	// resultNotSent: no byte of it was sent.
+	// resultNotSent: no byte of the request was sent.
 	resultNotSent
-	// resultBroken: it may have run, in part or whole.
+	// resultBroken: the request may have run, partly or completely.
 	resultBroken
-	// resultGone: the caller has left or reads nothing, or its time is over.
+	// resultGone: the caller has disconnected or does not read, or the deadline has passed.
 	resultGone
 )
 
@@ -52,37 +51,37 @@
 }
 
 const (
-	// pauseCheck is the pause in a stream after which its stages are compared with
-	// those under suspicion: over two usual gaps between events on a slow path.
-	pauseCheck = 250 * time.Millisecond
-	// probeAfter is the pause after which the first engine is asked. Callers give
-	// a stream up after some 2 s, and a new run needs about 300 ms.
+	// stallCheckInterval is the pause in a stream after which its stages are compared with the
+	// suspected targets: more than twice the usual gap between events on a slow path.
+	stallCheckInterval = 250 * time.Millisecond
+	// probeAfter is the pause after which the first engine is probed. Callers abandon a stream
+	// after some 2 s, and a new run needs about 300 ms.
 	probeAfter = 500 * time.Millisecond
-	// wholeLimit bounds the answers of plain services that are read whole before
-	// they are handed on, in bytes.
+	// wholeLimit bounds the answers of plain services that are buffered completely before they are
+	// forwarded, in bytes.
 	wholeLimit = 256 << 10
-	// eventBuffer is the size of reads from a stream, in bytes.
+	// eventBuffer is the read size for streams, in bytes.
 	eventBuffer = 4 << 10
-	// unreachedEnded is the connections in a row that must not come about for a target to
-	// count as ended: one may be lost where all VMs connect at once.
-	unreachedEnded = 2
-	// resumePause is the wait between two looks for a room, or a repeat, that a broken
-	// stream can go on with: a place falls free every few hundredths of a second.
-	resumePause = 30 * time.Millisecond
-	// callerPatience bounds the wait of a call from its arrival: callers give a stream up
-	// after 2 s without an event, and the first one takes some 100 ms.
-	callerPatience = 1800 * time.Millisecond
+	// failedDialThreshold is the number of failed dials in a row after which a target counts as
+	// ended: a single one may be lost when all VMs connect at once.
+	failedDialThreshold = 2
+	// roomRetryInterval is the interval between two checks for room, or for a repeat, with which
+	// an interrupted stream can resume: slots become free every few hundredths of a second.
+	roomRetryInterval = 30 * time.Millisecond
+	// callerEventTimeout bounds the wait of a call from its arrival: callers abandon a stream
+	// after 2 s without an event, and the first event takes some 100 ms.
+	callerEventTimeout = 1800 * time.Millisecond
 )
 
-// forwarding is one request under way.
+// forwarding is one request in flight.
 type forwarding struct {
 	g        *Gateway
 	call     *Call
 	route    *relay.Route
 	class    int
 	deadline time.Time
-	// organisation is that of the caller's key, empty where none is needed, and fingerprint
-	// the mark by which the request is known again.
+	// organisation is the organisation of the caller's key, empty where no key is needed, and
+	// fingerprint identifies repeats of the same request.
 	organisation string
 	fingerprint  relay.Fingerprint
 
@@ -91,75 +90,77 @@
 	delivery
 }
 
-// tries is what became of the sendings of a request so far.
+// tries is the history of a request's tries.
 type tries struct {
-	// service is what the request goes to, once that is drawn.
+	// service is the request's service, once it is drawn.
 	service string
-	// avoid holds the targets that broke off, and full those that took nothing.
+	// avoid holds the targets that failed, and full those that refused the request.
 	avoid []relay.TargetID
 	full  []relay.TargetID
 	count int
-	// attempts is what became of the tries before the present one.
+	// attempts records the tries before the present one.
 	attempts relay.Attempts
-	// askedAt is when the first target was picked: until then the call was held here.
-	askedAt time.Time
-	// kept is a failed answer that is given if no other target does better.
-	kept *wholeAnswer
-	// unreached counts by target how often no connection came about.
-	unreached map[relay.TargetID]int
-	// last is what the last try ended with, for the log.
+	// firstPickedAt is when the first target was picked: until then the call waited on this VM.
+	firstPickedAt time.Time
+	// failedAnswer is an answer with a failure status; it is returned if no other target does
+	// better.
+	failedAnswer *wholeAnswer
+	// failedDials counts the failed dials by target.
+	failedDials map[relay.TargetID]int
+	// last is the cause of the last try's result, for the log.
 	last     string
 	lastPath relay.Path
-	// doubt says that a sending of which nothing was heard was followed by another within
-	// one try: what its target says of the second doesn't speak for the first.
+	// doubt says that within one try a sending without any response was followed by another: what
+	// the target reports of the second does not apply to the first.
 	doubt bool
-	// again says that the last try was left for its silent connection.
+	// again says that the last try was abandoned because its connection was silent.
 	again bool
 }
 
 // attempt is the present sending of a request.
 type attempt struct {
 	pickedAt, sentAt time.Time
-	// read says that the prompt has been read on the present path.
+	// read says that the prompt has been processed on the present path.
 	read bool
-	// pace is that of the answer on the present path.
+	// pace is the event rate of the answer on the present path.
 	pace relay.Pace
-	// replaceAt is when another engine may be looked for again in the place of a stage.
+	// replaceAt is the earliest time at which a stage's replacement may be sought again.
 	replaceAt map[relay.TargetID]time.Time
-	// resent says that it was sent a second time: its target may have run the first
-	// sending, also where the second did not come about.
+	// resent says that the request was sent a second time: its target may have run the first
+	// sending, even where the second one failed to connect.
 	resent bool
-	// permit says that a permit of the first target is reserved and not used.
+	// permit says that a permit of the first target is reserved and unused.
 	permit bool
 }
 
-// delivery is what a caller has got.
+// delivery is what the caller has received.
 type delivery struct {
 	w     http.ResponseWriter
 	flush func()
-	// caller is the caller's connection, or nil where it is of another kind.
+	// caller is the caller's connection, or nil where it is of another type.
 	caller *callerConn
-	// begun says that the caller has got the head of an answer.
-	begun   bool
-	beganAt time.Time
-	// after is the id of the last event that the caller has.
+	// begun says that the caller has received the head of an answer.
+	begun        bool
+	firstEventAt time.Time
+	// after is the id of the last event that the caller has received.
 	after string
-	// events counts what the caller got, and worstPause is the longest wait
-	// between two of them.
+	// events counts the events sent to the caller, and worstPause is the longest gap between two
+	// of them.
 	events     int
 	lastEvent  time.Time
 	worstPause time.Duration
-	// pauseExplained says that an engine is at fault for the present pause.
+	// pauseExplained says that the present pause is attributed to an engine.
 	pauseExplained bool
-	// proven says that the answer has gone on for long enough to speak for the request.
+	// proven says that the answer has run for long enough to count as evidence that the request is
+	// harmless.
 	proven bool
-	// heldUp is how long the answer has waited for its caller, and leftUnread says that its
-	// target has waited since it was last read.
+	// heldUp is the time for which the answer has waited for its caller, and leftUnread says that
+	// its target has waited since the last read.
 	heldUp     time.Duration
 	leftUnread bool
 }
 
-// Serve takes a call to its final answer.
+// Serve forwards a call until its caller has the final answer.
 func (g *Gateway) Serve(ctx context.Context, w http.ResponseWriter, call *Call) {
 	g.awaitStart(ctx)
 	route, org, refusal := g.admit(call)
@@ -197,8 +198,8 @@
 			f.end(ctx, refusal)
 			return
 		}
-		if f.askedAt.IsZero() {
-			f.askedAt = clock.Now()
+		if f.firstPickedAt.IsZero() {
+			f.firstPickedAt = clock.Now()
 		}
 		f.service = path.Service
 		f.pickedAt = clock.Now()
@@ -207,7 +208,7 @@
 		f.count++
 		if r == resultDone {
 			f.notePauses(path)
-			f.served(path)
+			f.noteServed(path)
 			return
 		}
 		if r == resultGone && ctx.Err() == nil {
@@ -227,8 +228,8 @@
 	}
 }
 
-// tryAndRelease sends the request along a path once, and lets the path go however that
-// ends: a call that is cut ends with a panic.
+// tryAndRelease sends the request along a path once and releases the path in every case: a
+// call that is cut off ends with a panic.
 func (f *forwarding) tryAndRelease(ctx context.Context, path relay.Path) result {
 	f.lastPath = path
 	f.read = false
@@ -236,19 +237,19 @@
 	f.permit = path.HasPermit()
 	defer func() { f.release(path) }()
 	if !clock.Sampled().Before(f.deadline) {
-		// This VM was suspended: the caller's time went on, and the context's stood.
+		// This VM was suspended: the caller's time elapsed while the context's timer stood still.
 		f.last = "its time ran out while this VM was suspended"
 		return resultGone
 	}
 	if ctx.Err() != nil {
-		// Its caller left, or its time ended, while it was held here.
+		// The caller disconnected, or the deadline passed, while the call waited here.
 		f.last = ctx.Err().Error()
 		return resultGone
 	}
 	return f.try(ctx, path)
 }
 
-// release gives back what the try on a path has taken.
+// release returns what the try on a path has reserved.
 func (f *forwarding) release(path relay.Path) {
 	f.g.mu.Lock()
 	defer f.g.mu.Unlock()
@@ -293,9 +294,9 @@
 	}
 	living, over := f.g.exchanges.follow(ctx, first.Target)
 	defer over()
-	watch := &watcher{f: f, ctx: ctx, living: living, began: clock.Now(), request: request}
+	watch := &watcher{f: f, ctx: ctx, incarnationCtx: living, began: clock.Now(), request: request}
 	if f.route.Stream {
-		request.Patience = max(pauseCheck, f.g.firstOverdueAfter())
+		request.Patience = max(stallCheckInterval, f.g.firstOverdueAfter())
 		request.Silent = watch.waitOn
 	}
 	sending, ok := f.g.daemon.outbox.send(first.Address, len(f.call.Body))
@@ -307,19 +308,19 @@
 	answer, err := f.exchange(living, first.Address, request)
 	sent()
 	if err != nil {
-		return f.broken(ctx, path, watch, err)
+		return f.handleBroken(ctx, path, watch, err)
 	}
 	defer answer.Close()
 	notice := f.takeNotice(path, answer)
 	verdict := f.g.platform.Codec.Verdict(answer.Status, answer.Header)
 	if verdict.NotRun {
-		return f.notRun(path, verdict, notice, answer)
+		return f.handleNotRun(path, verdict, notice, answer)
 	}
 	if f.route.Stream && answer.Status == http.StatusOK {
 		return f.stream(ctx, path, watch, answer)
 	}
 	if verdict.Promise {
-		return f.unproven(path, answer)
+		return f.handleUnconfirmed(path, answer)
 	}
-	return f.whole(ctx, path, watch, answer)
+	return f.forwardWhole(ctx, path, watch, answer)
 }
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -20,37 +20,36 @@
 
 // Gateway routes whole requests for an adapter.
 type Gateway struct {
-	daemon    *Daemon
-	log       logr.Logger
-	platform  Platform
-	exchanger *target.Exchanger
-	exchanges exchanges
-	endings   endings
-	crashes   crashes
-	probes    probes
-	meter     *gatewayMetrics
-	policy    relay.Policy
-	unusable  lineLimit
-	unread    *unreadNames
-	entrance  entrance
-	answers   answerTimes
+	daemon       *Daemon
+	log          logr.Logger
+	platform     Platform
+	exchanger    *target.Exchanger
+	exchanges    exchanges
+	endings      endings
+	crashes      crashes
+	probes       probes
+	meter        *gatewayMetrics
+	policy       relay.Policy
+	unusable     lineLimit
+	unread       *unreadNames
+	acceptHealth acceptHealth
+	answers      answerTimes
 
 	mu     sync.Mutex
 	router *relay.Router
-	// leaseUntil is when this VM's right to act by its document ends.
+	// leaseUntil is when this VM's lease on its document expires.
 	leaseUntil time.Time
-	// leaseHeld says which of the lines "lease held" and "lease lost" was last.
+	// leaseHeld says whether "lease held" or "lease lost" was logged last.
 	leaseHeld bool
-	// informed is closed when this VM first has a lease and knows targets for all
-	// services.
+	// informed is closed when this VM first has a lease and knows targets of all services.
 	informed     chan struct{}
 	informedOnce sync.Once
 	started      time.Time
-	// suspended is the time for which this VM was suspended, as logged last.
+	// suspended is the time for which this VM was suspended, as last logged.
 	suspended time.Duration
-	// limitsLogged are the limits of targets as logged last.
+	// limitsLogged are the limits of targets as last logged.
 	limitsLogged []loggedLimit
-	// ending is the planned end of this VM, if there is one.
+	// ending is the planned stop of this VM, if there is one.
 	ending relay.Ending
 
 	front    *http.Server
@@ -76,7 +75,7 @@
 	return g, nil
 }
 
-// PutDocument replicates a document and returns once that is decided.
+// PutDocument replicates a document and returns once the outcome is decided.
 func (g *Gateway) PutDocument(ctx context.Context, doc config.Document) core.Result {
 	conn, results := ask[core.Result](g.daemon)
 	defer g.daemon.answers.Delete(conn)
@@ -84,7 +83,7 @@
 	return wait(ctx, results, core.Result{Kind: core.ResultInterrupted, Message: "not decided in time; send it again"})
 }
 
-// ReadDocument returns the newest document, if this VM may speak for it.
+// ReadDocument returns the newest document, if this VM has the authority to.
 func (g *Gateway) ReadDocument(ctx context.Context) core.DocumentAnswer {
 	conn, results := ask[core.DocumentAnswer](g.daemon)
 	defer g.daemon.answers.Delete(conn)
@@ -92,19 +91,19 @@
 	return wait(ctx, results, core.DocumentAnswer{Result: core.Result{Kind: core.ResultInterrupted}})
 }
 
-// Hearing is what became of a target's message.
+// Hearing is the outcome of a target's report.
 type Hearing int
 
 const (
-	// HearingUndecided: it may have been taken, which is not known in time.
+	// HearingUndecided: the report may have been accepted; the outcome was not known in time.
 	HearingUndecided Hearing = iota
-	// HearingRefused: it was not; the target should tell another control VM.
+	// HearingRefused: it was not accepted; the target should report to another control VM.
 	HearingRefused
-	// HearingTaken: it was.
+	// HearingTaken: it was accepted.
 	HearingTaken
 )
 
-// HearTarget takes a target's message.
+// HearTarget receives a target's report.
 func (g *Gateway) HearTarget(ctx context.Context, t relay.Target) Hearing {
 	conn, results := ask[core.TargetHeard](g.daemon)
 	defer g.daemon.answers.Delete(conn)
@@ -125,8 +124,8 @@
 	return HearingUndecided
 }
 
-// EntryAddresses returns the addresses that a caller in a hall should use, and
-// when it has to ask again.
+// EntryAddresses returns the entry addresses for a caller in a hall, and when it has to ask
+// again.
 func (g *Gateway) EntryAddresses(ctx context.Context, hall string) core.Entries {
 	conn, results := ask[core.Entries](g.daemon)
 	defer g.daemon.answers.Delete(conn)
@@ -134,20 +133,20 @@
 	return wait(ctx, results, core.Entries{})
 }
 
-// TakeSeeds takes the control VMs that the settings name now.
+// TakeSeeds replaces the control VMs that the settings name.
 func (g *Gateway) TakeSeeds(vms []core.VMName) { g.daemon.post(core.SeedsRead{VMs: vms}) }
 
 // Ready reports whether this VM serves callers.
 func (g *Gateway) Ready() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.stopping.Load() && g.router.Document() != nil && clock.Sampled().Before(g.leaseUntil) && g.entrance.open(time.Now())
+	return !g.stopping.Load() && g.router.Document() != nil && clock.Sampled().Before(g.leaseUntil) && g.acceptHealth.healthy(time.Now())
 }
 
-// Stopping reports whether a planned stop is under way.
+// Stopping reports whether a planned stop is in progress.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
 
-// Limits returns what callers may send, once a document says so.
+// Limits returns the bounds of callers' requests, once a document defines them.
 func (g *Gateway) Limits() (relay.Limits, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -157,8 +156,8 @@
 	return relay.Limits{}, false
 }
 
-// stop begins a planned stop: callers are still taken for a while, since some
-// have kept this VM's address, and then what is in progress ends.
+// stop begins a planned stop: callers are still accepted for a while, since some have cached
+// this VM's address, and then the requests in progress end.
 func (g *Gateway) stop() {
 	if g.stopping.Swap(true) {
 		return
@@ -190,8 +189,7 @@
 	}
 }
 
-// ServeCallers serves callers' requests on an address. A planned stop ends it
-// first.
+// ServeCallers serves callers' requests on an address, until a planned stop.
 func (g *Gateway) ServeCallers(server *http.Server, address string) error {
 	l, err := listenOn(address)
 	if err != nil {
@@ -204,10 +202,10 @@
 func (g *Gateway) serveCallersOn(server *http.Server, l net.Listener) {
 	g.front = server
 	callers := g.daemon.outbox.callers(server, l)
-	g.daemon.tomb.Go(func() error { return g.daemon.serveHTTP(server, g.entrance.over(callers, g.meter)) })
+	g.daemon.tomb.Go(func() error { return g.daemon.serveHTTP(server, g.acceptHealth.wrap(callers, g.meter)) })
 }
 
-// ask makes a place for the one answer to an event.
+// ask registers a channel for the one answer to an event.
 func ask[Reply any](d *Daemon) (core.ConnID, chan Reply) {
 	conn := d.newConn()
 	replies := make(chan Reply, 1)
@@ -224,7 +222,7 @@
 	}
 }
 
-// reply hands an answer to whoever waits for it.
+// reply delivers an answer to the caller that waits for it.
 func reply[Reply any](d *Daemon, conn core.ConnID, r Reply) {
 	waiting, ok := d.answers.Load(conn)
 	if !ok {
@@ -245,7 +243,7 @@
 	return g.router.OverdueAfter(p)
 }
 
-// takePaces notes what engines say of their pace.
+// takePaces records the paces that engines report.
 func (g *Gateway) takePaces(paces map[relay.TargetID]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -254,7 +252,7 @@
 	}
 }
 
-// slowOn returns a later stage of a path that is slow.
+// slowOn returns a slow later stage of a path.
 func (g *Gateway) slowOn(p relay.Path) (relay.TargetID, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -268,7 +266,7 @@
 	return g.router.FirstOverdueAfter()
 }
 
-// paused notes the pause before an event of an answer.
+// paused records the pause before an event of an answer.
 func (g *Gateway) paused(before relay.Pace, pause time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/daemon/gateway_metrics.go
+++ b/internal/daemon/gateway_metrics.go
@@ -12,7 +12,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// gatewayMetrics counts what a gateway does. docs/OPERATIONS.md lists the names.
+// gatewayMetrics are the metrics of a gateway. docs/OPERATIONS.md lists the names.
 type gatewayMetrics struct {
 	answers  metric.Int64Counter
 	duration metric.Float64Histogram
@@ -22,36 +22,37 @@
 	probes   metric.Int64Counter
 	repaths  metric.Int64Counter
 	orders   metric.Int64Counter
-	// ended counts the incarnations of targets in whose place this VM has learned of others.
+	// ended counts the incarnations of targets that this VM has learned were replaced.
 	ended metric.Int64Counter
-	// asked counts the engines that were asked whether they live, unanswered those that
-	// did not answer in time.
+	// asked counts the engines whose liveness was checked, and unanswered those that did not
+	// answer in time.
 	asked      metric.Int64Counter
 	unanswered metric.Int64Counter
-	// connections counts those of callers.
+	// connections counts the callers' connections.
 	connections metric.Int64Counter
-	// runsCrashed counts the runs that brought nothing before their target ended, and
-	// quarantine the requests that are sent to no target.
+	// runsCrashed counts the runs whose target ended before they produced output, and quarantine
+	// the requests in quarantine.
 	runsCrashed metric.Int64Counter
 	quarantine  metric.Int64Gauge
-	// unused counts what other writers sent and is not used.
+	// unused counts the unusable messages of other writers.
 	unused metric.Int64Counter
-	// unread counts the names in what targets say that nothing reads.
+	// unread counts the unknown names in the reports of targets.
 	unread metric.Int64Counter
-	// notices counts the answers with which targets say that they leave or want VMs to back off.
+	// notices counts the answers whose notices announce that a target leaves, ask for a backoff or
+	// name a limit.
 	notices metric.Int64Counter
-	// held counts the requests that were held back as they were sent, and backedOff is the
-	// number of targets that VMs back off from.
-	held      metric.Int64Counter
-	backedOff metric.Int64Gauge
-	// limit, permits, limitUsed and limitHeld are of each target with a limit.
+	// heldRequests counts the requests that were held back at sending, and backedOff is the number
+	// of targets in backoff.
+	heldRequests metric.Int64Counter
+	backedOff    metric.Int64Gauge
+	// limit, permits, limitUsed and limitHeld are recorded for each target with a limit.
 	limit, permits, limitUsed, limitHeld metric.Float64Gauge
-	// limited are the targets that these were last recorded of.
+	// limited are the targets for which these were last recorded.
 	limited map[relay.TargetID]bool
 }
 
-// latencyBuckets are the bounds of latency histograms, in seconds, around the
-// users' objectives of 0.15 to 0.6 s and deadlines of 2.5 to 20 s.
+// latencyBuckets are the bounds of latency histograms, in seconds, around the users'
+// objectives of 0.15 to 0.6 s and deadlines of 2.5 to 20 s.
 var latencyBuckets = []float64{.01, .02, .05, .1, .15, .2, .3, .5, .75, 1, 2, 5, 10, 20}
 
 func newGatewayMetrics(m *metrics) (*gatewayMetrics, error) {
@@ -85,7 +86,7 @@
 	g.connections = counter("spoolbank.callers.connections")
 	g.unused = counter("spoolbank.target.messages.unusable")
 	g.unread = counter("spoolbank.target.unread")
-	g.held = counter("spoolbank.requests.held_back")
+	g.heldRequests = counter("spoolbank.requests.held_back")
 	g.notices = counter("spoolbank.target.notices")
 	g.runsCrashed = counter("spoolbank.requests.crashed")
 	gauge := func(name string) metric.Int64Gauge {
@@ -124,7 +125,7 @@
 
 var attrLeft = metric.WithAttributeSet(attribute.NewSet(attribute.String("outcome", "caller left")))
 
-func (g *gatewayMetrics) left() { g.answers.Add(context.Background(), 1, attrLeft) }
+func (g *gatewayMetrics) callerLeft() { g.answers.Add(context.Background(), 1, attrLeft) }
 
 func (g *gatewayMetrics) firstEvent(arrived time.Time) {
 	g.first.Record(context.Background(), clock.Since(arrived).Seconds())
@@ -136,7 +137,7 @@
 	g.repaths.Add(context.Background(), 1, metric.WithAttributes(attribute.Bool("taken", taken)))
 }
 
-func (g *gatewayMetrics) called(engines, silent int) {
+func (g *gatewayMetrics) livenessChecked(engines, silent int) {
 	g.asked.Add(context.Background(), int64(engines))
 	g.unanswered.Add(context.Background(), int64(silent))
 }
@@ -161,7 +162,7 @@
 	}
 }
 
-func (g *gatewayMetrics) heldBack() { g.held.Add(context.Background(), 1) }
+func (g *gatewayMetrics) heldBack() { g.heldRequests.Add(context.Background(), 1) }
 
 func (g *gatewayMetrics) targetsBackedOff(n int) { g.backedOff.Record(context.Background(), int64(n)) }
 
@@ -179,10 +180,10 @@
 	g.orders.Add(context.Background(), 1, metric.WithAttributes(attribute.String("outcome", o.String())))
 }
 
-// limitsMeasured bounds the targets whose limits are told apart in the metrics.
+// limitsMeasured bounds the targets with limits that the metrics list individually.
 const limitsMeasured = 64
 
-// limits records the targets with limits. One whose limit is over has one of 0.
+// limits records the targets with limits. A target whose limit has ended is recorded with 0.
 func (g *gatewayMetrics) limits(limited []relay.LimitedTarget) {
 	over := g.limited
 	g.limited = make(map[relay.TargetID]bool)
--- a/internal/daemon/notices.go
+++ b/internal/daemon/notices.go
@@ -12,21 +12,22 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// This file takes what targets say of themselves with their answers, and holds back what they
-// don't want. relay/backoffs.go and relay/draining.go decide.
+// This file applies the notices that targets send with their answers, and holds back what
+// targets don't accept. relay/backoffs.go and relay/draining.go decide.
 //
-// Two ways lead to a target, and both pass here: requests, which the Exchanger asks about once
-// it has a connection (mayReach), and what an engine is asked beside them (gatedEngines). So
-// nothing that was picked before a target spoke, that waited for a connection or is sent a second
-// time, reaches one that this VM backs off from. What was taken by a target that leaves ends there, and may be
-// given another path; a request is sent there no more.
-
-// ErrHeldBack says that a target wants nothing from this VM at present.
+// There are two ways to a target, and both are checked here: requests, which the Exchanger
+// checks once it has a connection (mayReach), and calls to engines beside the requests
+// (gatedEngines). So nothing reaches a target that this VM backs off from, even if it was
+// picked before the notice, waited for a connection or is sent a second time. Requests that a
+// leaving target has accepted end there, and may be given another path; no more requests are
+// sent there.
+
+// ErrHeldBack says that a target accepts nothing from this VM at present.
 var ErrHeldBack = errors.New("held back")
 
 // mayReach returns why the request may not be sent to a target, or nil. Its error is an
-// ErrHeldBack. The first sending on a path has the permit that was reserved for it, where the target
-// takes so many requests a second; each other one takes one more.
+// ErrHeldBack. The first sending on a path uses the permit that was reserved for it, where the
+// target has a rate limit; each further sending takes another permit.
 func (f *forwarding) mayReach(id relay.TargetID) error {
 	g := f.g
 	g.mu.Lock()
@@ -34,7 +35,7 @@
 	if g.router.Leaves(id) {
 		return fmt.Errorf("%w: target %s leaves; another one serves the request", ErrHeldBack, id)
 	}
-	if err := g.whileBackedOff(id); err != nil {
+	if err := g.backoffError(id); err != nil {
 		return err
 	}
 	now := clock.Now()
@@ -51,21 +52,22 @@
 	return nil
 }
 
-// mayAsk returns why an engine may not be asked anything, or nil. Its error is an
-// ErrHeldBack. What it is asked counts against its limit and needs no permit: orders, reports and
-// new paths are few, and answers under way depend on them.
+// mayAsk returns why an engine may not be called, or nil. Its error is an ErrHeldBack. Such a
+// call counts against the engine's rate limit but needs no permit: orders, reports and new
+// paths are few, and answers in flight depend on them.
 func (g *Gateway) mayAsk(id relay.TargetID) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if err := g.whileBackedOff(id); err != nil {
+	if err := g.backoffError(id); err != nil {
 		return err
 	}
 	g.router.ChargePermit(id, clock.Now())
 	return nil
 }
 
-// whileBackedOff returns an error while a target is backed off from. The caller holds the lock.
-func (g *Gateway) whileBackedOff(id relay.TargetID) error {
+// backoffError returns an error while this VM backs off from a target. The caller holds the
+// lock.
+func (g *Gateway) backoffError(id relay.TargetID) error {
 	now := clock.Now()
 	if until, backedOff := g.router.BackedOff(id, now); backedOff {
 		return fmt.Errorf("%w: target %s has asked to back off, for %v more", ErrHeldBack, id, until.Sub(now).Round(time.Millisecond))
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// takeNotice takes what the first target of the present try says of itself with its answer.
+// takeNotice applies the notice that came with the first target's answer to the present try.
 func (f *forwarding) takeNotice(path relay.Path, answer *target.Answer) relay.Notice {
 	now := clock.Now()
 	first := path.First()
@@ -86,7 +88,7 @@
 	return notice
 }
 
-// applyNotice does as a target asks, and reports whether it said anything that is new here.
+// applyNotice applies a target's notice, and reports whether it contained anything new.
 func (g *Gateway) applyNotice(id relay.TargetID, notice relay.Notice, sentAt, now time.Time) bool {
 	g.unread.note(string(id), notice.Unread)
 	g.meter.noticed(notice)
@@ -106,10 +108,11 @@
 	return news
 }
 
-// applyEngineNotice does as an engine asks with an answer to something other than a request.
+// applyEngineNotice applies the notice that came with an engine's answer to anything but a
+// request.
 func (g *Gateway) applyEngineNotice(engine relay.Stage, asked string, notice relay.Notice, sentAt time.Time) {
 	now := clock.Now()
-	notice.Unlimited = false // answers to requests alone are known to name each limit
+	notice.Unlimited = false // only answers to requests are known to name every limit
 	if g.applyNotice(engine.Target, notice, sentAt, now) {
 		if notice.Leaving {
 			g.daemon.post(core.TargetDrains{Target: engine.Target})
@@ -119,7 +122,7 @@
 	}
 }
 
-// endBackoffs asks targets again whose backoffs an operator has ended.
+// endBackoffs ends the backoffs of targets on an operator's command.
 func (g *Gateway) endBackoffs(targets []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -128,7 +131,7 @@
 	}
 }
 
-// unusableNotice counts and logs the parts of a notice that can't be read.
+// unusableNotice counts and logs the parts of a notice that can't be parsed.
 func (g *Gateway) unusableNotice(id relay.TargetID, err error) {
 	var parts interface{ Unwrap() []error }
 	switch {
@@ -142,7 +145,7 @@
 	}
 }
 
-// backoffMillis returns the length of the backoff that a target asks for, in milliseconds.
+// backoffMillis returns the length of the requested backoff in milliseconds.
 func backoffMillis(n relay.Notice, now time.Time) int64 {
 	if n.BackoffUntil.IsZero() {
 		return 0
@@ -150,13 +153,13 @@
 	return n.BackoffUntil.Sub(now).Milliseconds()
 }
 
-// gatedEngines ask nothing of engines that VMs back off from.
+// gatedEngines holds back calls to engines that this VM backs off from.
 type gatedEngines struct {
 	Engines
 	g *Gateway
 }
 
-// Order implements Engines. An order that is held back counts as refused: it is given again.
+// Order implements Engines. An order that is held back counts as refused and is given again.
 func (e gatedEngines) Order(ctx context.Context, o core.OrderLayers) (core.OrderOutcome, relay.Notice) {
 	if err := e.g.mayAsk(o.Target); err != nil {
 		e.g.log.Info("order not sent", "target", o.Target, "reason", err.Error())
@@ -179,7 +182,7 @@
 	return report, err
 }
 
-// Repath implements Engines. An answer whose new path is held back waits, or goes on elsewhere
+// Repath implements Engines. An answer whose new path is held back waits, or resumes elsewhere
 // as a repeat.
 func (e gatedEngines) Repath(ctx context.Context, request string, p relay.Path) (relay.Notice, error) {
 	if err := e.g.mayAsk(p.First().Target); err != nil {
--- a/internal/daemon/openai.go
+++ b/internal/daemon/openai.go
@@ -12,25 +12,24 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// This file serves model pipelines in the shape of the OpenAI API: completions
-// and chat completions, streamed as server-sent events or whole. Each event
-// carries the number of tokens that have come so far as its id; a caller that
-// was cut off sends it back as Last-Event-ID, with the request's identity as
-// Idempotency-Key, and gets the rest.
+// This file serves model pipelines through the OpenAI API: completions and chat completions,
+// streamed as server-sent events or whole. The id of each event is the number of tokens sent
+// so far; a caller whose answer was cut off sends it back as Last-Event-ID, with the request's
+// id as Idempotency-Key, and gets the rest.
 
-// defaultMaxTokens is what a request without max_tokens asks for.
+// defaultMaxTokens is the limit for a request without max_tokens.
 const defaultMaxTokens = 256
 
-// completionRequest is a request in either shape.
+// completionRequest is a completion or chat completion request.
 type completionRequest struct {
 	Model     string        `json:"model"`
 	Prompt    string        `json:"prompt"`
 	Messages  []chatMessage `json:"messages"`
 	MaxTokens *int          `json:"max_tokens"`
-	// MaxCompletionTokens is the newer name of MaxTokens in chats.
+	// MaxCompletionTokens is the newer name of MaxTokens in chat requests.
 	MaxCompletionTokens *int `json:"max_completion_tokens"`
 	Stream              bool `json:"stream"`
-	// N, Stop and StreamOptions are not offered; unsupported says so.
+	// N, Stop and StreamOptions are not supported; unsupported refuses them.
 	N             *int            `json:"n"`
 	Stop          json.RawMessage `json:"stop"`
 	StreamOptions struct {
@@ -38,8 +37,8 @@
 	} `json:"stream_options"`
 }
 
-// unsupported names what the request asks for and can't have: an answer that left
-// it out without a word would be wrong.
+// unsupported returns why the request can't be served as asked, or an empty string: ignoring
+// an option silently would give a wrong answer.
 func (q completionRequest) unsupported() string {
 	stop := string(q.Stop)
 	switch {
@@ -60,7 +59,7 @@
 	Content string `json:"content"`
 }
 
-// completionReply is an answer, or a part of one, in either shape.
+// completionReply is a completion or chat completion, or a chunk of one.
 type completionReply struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -89,7 +88,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// shape is the form of one endpoint's answers.
+// shape is the answer format of an endpoint.
 type shape struct{ chat bool }
 
 func (c *callers) completions(w http.ResponseWriter, r *http.Request) {
@@ -100,7 +99,7 @@
 	c.complete(w, r, shape{chat: true})
 }
 
-// promptOf returns the text that is given to the model.
+// promptOf returns the prompt for the model.
 func (s shape) promptOf(q completionRequest) string {
 	if !s.chat {
 		return q.Prompt
@@ -160,8 +159,8 @@
 	})
 	caller := connectionOf(r.Context())
 	caller.begin(string(id))
-	// Engines go on while a caller does not read: its mailbox must not grow for long.
-	caller.waitsFor(q.Stream)
+	// Engines continue while a caller does not read: its mailbox must not grow for long.
+	caller.setTargetWaits(q.Stream)
 	w.Header().Set(target.HeaderIdempotencyKey, string(id))
 	a := &answerWriter{w: w, id: id, shape: s, model: q.Model, created: time.Now(), count: after}
 	if q.Stream {
@@ -191,12 +190,12 @@
 	shape   shape
 	model   string
 	created time.Time
-	// count is how many tokens the caller has.
+	// count is the number of tokens that the caller has.
 	count   int
 	started bool
 }
 
-// stream writes an answer as it comes.
+// stream writes an answer as it arrives.
 func (c *callers) stream(r *http.Request, box *mailbox, a *answerWriter) {
 	for {
 		effects := c.take(r, box)
@@ -237,7 +236,7 @@
 	}
 }
 
-// emit writes the tokens that the caller lacks, each as one event.
+// emit writes the tokens that the caller has not received, each as one event.
 func (a *answerWriter) emit(e core.Emit) {
 	for i, token := range e.Tokens {
 		if e.From+i < a.count {
@@ -292,7 +291,7 @@
 	return completionReply{ID: string(a.id), Object: object, Created: a.created.Unix(), Model: a.model, Choices: []choice{c}}
 }
 
-// whole gathers an answer and writes it in one piece.
+// whole collects an answer and writes it at once.
 func (c *callers) whole(r *http.Request, box *mailbox, a *answerWriter) {
 	var text strings.Builder
 	for {
@@ -339,7 +338,7 @@
 	writeJSON(a.w, http.StatusOK, reply)
 }
 
-// modelList is the answer of GET /v1/models.
+// modelList is the response to GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
--- a/internal/daemon/outbox.go
+++ b/internal/daemon/outbox.go
@@ -16,56 +16,56 @@
 	"github.com/spoolbank/spoolbank/settings"
 )
 
-// This file holds what callers have not read yet, and keeps all that is held for callers
-// and targets within the VM's memory. docs/design/slow-readers.md says why it is so.
+// This file buffers what callers have not read yet, and bounds all memory that is held for
+// callers and targets. docs/design/slow-readers.md gives the reasons.
 //
-// Problem: a write to a caller that does not read blocks, and then nobody reads from its
-// engine, which looks broken and cuts the answer off.
+// Problem: a write to a caller that does not read blocks, so that the engine's answer is no
+// longer read; the engine takes this for a broken connection and cuts the answer off.
 //
-// Algorithm: a caller's connection never blocks its writer while there is room. What the
-// kernel takes is written at once, by the writer itself; only from there on the rest is
-// held, and one goroutine writes it as the caller reads. relay.Holdings says how much is
-// held and who ends. Where it has no room, the writer waits, and with it the reading from
-// the engine, as long as that bears it.
+// Algorithm: a caller's connection never blocks its writer while there is room. The writer
+// itself writes what the kernel accepts at once; the rest is buffered, and one goroutine
+// writes it as the caller reads. relay.Holdings determines how much is buffered and whose
+// connection is ended. Where it has no room, the writer waits, and so does the reading from
+// the engine, within the engine's time limit.
 //
 // Invariants: bytes reach a caller in order; a connection is closed only once its caller has
-// read what is held for it, or has been ended; no lock is held while something is written.
+// read all buffered bytes, or was ended; no lock is held during a write.
 
 const (
-	// readGrace is how long a caller that is behind may read nothing before it may be ended
-	// to make room: one that reads at all does so within some round trips of 40 ms at the
-	// most, or once the kernel has sent a lost packet again, after 200 ms.
+	// readGrace is how long a caller that is behind may read nothing before it may be ended to
+	// make room: a caller that reads does so within some round trips of at most 40 ms, or once the
+	// kernel has resent a lost packet, after 200 ms.
 	readGrace = 250 * time.Millisecond
-	// engineStallLimit is how long the reading from a target may stop: targets cut an answer off
+	// engineStallLimit is how long the reading from a target may stop: targets cut off an answer
 	// that is left unread for some seconds.
 	engineStallLimit = 1500 * time.Millisecond
-	// lookAgain is how often a writer that waits looks whether somebody may be ended by now.
-	lookAgain = 100 * time.Millisecond
-	// pieceLeast is the size of the pieces that are held, in bytes: some tens of events.
-	pieceLeast = 4 << 10
-	// answerMost bounds the unread answer of one caller, in bytes: a whole answer of a plain
-	// service and its head.
-	answerMost = wholeLimit + 4*pieceLeast
-	// socketBytes is what the kernel buffers of one direction of a connection, in bytes,
-	// where memory is limited: more than a whole stream of some 60 events has. The kernel
-	// takes twice as much, for its own records.
+	// roomCheckInterval is how often a waiting writer checks whether a caller may be ended by now.
+	roomCheckInterval = 100 * time.Millisecond
+	// minPieceBytes is the minimum size of buffered pieces: some tens of events.
+	minPieceBytes = 4 << 10
+	// maxUnreadBytes bounds the unread answer of one caller: a whole answer of a plain service and
+	// its head.
+	maxUnreadBytes = wholeLimit + 4*minPieceBytes
+	// socketBytes is the kernel's buffer for one direction of a connection, in bytes, where memory
+	// is limited: more than a whole stream of some 60 events. The kernel takes twice as much, for
+	// its own bookkeeping.
 	socketBytes = 16 << 10
-	// requestKernel is what the kernel may hold of one open request on either side, in bytes:
-	// one buffer of a connection, twice for the kernel's own records.
+	// requestKernel is what the kernel may buffer for one open request on either side, in bytes:
+	// one connection buffer, doubled for the kernel's bookkeeping.
 	requestKernel = 2 * socketBytes
-	// programBytes is what the program takes of a process's memory, in bytes: its file has
-	// less than 30 MB, about half of which is ever used.
+	// programBytes is the memory of the process that the program file takes, in bytes: the file
+	// has less than 30 MB, about half of which is ever used.
 	programBytes = 16 << 20
-	// measureEvery is the interval between two looks at the memory in use.
-	measureEvery = time.Second
-	// endLines bounds the lines about ended callers between two rounds of upkeep.
-	endLines = 4
+	// measureInterval is the interval between two measurements of the memory in use.
+	measureInterval = time.Second
+	// maxEndLogLines bounds the log lines about ended callers between two rounds of upkeep.
+	maxEndLogLines = 4
 )
 
-// errUnread is the kind of errors for writes to callers that were ended.
-var errUnread = errors.New("the caller does not read its answer; it was ended to keep the memory for others")
+// errCallerNotReading is the error of writes to callers that were ended.
+var errCallerNotReading = errors.New("the caller does not read its answer; it was ended to keep the memory for others")
 
-// outbox holds what callers have not read.
+// outbox buffers what callers have not read.
 type outbox struct {
 	log    logr.Logger
 	limit  int64
@@ -74,16 +74,16 @@
 	mu       sync.Mutex
 	holdings *relay.Holdings
 	behind   map[relay.HoldingID]*callerConn
-	// kernel is the part of the holdings that the kernel holds, in bytes.
+	// kernel is the part of the holdings that the kernel buffers, in bytes.
 	kernel int64
-	// queue holds those who wait for room, each by a channel that is closed when it may look
-	// again. One looks at a time: all together would hold up one another.
+	// queue holds the waiting writers, each as a channel that is closed when it may check again.
+	// One checks at a time: all at once would delay one another.
 	queue []chan struct{}
-	// ended counts the callers that were ended, lines those that were logged of late.
-	ended, lines int64
-	measuredAt   time.Time
-	heldBefore   int64
-	samples      []runtimemetrics.Sample
+	// ended counts the callers that were ended, loggedEnds those since the last upkeep.
+	ended, loggedEnds int64
+	measuredAt        time.Time
+	lastHeld          int64
+	samples           []runtimemetrics.Sample
 }
 
 func newOutbox(l settings.Limits, log logr.Logger) *outbox {
@@ -94,20 +94,20 @@
 	for _, name := range memorySamples {
 		o.samples = append(o.samples, runtimemetrics.Sample{Name: name})
 	}
-	terms := relay.HoldingTerms{Each: answerMost, Grace: readGrace, Unread: o.unread}
+	terms := relay.HoldingTerms{Each: maxUnreadBytes, Grace: readGrace, Unread: o.unread}
 	o.holdings = relay.NewHoldings(terms, relay.Memory{Limit: o.limit, Program: programBytes}.HoldingBound())
 	o.measure(time.Now())
 	return o
 }
 
-// memorySamples are the memory that the runtime has, less what it has ready for use, and
-// what of the heap was in use when it was last collected.
+// memorySamples are the runtime's memory, the parts of it that are free for use, and the part
+// of the heap that was live at the last collection.
 var memorySamples = []string{
 	"/memory/classes/total:bytes", "/memory/classes/heap/released:bytes", "/memory/classes/heap/free:bytes",
 	"/memory/classes/heap/unused:bytes", "/memory/classes/heap/objects:bytes", "/gc/heap/live:bytes",
 }
 
-// measure sets the bound by the memory that is in use for other things.
+// measure sets the bound from the memory that other uses take.
 func (o *outbox) measure(now time.Time) {
 	if o.limit <= 0 {
 		return
@@ -118,22 +118,22 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	held := o.holdings.Held(relay.SideCallers) + o.holdings.Held(relay.SideTargets) - o.kernel
-	// What is held now may be younger than the last collection, which has not seen it.
-	others := max(inUse-min(held, o.heldBefore), 0)
-	o.heldBefore = held
+	// The bytes held now may be newer than the last collection, which has not counted them.
+	others := max(inUse-min(held, o.lastHeld), 0)
+	o.lastHeld = held
 	o.measuredAt = now
 	o.holdings.SetBound(relay.Memory{Limit: o.limit, Program: programBytes, InUse: others}.HoldingBound())
 }
 
-// upkeep ends callers that have read nothing for too long, and looks at the memory.
+// upkeep ends callers that have read nothing for too long, and measures the memory.
 func (o *outbox) upkeep(now time.Time) {
 	o.mu.Lock()
 	for _, id := range o.holdings.EndOverdue(now) {
-		o.endHeld(id, now, "it has read nothing for the time that is borne")
+		o.endCaller(id, now, "it has read nothing for the time that is borne")
 	}
-	unlogged := max(o.lines-endLines, 0)
-	o.lines = 0
-	due := now.Sub(o.measuredAt) >= measureEvery
+	unlogged := max(o.loggedEnds-maxEndLogLines, 0)
+	o.loggedEnds = 0
+	due := now.Sub(o.measuredAt) >= measureInterval
 	o.mu.Unlock()
 	if unlogged > 0 {
 		o.log.Info("more callers that do not read were ended", "callers", unlogged)
@@ -143,51 +143,51 @@
 	}
 }
 
-// endHeld ends the caller of a holding that has been closed. The lock is held.
-func (o *outbox) endHeld(id relay.HoldingID, now time.Time, reason string) {
+// endCaller ends the caller of a holding that has been closed. The lock is held.
+func (o *outbox) endCaller(id relay.HoldingID, now time.Time, reason string) {
 	c, ok := o.behind[id]
 	if !ok {
 		return
 	}
 	delete(o.behind, id)
-	c.failed = errUnread
+	c.failed = errCallerNotReading
 	o.ended++
-	o.lines++
+	o.loggedEnds++
 	unread := time.Duration(0)
-	if !c.stuckAt.IsZero() {
-		unread = now.Sub(c.stuckAt)
+	if !c.blockedSince.IsZero() {
+		unread = now.Sub(c.blockedSince)
 	}
-	if o.lines <= endLines {
+	if o.loggedEnds <= maxEndLogLines {
 		o.log.Info("caller is ended", "request", c.request(), "reason", reason, "held_bytes", c.heldBytes(), "unread_ms", unread.Milliseconds(), "caller", c.RemoteAddr().String())
 	}
 	c.pieces = nil
-	close(c.over)
+	close(c.done)
 	go c.abort()
-	o.moreRoom()
+	o.wakeNext()
 }
 
-// abort closes the connection and what the kernel holds for it. It waits for those who use
-// the connection to leave it, so that no lock may be held.
+// abort closes the connection and discards the kernel's buffer. It waits for other users of
+// the connection to leave it, so no lock may be held.
 func (c *callerConn) abort() {
-	_ = c.tcp.SetLinger(0) // a connection that is gone needs none
+	_ = c.tcp.SetLinger(0) // a lost connection needs none
 	_ = c.tcp.Close()      // as above
 }
 
-// moreRoom wakes who has waited longest. The lock is held.
-func (o *outbox) moreRoom() {
+// wakeNext wakes the longest waiting writer. The lock is held.
+func (o *outbox) wakeNext() {
 	if len(o.queue) > 0 {
 		close(o.queue[0])
 		o.queue = o.queue[1:]
 	}
 }
 
-// await waits until there may be more room, until over is closed, or for a while. The lock is
-// held before and after.
-func (o *outbox) await(until time.Time, over <-chan struct{}) {
+// awaitRoom waits until there may be more room, until over is closed, or for roomCheckInterval
+// at most. The lock is held before and after.
+func (o *outbox) awaitRoom(until time.Time, over <-chan struct{}) {
 	mine := make(chan struct{})
 	o.queue = append(o.queue, mine)
 	o.mu.Unlock()
-	timer := time.NewTimer(min(time.Until(until), lookAgain))
+	timer := time.NewTimer(min(time.Until(until), roomCheckInterval))
 	select {
 	case <-mine:
 	case <-over:
@@ -200,17 +200,17 @@
 	}
 }
 
-// drained waits until all callers have read what is held for them.
+// drained waits until all callers have read what is buffered for them.
 func (o *outbox) drained(ctx context.Context) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for len(o.behind) > 0 && ctx.Err() == nil {
-		o.await(time.Now().Add(lookAgain), ctx.Done())
-		o.moreRoom() // it was meant for a writer
+		o.awaitRoom(time.Now().Add(roomCheckInterval), ctx.Done())
+		o.wakeNext() // the wake-up was meant for a writer
 	}
 }
 
-// observe publishes what is held at each scrape.
+// observe exports the held memory at each scrape.
 func (o *outbox) observe(meter metric.Meter) error {
 	gauge := func(name string) metric.Int64ObservableGauge {
 		g, err := meter.Int64ObservableGauge(name)
--- a/internal/daemon/outcome.go
+++ b/internal/daemon/outcome.go
@@ -12,11 +12,12 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// This file says what a try that brought no whole answer came to, and which target is at fault.
+// This file determines the outcome of a try that brought no whole answer, and which target is
+// at fault.
 
-// unproven takes an answer whose status would tell the caller that its request has not
-// run, of a target that doesn't say so itself.
-func (f *forwarding) unproven(path relay.Path, answer *target.Answer) result {
+// handleUnconfirmed handles an answer whose status would tell the caller that its request has
+// not run, from a target that does not confirm it.
+func (f *forwarding) handleUnconfirmed(path relay.Path, answer *target.Answer) result {
 	drain(answer)
 	first := path.First()
 	f.last = "target " + first.Address + " answered " + strconv.Itoa(answer.Status) + ", and not that it has not run"
@@ -25,8 +26,8 @@
 	return resultBroken
 }
 
-// broken takes an exchange that came to no whole answer.
-func (f *forwarding) broken(ctx context.Context, path relay.Path, watch *watcher, err error) result {
+// handleBroken handles an exchange that brought no whole answer.
+func (f *forwarding) handleBroken(ctx context.Context, path relay.Path, watch *watcher, err error) result {
 	f.last = err.Error()
 	if ctx.Err() != nil {
 		return resultGone
@@ -38,9 +39,9 @@
 		return f.leftSilent(path, watch)
 	}
 	if errors.Is(err, ErrHeldBack) {
-		return f.heldBack(path)
+		return f.handleHeldBack(path)
 	}
-	if cause := context.Cause(watch.living); cause != nil {
+	if cause := context.Cause(watch.incarnationCtx); cause != nil {
 		f.last = cause.Error()
 	}
 	culprit := path.First().Target
@@ -57,9 +58,9 @@
 	return resultBroken
 }
 
-// heldBack takes a request that was not sent because its target has spoken since it was
-// picked. Where it was a second sending, the first one may have run.
-func (f *forwarding) heldBack(path relay.Path) result {
+// handleHeldBack handles a request that was not sent because of a notice that its target gave
+// after it was picked. If this was a second sending, the first one may have run.
+func (f *forwarding) handleHeldBack(path relay.Path) result {
 	f.g.meter.heldBack()
 	f.full = append(f.full, path.First().Target)
 	if f.resent {
@@ -68,43 +69,44 @@
 	return resultNotSent
 }
 
-// noteBrokenOff notes that a target closed the connection in the middle of the request. One
-// that fell silent may be behind a cut: nothing that it was sent is to blame.
+// noteBrokenOff records that a target closed the connection in the middle of the request. A
+// target that fell silent may be partitioned: no request that it had is to blame.
 func (f *forwarding) noteBrokenOff(path relay.Path, watch *watcher, err error) {
 	notSent := errors.Is(err, target.ErrNotSent)
 	if notSent && !f.resent || errors.Is(err, target.ErrSilent) {
 		return
 	}
-	// One that was sent again in vain may have run at first, over the connection before.
-	certain := errors.Is(context.Cause(watch.living), errIncarnationEnded) || notSent && errors.Is(err, syscall.ECONNREFUSED)
+	// A request whose second sending failed may have run on the first, over the previous
+	// connection.
+	certain := errors.Is(context.Cause(watch.incarnationCtx), errIncarnationEnded) || notSent && errors.Is(err, syscall.ECONNREFUSED)
 	f.g.brokeOff(path.First(), f.sending(), certain)
 }
 
-// noteStageLost notes that a later stage of the path kept its first one from running the
-// request. One that is only full says so at once.
+// noteStageLost records that a later stage of the path kept the first one from running the
+// request. A stage that is only full refuses at once.
 func (f *forwarding) noteStageLost(stage relay.Stage) {
-	if stage.Target != f.lastPath.First().Target && clock.Since(f.sentAt) >= pauseCheck {
+	if stage.Target != f.lastPath.First().Target && clock.Since(f.sentAt) >= stallCheckInterval {
 		f.g.brokeOff(stage, f.sending(), false)
 	}
 }
 
-// sending is the present run of the request.
+// sending returns the present run of the request.
 func (f *forwarding) sending() run {
 	return run{request: f.fingerprint, began: f.sentAt, started: f.read}
 }
 
-// noteUnreached notes that no connection to a target came about.
+// noteUnreached records a failed dial to a target.
 func (f *forwarding) noteUnreached(id relay.TargetID) {
-	if f.unreached == nil {
-		f.unreached = make(map[relay.TargetID]int)
+	if f.failedDials == nil {
+		f.failedDials = make(map[relay.TargetID]int)
 	}
-	f.unreached[id]++
+	f.failedDials[id]++
 }
 
-// notRun takes an answer that says that the request has not run.
-// Where it asks to back off, that is kept instead of the pause for a target that is full: it is not
-// found dead however often it refuses.
-func (f *forwarding) notRun(path relay.Path, v Verdict, notice relay.Notice, answer *target.Answer) result {
+// handleNotRun handles an answer that says that the request has not run. A requested backoff
+// is applied instead of the pause for a full target: a target that backs off is not marked
+// dead however often it refuses.
+func (f *forwarding) handleNotRun(path relay.Path, v Verdict, notice relay.Notice, answer *target.Answer) result {
 	drain(answer)
 	culprit := path.First()
 	if s, ok := path.At(v.AtFault); ok {
@@ -119,7 +121,7 @@
 	return resultNotRun
 }
 
-// drain reads a small body to its end, so that the connection can be kept.
+// drain reads a small body to its end, so that the connection can be reused.
 func drain(answer *target.Answer) {
 	if answer.Framed && answer.Length < eventBuffer {
 		_, _ = io.Copy(io.Discard, io.LimitReader(answer, eventBuffer)) // a connection that breaks here is closed by Close
--- a/internal/daemon/probes.go
+++ b/internal/daemon/probes.go
@@ -10,15 +10,15 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// probes asks engines how they are. Probes are priced, so that many streams that stop at
-// once share one.
+// probes asks engines for their reports. Probes have a cost, so streams that stall at the same
+// time share one.
 type probes struct {
 	engines Engines
 	mu      sync.Mutex
 	known   map[string]*probe
 }
 
-// probe is one question to one engine, under way or answered.
+// probe is one report request to one engine, in progress or answered.
 type probe struct {
 	at     time.Time
 	done   chan struct{}
@@ -27,20 +27,19 @@
 }
 
 const (
-	// probeKept is the age up to which an answer serves others too: reports lag by
-	// some 200 ms themselves.
-	probeKept = 150 * time.Millisecond
-	// probeLimit bounds the wait for an answer; one takes about 2 ms.
-	probeLimit = 300 * time.Millisecond
-	// aliveKept is the age up to which an answer tells whether an engine lives: a pause is
-	// over twice as long when its engines are asked.
-	aliveKept = 40 * time.Millisecond
-	// aliveWithin is the time within which an engine that lives has answered: ten times the
-	// usual 2 ms, over a connection that is made for it.
-	aliveWithin = 20 * time.Millisecond
+	// probeTTL is the age up to which a report is shared: reports themselves lag by some 200 ms.
+	probeTTL = 150 * time.Millisecond
+	// probeTimeout bounds the wait for a report; one takes about 2 ms.
+	probeTimeout = 300 * time.Millisecond
+	// livenessTTL is the age up to which a report proves an engine alive: a pause is more than
+	// twice as long when its engines are checked.
+	livenessTTL = 40 * time.Millisecond
+	// livenessTimeout is the time within which a live engine answers: ten times the usual 2 ms,
+	// over a new connection.
+	livenessTimeout = 20 * time.Millisecond
 )
 
-// start returns the question to an engine whose answer is no older than kept.
+// start returns a probe of an engine that is no older than kept.
 func (p *probes) start(engine relay.Stage, kept time.Duration) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,9 +52,9 @@
 	return q
 }
 
-// ask returns what an engine says.
+// ask returns an engine's report.
 func (p *probes) ask(ctx context.Context, engine relay.Stage) (EngineReport, error) {
-	q := p.start(engine, probeKept)
+	q := p.start(engine, probeTTL)
 	select {
 	case <-q.done:
 		return q.report, q.err
@@ -65,31 +64,31 @@
 }
 
 func (p *probes) run(q *probe, engine relay.Stage) {
-	ctx, cancel := context.WithTimeout(context.Background(), probeLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	q.report, q.err = p.engines.Report(ctx, engine)
 	close(q.done)
 }
 
-// roll is what the engines of a path answered.
-type roll struct {
-	// silent are those that did not answer, or where another incarnation did.
+// livenessResult is the outcome of a liveness check of a path's engines.
+type livenessResult struct {
+	// silent are the engines that did not answer, or where another incarnation answered.
 	silent []relay.TargetID
-	// paces are those that told how slow they are.
+	// paces are the engines that reported how slow they are.
 	paces map[relay.TargetID]float64
-	// certain says that an engine which did not answer is lost: some did answer, and this
-	// process was awake meanwhile.
+	// certain says that engines without an answer are lost: others did answer, and this process
+	// was running meanwhile.
 	certain bool
 }
 
-// call asks all engines of a path at once who of them lives.
-func (p *probes) call(ctx context.Context, path relay.Path) roll {
+// call checks the liveness of all engines of a path at once.
+func (p *probes) call(ctx context.Context, path relay.Path) livenessResult {
 	asked := make([]*probe, len(path.Stages))
 	for i, s := range path.Stages {
-		asked[i] = p.start(s, aliveKept)
+		asked[i] = p.start(s, livenessTTL)
 	}
-	until := clock.Now().Add(aliveWithin)
-	timer := time.NewTimer(aliveWithin)
+	until := clock.Now().Add(livenessTimeout)
+	timer := time.NewTimer(livenessTimeout)
 	defer timer.Stop()
 	for _, q := range asked {
 		select {
@@ -100,7 +99,7 @@
 		}
 		break
 	}
-	r := roll{paces: make(map[relay.TargetID]float64)}
+	r := livenessResult{paces: make(map[relay.TargetID]float64)}
 	for i, q := range asked {
 		id := path.Stages[i].Target
 		select {
@@ -115,12 +114,12 @@
 			r.silent = append(r.silent, id)
 		}
 	}
-	r.certain = ctx.Err() == nil && len(r.silent) < len(asked) && clock.Since(until) < lateWake
+	r.certain = ctx.Err() == nil && len(r.silent) < len(asked) && clock.Since(until) < maxWakeDelay
 	return r
 }
 
-// slow returns the engines that say that their steps take longer than usual.
-func (r roll) slow() map[relay.TargetID]float64 {
+// slow returns the engines that report slower steps than usual.
+func (r livenessResult) slow() map[relay.TargetID]float64 {
 	slow := make(map[relay.TargetID]float64)
 	for id, pace := range r.paces {
 		if pace > 1 {
--- a/internal/daemon/repath.go
+++ b/internal/daemon/repath.go
@@ -9,18 +9,18 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// repathLimit bounds the wait for an engine to take another path: it answers in about
-// 2 ms, and the answer stands still meanwhile.
-const repathLimit = 100 * time.Millisecond
+// repathTimeout bounds the wait for an engine to accept another path: it answers in about 2
+// ms, and the answer makes no progress meanwhile.
+const repathTimeout = 100 * time.Millisecond
 
-// repathAgain is the wait before another engine is looked for once more in the place of the
-// same one: places fall free every few hundredths of a second, and a look at each event of
-// an answer would cost as much as choosing a path.
-const repathAgain = 250 * time.Millisecond
+// repathRetryInterval is the wait before a replacement of the same engine is sought again:
+// slots become free every few hundredths of a second, and a search at each event of an answer
+// would cost as much as choosing a path.
+const repathRetryInterval = 250 * time.Millisecond
 
-// repath has the engine that is first on a request's path go on with other engines in the
-// place of later ones, once the answer has begun: a request that has not is refused by its
-// engine, and begins elsewhere.
+// repath has the first engine of a request's path continue with other engines in place of
+// later ones, once the answer has begun: a request that has not begun is refused by its engine
+// and starts elsewhere.
 func (f *forwarding) repath(ctx context.Context, from []relay.TargetID, why string) bool {
 	f.pauseExplained = true
 	now := clock.Now()
@@ -31,16 +31,16 @@
 		f.replaceAt = make(map[relay.TargetID]time.Time)
 	}
 	for _, id := range from {
-		f.replaceAt[id] = now.Add(repathAgain)
+		f.replaceAt[id] = now.Add(repathRetryInterval)
 	}
 	path, ok := f.g.substitute(f.lastPath, from, now)
 	if !ok {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, repathLimit)
+	ctx, cancel := context.WithTimeout(ctx, repathTimeout)
 	defer cancel()
-	// An order without an answer may have been taken: the answer goes on either way, and
-	// only the count of what is under way is off until it ends.
+	// An order without an answer may have been accepted: the answer goes on either way, and only
+	// the count of requests in flight is off until it ends.
 	_, err := f.g.platform.Engines.Repath(ctx, f.call.ID, path)
 	f.g.log.Info("request gets another path", "request", f.call.ID, "why", why, "instead_of", from, "path", path.String(), "error", errorText(err))
 	f.g.meter.repathed(err == nil)
@@ -67,9 +67,9 @@
 	return err.Error()
 }
 
-// leaveMoving takes a request off an engine that is to give up its layers: it waits for
-// what runs there, for as long as the longest answer.
-func (f *forwarding) leaveMoving(ctx context.Context) {
+// leaveMovingEngine moves a request off an engine that is to give up its layers: the engine
+// waits for its runs, for up to the longest answer.
+func (f *forwarding) leaveMovingEngine(ctx context.Context) {
 	f.g.mu.Lock()
 	id, moving := f.g.router.MovingOn(f.lastPath)
 	f.g.mu.Unlock()
--- a/internal/daemon/repeating.go
+++ b/internal/daemon/repeating.go
@@ -8,17 +8,18 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file says whether a request goes to another target after a try; relay/repeat.go decides.
+// This file reports whether a request goes to another target after a try; relay/repeat.go
+// decides.
 
-// noteAttempt takes what became of a try.
+// noteAttempt records the outcome of a try.
 func (f *forwarding) noteAttempt(r result, path relay.Path) {
 	if r != resultNotSent {
-		delete(f.unreached, path.First().Target)
+		delete(f.failedDials, path.First().Target)
 	}
 	f.attempts = f.attemptsAfter(r, path)
 }
 
-// attemptsAfter returns the tries with one that ended so.
+// attemptsAfter returns the attempts with one more that ended with r.
 func (f *forwarding) attemptsAfter(r result, path relay.Path) relay.Attempts {
 	a := f.attempts
 	a.Asked++
@@ -30,16 +31,16 @@
 	switch {
 	case r == resultBroken:
 		a.Ran = withTarget(a.Ran, first)
-	case f.unreached[first] >= unreachedEnded:
+	case f.failedDials[first] >= failedDialThreshold:
 		a.Ran = slices.DeleteFunc(slices.Clone(a.Ran), func(id relay.TargetID) bool { return id == first })
 	}
 	a.Route, a.Service, a.Begun = f.route, f.service, f.begun
 	return a
 }
 
-// awaitRepeat returns why the request may not go to another target, or nil. A stream in the
-// middle waits for a repeat: the budget refills as its window moves on, and to cut it would
-// throw away what was done.
+// awaitRepeat returns why the request may not go to another target, or nil. A stream that has
+// begun waits for a repeat: the retry budget refills as its window advances, and cutting the
+// stream off would discard completed work.
 func (f *forwarding) awaitRepeat(ctx context.Context) *relay.Refusal {
 	until := f.waitUntil()
 	for {
@@ -48,31 +49,31 @@
 		case denial == relay.NotDenied:
 			return nil
 		case !f.begun || !denial.Passes() || !f.pause(ctx, until):
-			return f.denied(denial)
+			return f.refusalFor(denial)
 		}
 	}
 }
 
-// mayRepeat takes a repeat, or returns why there is none.
+// mayRepeat takes a repeat from the retry budget, or returns why it is denied.
 func (f *forwarding) mayRepeat() relay.Denial {
 	f.g.mu.Lock()
 	defer f.g.mu.Unlock()
 	return f.g.router.MayRepeat(f.attempts, clock.Now())
 }
 
-// denied returns the refusal of a request that may not go to another target.
-func (f *forwarding) denied(d relay.Denial) *relay.Refusal {
+// refusalFor returns the refusal of a request that may not go to another target.
+func (f *forwarding) refusalFor(d relay.Denial) *relay.Refusal {
 	if len(f.attempts.Ran) > 0 {
 		return &relay.Refusal{Kind: relay.RefusedUnknownRun, Reason: "its target broke off: " + f.last + "; " + d.String()}
 	}
 	f.g.mu.Lock()
-	retryAt := f.g.router.ComeBack(f.service, comeBackAtOnce, clock.Now())
+	retryAt := f.g.router.ComeBack(f.service, retryDelay, clock.Now())
 	f.g.mu.Unlock()
 	return &relay.Refusal{Kind: relay.RefusedNotTaken, RetryAt: retryAt, Reason: "no target took it: " + f.last + "; " + d.String()}
 }
 
 // couldRepeat reports whether the request may go to another target if its present try is
-// given up.
+// abandoned.
 func (f *forwarding) couldRepeat() bool {
 	a := f.attemptsAfter(resultBroken, f.lastPath)
 	f.g.mu.Lock()
@@ -80,9 +81,9 @@
 	return f.g.router.CouldRepeat(a, clock.Now())
 }
 
-// mayAskAgain reports whether a request whose kept connection was gone may be sent
-// on a new one. A forgotten connection brings nothing to its target; one that broke
-// at this moment may have, so that it counts as a repeat.
+// mayAskAgain reports whether a request whose idle connection was lost may be sent on a new
+// one. A connection that the target had dropped before delivers nothing; one that broke just
+// now may have delivered the request, so it counts as a repeat.
 func (f *forwarding) mayAskAgain() bool {
 	f.g.mu.Lock()
 	defer f.g.mu.Unlock()
--- a/internal/daemon/reservation.go
+++ b/internal/daemon/reservation.go
@@ -8,42 +8,41 @@
 )
 
 // This file reserves memory of the outbox for what a request holds: its body, its whole answer
-// and what the kernel keeps of it.
+// and the kernel's buffers for it.
 
-// reservation is the memory that one request takes here.
+// reservation is the memory that one request holds on this VM.
 type reservation struct {
 	o      *outbox
 	id     relay.HoldingID
 	kernel int64
 }
 
-// open begins a reservation without bytes.
+// open creates an empty reservation.
 func (o *outbox) open() *reservation {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return &reservation{o: o, id: o.holdings.Open()}
 }
 
-// reserve adds bytes that are held for a side, and reports whether there is room for them
-// at once.
+// reserve adds bytes for a side, and reports whether there is room for them at once.
 func (r *reservation) reserve(s relay.Side, bytes int64) bool {
 	r.o.mu.Lock()
 	defer r.o.mu.Unlock()
 	return r.add(s, bytes)
 }
 
-// add does what reserve does. The lock is held.
+// add is reserve for callers that hold the lock.
 func (r *reservation) add(s relay.Side, bytes int64) bool {
 	now := time.Now()
 	ok, ends := r.o.holdings.Reserve(r.id, s, bytes, now)
 	for _, e := range ends {
-		r.o.endHeld(e, now, "a new request needs the memory")
+		r.o.endCaller(e, now, "a new request needs the memory")
 	}
 	return ok
 }
 
-// hasRoom reports whether there is room for a body at present. None is taken: who says that
-// much comes may send nothing.
+// hasRoom reports whether there is room for a body at present. It reserves nothing: a caller
+// may announce a body and send nothing.
 func (o *outbox) hasRoom(bytes int64) bool {
 	if bytes <= bodyFirst {
 		return true
@@ -53,7 +52,7 @@
 	return r.reserve(relay.SideTargets, bytes)
 }
 
-// reserveKernel adds what the kernel may hold of the request.
+// reserveKernel adds what the kernel may buffer for the request.
 func (r *reservation) reserveKernel() bool {
 	r.o.mu.Lock()
 	defer r.o.mu.Unlock()
@@ -68,8 +67,8 @@
 	return true
 }
 
-// wait adds bytes as soon as there is room for them, and reports whether there was before
-// the target would no longer bear the wait.
+// wait adds bytes as soon as there is room for them, and reports false if there was none
+// before the target's time limit for an unread answer.
 func (r *reservation) wait(ctx context.Context, s relay.Side, bytes int64) bool {
 	until := time.Now().Add(engineStallLimit)
 	r.o.mu.Lock()
@@ -78,30 +77,30 @@
 		if ctx.Err() != nil || !time.Now().Before(until) {
 			return false
 		}
-		r.o.await(until, ctx.Done())
+		r.o.awaitRoom(until, ctx.Done())
 	}
-	r.o.moreRoom()
+	r.o.wakeNext()
 	return true
 }
 
-// close gives the memory back.
+// close releases the memory.
 func (r *reservation) close() {
 	r.o.mu.Lock()
 	defer r.o.mu.Unlock()
 	r.o.holdings.Close(r.id)
 	r.o.kernel -= r.kernel
 	r.kernel = 0
-	r.o.moreRoom()
+	r.o.wakeNext()
 }
 
-// smallBody is the size of bodies that the kernel takes at once, in bytes: their targets
-// need not read for them to leave this VM.
-const smallBody = 16 << 10
+// smallBodyBytes is the size of bodies that the kernel accepts at once: they leave this VM
+// even if their targets don't read.
+const smallBodyBytes = 16 << 10
 
-// send notes a body on its way to a target, and reports whether there is room for it. The
-// returned function says that it is no longer on its way.
+// send records a body in transit to a target, and reports whether there is room for it. The
+// returned function ends the record.
 func (o *outbox) send(address string, bytes int) (func(), bool) {
-	if bytes <= smallBody {
+	if bytes <= smallBodyBytes {
 		return func() {}, true
 	}
 	o.mu.Lock()
--- a/internal/daemon/stopping.go
+++ b/internal/daemon/stopping.go
@@ -7,16 +7,16 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// Reloaded notes that the settings were read again.
+// Reloaded records that the settings were read again.
 func (g *Gateway) Reloaded() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ending = g.ending.WithReload(clock.Now())
 }
 
-// outlasts refuses a stream whose answer would not end before this VM does; relay.Ending
-// says which.
-func (g *Gateway) outlasts(call *Call, route *relay.Route, now time.Time) *relay.Refusal {
+// refuseOutlasting refuses a stream whose answer would not end before the planned stop of this
+// VM; relay.Ending decides.
+func (g *Gateway) refuseOutlasting(call *Call, route *relay.Route, now time.Time) *relay.Refusal {
 	if !g.policy.Has(relay.StopAdmission) || !g.ending.Planned() || !route.Stream || len(route.Shares) == 0 {
 		return nil
 	}
@@ -24,5 +24,5 @@
 	if !g.ending.Outlasts(g.router.AnswerTime(route.Shares[0].Service, tokens), now) {
 		return nil
 	}
-	return &relay.Refusal{Kind: relay.RefusedNoRoom, RetryAt: now.Add(comeBackAtOnce), Reason: "this VM stops before the answer would end"}
+	return &relay.Refusal{Kind: relay.RefusedNoRoom, RetryAt: now.Add(retryDelay), Reason: "this VM stops before the answer would end"}
 }
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -10,77 +10,77 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// watcher looks after one try of a stream in its pauses. The path is that of the request:
+// watcher supervises one try of a stream during its pauses. The path is that of the request:
 // it changes when an engine on it is replaced.
 type watcher struct {
 	f   *forwarding
 	ctx context.Context
-	// living ends with the incarnation of the target that got the request.
-	living context.Context
-	began  time.Time
-	// heard is when the last bytes came.
+	// incarnationCtx ends with the incarnation of the target that got the request.
+	incarnationCtx context.Context
+	began          time.Time
+	// heard is when bytes were last read.
 	heard time.Time
-	// culprit is the target that the try was given up for.
+	// culprit is the target for which the try was abandoned.
 	culprit relay.TargetID
-	// request is what the try sent; its patience ends where the next event is overdue.
+	// request is what the try sent; its Patience ends when the next event is overdue.
 	request *target.Request
-	// called says that the engines have been asked in the present pause.
-	called bool
-	// sound counts the reports in the present pause by which the engine does its part.
+	// livenessChecked says that the engines have been checked in the present pause.
+	livenessChecked bool
+	// sound counts the reports in the present pause that show the engine working.
 	sound int
-	// silent says that the try was given up for its connection.
+	// silent says that the try was abandoned because its connection was silent.
 	silent bool
 }
 
-// hurryShare is the part of a route's bound on pauses before which nothing is asked: on the
-// fastest paths a moment in which a VM is too busy to hear is longer than twice the mean pause,
-// and looks like a loss.
-const hurryShare = 0.4
+// minPatienceShare is the part of a route's pause bound before which no engine is checked: on
+// the fastest paths, a moment in which a VM is too busy to answer lasts longer than twice the
+// mean pause and looks like a loss.
+const minPatienceShare = 0.4
 
-// lateWake is how much later than asked for this process may wake up and still say what was
-// silent meanwhile: a VM that got no processor time has heard nobody.
-const lateWake = 15 * time.Millisecond
+// maxWakeDelay is how late this process may wake up and still treat engines without an answer
+// as silent: a VM that got no processor time has read nothing.
+const maxWakeDelay = 15 * time.Millisecond
 
-// listen sets how long the next event is waited for before waitOn is asked.
-func (w *watcher) listen() {
-	w.called = false
+// resetPatience sets how long to wait for the next event before waitOn is called.
+func (w *watcher) resetPatience() {
+	w.livenessChecked = false
 	w.sound = 0
-	w.request.Patience = pauseCheck
-	if after, ok := w.f.g.overdueAfter(w.f.pace); ok && w.worthHurry() {
-		soonest := time.Duration(hurryShare * float64(w.f.route.Pause))
-		w.request.Patience = min(max(after, soonest), pauseCheck)
+	w.request.Patience = stallCheckInterval
+	if after, ok := w.f.g.overdueAfter(w.f.pace); ok && w.meetsPauseBound() {
+		soonest := time.Duration(minPatienceShare * float64(w.f.route.Pause))
+		w.request.Patience = min(max(after, soonest), stallCheckInterval)
 	}
 }
 
-// worthHurry reports whether the answer can still be in time.
-func (w *watcher) worthHurry() bool {
+// meetsPauseBound reports whether the answer can still stay within its pause bound.
+func (w *watcher) meetsPauseBound() bool {
 	bound := w.f.route.Pause
 	return bound > 0 && w.f.worstPause <= bound
 }
 
-// findLost asks all engines on the path who of them lives, and reports whether to wait on:
-// with others in the place of those that are lost, or where none is.
-func (w *watcher) findLost() bool {
+// findLostEngines checks the liveness of all engines on the path, and reports whether to keep
+// waiting: with replacements for lost engines, or where none is lost.
+func (w *watcher) findLostEngines() bool {
 	asked := w.since().Add(w.request.Patience)
-	w.request.Patience = pauseCheck
-	if clock.Since(asked) > lateWake {
+	w.request.Patience = stallCheckInterval
+	if clock.Since(asked) > maxWakeDelay {
 		return true
 	}
 	path := w.f.lastPath
 	r := w.f.g.probes.call(w.ctx, path)
-	w.f.g.meter.called(len(path.Stages), len(r.silent))
+	w.f.g.meter.livenessChecked(len(path.Stages), len(r.silent))
 	w.f.g.log.Info("engines of an overdue answer are asked", "request", w.f.call.ID, "silent_ms", clock.Since(w.since()).Milliseconds(), "mean_ms", w.f.pace.Mean().Milliseconds(), "engines", len(path.Stages), "lost", r.silent, "slow", r.slow(), "certain", r.certain)
 	w.f.g.takePaces(r.paces)
 	if !r.certain || len(r.silent) == 0 {
-		return w.leaveSlow()
+		return w.replaceSlow()
 	}
 	for _, id := range r.silent {
 		w.f.g.failed(id, true)
 	}
 	w.culprit = r.silent[0]
 	if !w.f.repath(w.ctx, r.silent, "its engines are lost") {
-		// They have answered nothing for a moment, which is no proof: an answer that could
-		// not go on elsewhere waits.
+		// A moment without an answer is no proof of a loss: an answer that could not continue
+		// elsewhere waits.
 		return !w.f.couldRepeat()
 	}
 	w.culprit = ""
@@ -88,9 +88,9 @@
 	return true
 }
 
-// leaveSlow has the answer go on without an engine that is slow, if there is one, and
-// reports whether to wait for it: it waits too where no other engine can take its place.
-func (w *watcher) leaveSlow() bool {
+// replaceSlow has the answer continue without a slow engine, if there is one. It reports
+// whether to keep waiting, which it does as well where no other engine can take over.
+func (w *watcher) replaceSlow() bool {
 	id, slow := w.f.g.slowOn(w.f.lastPath)
 	if slow && w.f.repath(w.ctx, []relay.TargetID{id}, "its engine is slow") {
 		w.heard = clock.Now()
@@ -106,7 +106,7 @@
 	return w.heard
 }
 
-// waitOn is asked in each pause of pauseCheck whether to wait on.
+// waitOn is called in each pause of stallCheckInterval and reports whether to keep waiting.
 func (w *watcher) waitOn() bool {
 	if w.ctx.Err() != nil {
 		return false
@@ -116,12 +116,12 @@
 		w.culprit = id
 		return w.replace()
 	}
-	if !w.called && w.f.g.policy.Has(relay.OverdueRepair) {
-		w.called = true
+	if !w.livenessChecked && w.f.g.policy.Has(relay.OverdueRepair) {
+		w.livenessChecked = true
 		if _, slow := w.f.g.slowOn(w.f.lastPath); slow {
-			return w.leaveSlow()
+			return w.replaceSlow()
 		}
-		return w.findLost()
+		return w.findLostEngines()
 	}
 	if clock.Since(since) < probeAfter || !w.f.g.policy.Has(relay.StallProbe) {
 		return true
@@ -132,10 +132,9 @@
 	return w.replace()
 }
 
-// replace has another engine take the place of the one that the request waits for, and
-// reports whether to wait on: for the other engine, or because a try that is given up could
-// not be followed by another. An engine that is silent may still go on, or its own end may
-// be told in time.
+// replace has another engine take over from the one that the request waits for. It reports
+// whether to keep waiting: for the replacement, or because an abandoned try could not be
+// followed by another. A silent engine may still continue, or its end may be reported in time.
 func (w *watcher) replace() bool {
 	if w.ctx.Err() != nil {
 		return false
@@ -149,7 +148,7 @@
 	return true
 }
 
-// suspectOn returns a target on a path that is under suspicion.
+// suspectOn returns a suspected target on a path.
 func (g *Gateway) suspectOn(p relay.Path) (relay.TargetID, bool) {
 	now := clock.Now()
 	g.mu.Lock()
@@ -162,8 +161,8 @@
 	return "", false
 }
 
-// probe asks the first engine whether the request stands still, and reports
-// whether it is to be given up.
+// probe asks the first engine whether the request is stalled, and reports whether to abandon
+// it.
 func (w *watcher) probe() bool {
 	first := w.f.lastPath.First()
 	w.f.g.meter.probed()
@@ -172,8 +171,8 @@
 		return true
 	}
 	if err != nil && !errors.Is(err, ErrEngineSilent) {
-		// It lives, and its report can't be used: that says nothing of the request.
-		w.f.g.log.Info("report of an engine is not used", "target", first.Target, "request", w.f.call.ID, "error", err.Error())
+		// The engine is alive, but its report can't be used: that tells nothing of the request.
+		w.f.g.log.Info("unusable engine report", "target", first.Target, "request", w.f.call.ID, "error", err.Error())
 		w.sound = 0
 		return false
 	}
@@ -183,7 +182,7 @@
 		return true
 	}
 	if first.Target.OtherIncarnation(report.Born) {
-		w.f.g.log.Info("engine has started again", "target", first.Target, "address", first.Address, "request", w.f.call.ID, "born", report.Born)
+		w.f.g.log.Info("engine has restarted", "target", first.Target, "address", first.Address, "request", w.f.call.ID, "born", report.Born)
 		w.culprit = first.Target
 		return true
 	}
