--- a/internal/daemon/backoffs_test.go
+++ b/internal/daemon/backoffs_test.go
@@ -17,19 +17,19 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// What targets that ask to back off, and that leave, answer. A backoff is of 3 s.
+// Answers of targets that ask for a backoff, of 3 s, and that leave.
 var (
 	backedOff = step{text: "HTTP/1.1 503 No\r\nId: a\r\nNot-Run: 1\r\nBackoff: 3\r\nContent-Length: 0\r\n\r\n"}
 	leaving   = step{runs: true, text: "HTTP/1.1 200 OK\r\nId: a\r\nLeaving: 1\r\nContent-Length: 2\r\n\r\nok"}
 )
 
-// A target that turned a VM away had asked it for 3 s of backoff, and got three requests more from
-// it in that time, each of which it turned away too. Nothing read what targets say of themselves
-// with their answers: what kept the VM away was a pause of its own making, of 0.1 s that doubled
-// up to 0.8 s. Nine of nineteen such callers were refused while two other targets had room.
-// That the requests came 0.3 s and more after the refusal before, when the pause was over,
-// proved it; here no other target is known, and time goes on by itself.
-func TestATargetThatAsksToBackOffIsSentNothingMeanwhile(t *testing.T) {
+// Guards against requests to a target during its backoff. A target had refused a VM and asked
+// it for 3 s of backoff, and got three more requests from it in that time, each of which it
+// refused too: the notice was not read, and the VM used a pause of its own, of 0.1 s that
+// doubled up to 0.8 s. Nine of nineteen such callers were refused while two other targets had
+// room. The requests came 0.3 s and more after the previous refusal, when that pause was over.
+// Here no other target is known, and the clock is advanced by the test.
+func TestNoRequestsDuringBackoff(t *testing.T) {
 	s := newSuspendable(t)
 	w := newWorker(t, backedOff, served)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
@@ -43,9 +43,10 @@
 	require.Equal(t, http.StatusOK, ask(t, g), "its backoff is over")
 }
 
-// A target that says with an answer that it leaves got requests until its heartbeats said so
-// too, or for as long as it sent none. Nothing read it.
-func TestATargetThatSaysThatItLeavesIsSentNothingMore(t *testing.T) {
+// Guards against requests to a target that has announced with an answer that it leaves: the
+// notice was not read, so requests went on until its heartbeats said so too, or without end
+// where it sent none.
+func TestNoRequestsToLeavingTarget(t *testing.T) {
 	w := newWorker(t, leaving, served)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
 	require.Equal(t, http.StatusOK, ask(t, g))
@@ -55,9 +56,9 @@
 	require.EqualValues(t, 1, w.next.Load(), "requests that reach it")
 }
 
-// Whatever a target that asks to back off or leaves answers, what it says of itself counts: also with an
-// answer that can't be handed on, or that goes on for long.
-func TestAnyAnswerTellsOfATarget(t *testing.T) {
+// A notice counts whatever answer it comes with, also one that can't be forwarded or that is
+// long.
+func TestNoticeAppliesWithAnyAnswer(t *testing.T) {
 	const body = "Content-Length: 2\r\n\r\nok"
 	for name, s := range map[string]step{
 		"whole":                    {text: "HTTP/1.1 200 OK\r\nId: a\r\nLeaving: 1\r\n" + body},
@@ -77,8 +78,8 @@
 	}
 }
 
-// A stream's head tells of its target at once, though the answer goes on.
-func TestTheHeadOfAStreamTellsOfItsTarget(t *testing.T) {
+// The notice in a stream's head applies at once, while the answer goes on.
+func TestNoticeAppliesWithStreamHead(t *testing.T) {
 	p := newPausing(t)
 	p.header = "Leaving: 1\r\n"
 	g := pausingEntry(t, relay.Target{ID: "i-1", Service: "s", Address: p.address, Slots: 10, Call: 1})
@@ -92,9 +93,9 @@
 	closed(t, "the call ends", done)
 }
 
-// A request that was sent on a kept connection, which is gone, is not sent again on a new one
-// when its target has asked to back off, or said that it leaves, between the two.
-func TestASecondSendingIsHeldBack(t *testing.T) {
+// A request whose idle connection was lost is not sent again on a new one when its target has
+// asked for a backoff, or announced that it leaves, in between.
+func TestSecondSendingIsHeldBack(t *testing.T) {
 	for name, notice := range map[string]relay.Notice{
 		"backoff": {BackoffUntil: time.Now().Add(time.Hour)},
 		"leaving": {Leaving: true},
@@ -102,7 +103,7 @@
 		t.Run(name, func(t *testing.T) {
 			var g *daemon.Gateway
 			var w *worker
-			dropped := step{meanwhile: func() { daemon.ApplyNotice(g, relay.TargetID(w.address), notice) }}
+			dropped := step{beforeAnswer: func() { daemon.ApplyNotice(g, relay.TargetID(w.address), notice) }}
 			w = newWorker(t, served, dropped, served)
 			g = newEntry(t, relay.RepeatAlways, 2, w)
 			require.Equal(t, http.StatusOK, ask(t, g))
@@ -114,8 +115,8 @@
 	}
 }
 
-// A request that was turned away goes to another target, and only there.
-func TestARequestGoesOnBesideATargetThatAsksToBackOff(t *testing.T) {
+// A refused request goes to another target, and only there.
+func TestRequestsUseOtherTargetDuringBackoff(t *testing.T) {
 	backoffs, serves := newWorker(t, backedOff), newWorker(t, served)
 	g := newEntry(t, relay.RepeatAlways, 2, backoffs, serves)
 	for range 20 {
@@ -124,9 +125,9 @@
 	require.LessOrEqual(t, backoffs.next.Load(), int32(1))
 }
 
-// A target that asks to back off again and again lives: it is not found dead, and what runs there
-// is not given up.
-func TestATargetThatBackoffsIsNotFoundDead(t *testing.T) {
+// A target that asks for a backoff repeatedly is alive: it is not marked dead, and its runs
+// are not abandoned.
+func TestBackoffDoesNotMarkTargetDead(t *testing.T) {
 	s := newSuspendable(t)
 	w := newWorker(t, backedOff)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
@@ -140,9 +141,9 @@
 	require.Empty(t, daemon.FindingsOf(g).Dead)
 }
 
-// A stream in the middle waits for a room; where its targets ask to back off for longer than its caller
-// waits, it is told at once.
-func TestNobodyIsHeldUntilALongBackoffEnds(t *testing.T) {
+// A stream that has begun waits for room; where its targets ask for a backoff longer than its
+// caller waits, it is refused at once.
+func TestResumeIsRefusedAtOnceDuringLongBackoff(t *testing.T) {
 	p := newPausing(t)
 	g := pausingEntry(t, relay.Target{ID: "i-1", Service: "s", Address: p.address, Slots: 10, Call: 1})
 	daemon.ApplyNotice(g, "i-1", relay.Notice{BackoffUntil: time.Now().Add(3 * time.Hour)})
@@ -151,7 +152,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, status)
 }
 
-// countingEngines count what they are asked, and say something of themselves.
+// countingEngines count the calls that they get, and answer with a notice.
 type countingEngines struct {
 	asked  *atomic.Int32
 	notice *relay.Notice
@@ -172,9 +173,9 @@
 	return *e.notice, nil
 }
 
-// Reports, orders and new paths are held back too, do not count as answered or as lost, and
-// their answers tell of the engine as well. One that leaves is still asked for what it runs.
-func TestNothingElseIsAskedOfAnEngineThatAsksToBackOff(t *testing.T) {
+// Reports, orders and new paths are held back too, count neither as answered nor as lost, and
+// their answers carry notices as well. An engine that leaves is still called about its runs.
+func TestEngineCallsAreHeldBackDuringBackoff(t *testing.T) {
 	const id = relay.TargetID("i-1")
 	asks := map[string]func(e daemon.Engines) (held bool){
 		"report": func(e daemon.Engines) bool {
@@ -214,7 +215,7 @@
 	}
 }
 
-func TestAnOperatorHasARestingTargetAskedAgain(t *testing.T) {
+func TestOperatorEndsBackoff(t *testing.T) {
 	w := newWorker(t, backedOff, served)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
 	require.Equal(t, http.StatusServiceUnavailable, ask(t, g))
--- a/internal/daemon/caller_conn.go
+++ b/internal/daemon/caller_conn.go
@@ -39,12 +39,12 @@
 	if err == nil {
 		err = raw.Control(func(fd uintptr) {
 			if failed := syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, socketBytes); failed != nil {
-				o.log.Info("the kernel's buffers can't be bounded, it may hold more than is counted", "error", failed.Error())
+				o.log.Info("can't bound the kernel's socket buffers; they may hold more than is counted", "error", failed.Error())
 			}
 		})
 	}
 	if err != nil {
-		o.log.Info("the kernel's buffers can't be reached, it may hold more than is counted", "error", err.Error())
+		o.log.Info("can't access the listener's socket to bound the kernel's buffers; they may hold more than is counted", "error", err.Error())
 	}
 }
 
--- a/internal/daemon/crashes_test.go
+++ b/internal/daemon/crashes_test.go
@@ -16,21 +16,22 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// postWait bounds the wait for a report. It is no measure of speed.
+// postWait bounds the wait for a report. It does not measure speed.
 const postWait = 10 * time.Second
 
-// asksMost bounds the requests until one of two targets has got one.
-const asksMost = 100
+// maxAsks bounds the requests until a given one of two targets has received one.
+const maxAsks = 100
 
-// Steps of targets that end: they refuse new connections from then on.
+// Steps of targets that end: from then on they refuse new connections.
 var (
-	endsUnheard = step{runs: true, ends: true}
-	endsAtHead  = step{runs: true, ends: true, text: "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 13\r\n\r\n"}
-	endsMidway  = step{runs: true, ends: true, text: "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 13\r\n\r\nid: 1\n\n"}
-	streamed    = step{runs: true, text: "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 7\r\n\r\nid: 1\n\n"}
+	endsWithoutAnswer = step{runs: true, ends: true}
+	endsAtHead        = step{runs: true, ends: true, text: "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 13\r\n\r\n"}
+	endsMidway        = step{runs: true, ends: true, text: "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 13\r\n\r\nid: 1\n\n"}
+	streamed          = step{runs: true, text: "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 7\r\n\r\nid: 1\n\n"}
 )
 
-// newStreamEntry is a gateway before some engines' streams, each of which may be sent to one.
+// newStreamEntry returns a gateway for the streams of some engines, each of which may be sent
+// to one engine.
 func newStreamEntry(t *testing.T, workers ...*worker) *daemon.Gateway {
 	t.Helper()
 	document := &relay.Document{
@@ -46,20 +47,21 @@
 		known = append(known, relay.Target{ID: relay.TargetID(w.address), Service: "s", Address: w.address, Slots: 10, Call: 1})
 	}
 	budget := relay.BudgetTerms{Share: 1, Fixed: 100, Window: 10 * time.Second}
-	g, err := daemon.NewGatewayAlone(daemon.Platform{Codec: plainCodec{}, Engines: mute{}, Router: relay.Settings{Seed: 1, Started: time.Now(), Budget: budget}}, document, known)
+	g, err := daemon.NewGatewayAlone(daemon.Platform{Codec: plainCodec{}, Engines: muteEngines{}, Router: relay.Settings{Seed: 1, Started: time.Now(), Budget: budget}}, document, known)
 	require.NoError(t, err)
 	return g
 }
 
-// askPath sends a request for a path, and returns the status that its caller gets, 0 where its
-// answer is cut.
+// askPath sends a request for a path, and returns the status that its caller gets, 0 where the
+// answer is cut off.
 func askPath(t *testing.T, g *daemon.Gateway, uri string) int {
 	t.Helper()
 	now := time.Now()
 	return askCall(t, g, &daemon.Call{ID: "a", Arrived: now, Deadline: now.Add(5 * time.Second), Method: http.MethodPost, URI: uri, Path: "/", Host: "h", Answer: 10})
 }
 
-// askCall serves a call, and returns the status that its caller gets, 0 where its answer is cut.
+// askCall serves a call, and returns the status that its caller gets, 0 where the answer is
+// cut off.
 func askCall(t *testing.T, g *daemon.Gateway, call *daemon.Call) (status int) {
 	t.Helper()
 	defer func() {
@@ -90,11 +92,11 @@
 	return requests, targets
 }
 
-// keyOf is the key of a worker as a target.
+// keyOf returns the target key of a worker.
 func keyOf(w *worker) relay.TargetKey { return relay.TargetID(w.address).Key() }
 
-func TestARunThatEndsItsTargetBeforeItBringsAnythingIsReported(t *testing.T) {
-	for _, s := range []step{endsUnheard, endsAtHead} {
+func TestCrashBeforeOutputIsReported(t *testing.T) {
+	for _, s := range []step{endsWithoutAnswer, endsAtHead} {
 		w := newWorker(t, s)
 		askPath(t, newStreamEntry(t, w), "/a")
 		w = newWorker(t, s)
@@ -106,10 +108,10 @@
 	}
 }
 
-// The request went over a kept connection, which closed without a byte, and the second sending
-// on a new one was refused: the first one may have run, and ended the target.
-func TestARunOverAKeptConnectionThatEndsItsTargetIsReported(t *testing.T) {
-	w := newWorker(t, served, endsUnheard)
+// The request was sent over an idle connection, which closed without a byte, and the second
+// sending on a new one was refused: the first one may have run, and ended the target.
+func TestCrashOverReusedConnectionIsReported(t *testing.T) {
+	w := newWorker(t, served, endsWithoutAnswer)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
 	require.Equal(t, http.StatusOK, askPath(t, g, "/well"))
 	askPath(t, g, "/a")
@@ -117,14 +119,15 @@
 	require.Equal(t, []relay.Fingerprint{fingerprint("/a")}, requests)
 }
 
-// What is no evidence is followed by a run that is: the first report is of that one.
-func TestWhatSaysNothingOfARequestIsNotReported(t *testing.T) {
+// A run that is no evidence is followed by one that is: the first report must be of the
+// latter.
+func TestInconclusiveEndsAreNotReported(t *testing.T) {
 	cases := []struct {
 		name  string
 		first step
 	}{
 		{"the target closes a connection and lives", lost},
-		{"it ends in mid-answer, beside many others", endsMidway},
+		{"it ends in the middle of an answer, with many others in flight", endsMidway},
 		{"it refuses", rejected},
 	}
 	for _, c := range cases {
@@ -134,7 +137,7 @@
 			askPath(t, g, "/first")
 			next := newWorker(t, endsAtHead)
 			daemon.TakeTarget(g, relay.Target{ID: relay.TargetID(next.address), Service: "s", Address: next.address, Slots: 10, Call: 1})
-			for range asksMost {
+			for range maxAsks {
 				if askPath(t, g, "/next"); next.ran.Load() > 0 {
 					break
 				}
@@ -146,8 +149,8 @@
 	}
 }
 
-// A target that says nothing more, and whose connections stay open, may be behind a cut.
-func TestASilentTargetBlamesNoRequest(t *testing.T) {
+// A silent target whose connections stay open may be partitioned.
+func TestSilentTargetIsNotReportedAsCrash(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { silent.Close() })
@@ -165,7 +168,7 @@
 	askPath(t, g, "/first")
 	next := newWorker(t, endsAtHead)
 	daemon.TakeTarget(g, relay.Target{ID: relay.TargetID(next.address), Service: "s", Address: next.address, Slots: 10, Call: 1})
-	for range asksMost {
+	for range maxAsks {
 		if askPath(t, g, "/next"); next.ran.Load() > 0 {
 			break
 		}
@@ -174,16 +177,16 @@
 	require.Equal(t, []relay.Fingerprint{fingerprint("/next")}, requests)
 }
 
-// Requests that look alike come again and again; one that a target has run well is not blamed
-// for the rack that falls under the next.
-func TestARequestThatHasRunWellIsNotBlamed(t *testing.T) {
+// Requests that look alike come again and again; one that a target has run well is not
+// suspected when the rack of the next target fails.
+func TestRequestThatRanWellIsNotReported(t *testing.T) {
 	w := newWorker(t, streamed, endsAtHead)
 	g := newStreamEntry(t, w)
 	require.Equal(t, http.StatusOK, askPath(t, g, "/alike"))
 	askPath(t, g, "/alike")
 	next := newWorker(t, endsAtHead)
 	daemon.TakeTarget(g, relay.Target{ID: relay.TargetID(next.address), Service: "s", Address: next.address, Slots: 10, Call: 1})
-	for range asksMost {
+	for range maxAsks {
 		if askPath(t, g, "/next"); next.ran.Load() > 0 {
 			break
 		}
@@ -192,15 +195,15 @@
 	require.Equal(t, []relay.Fingerprint{fingerprint("/next")}, requests)
 }
 
-// One that was reported and then runs well is told of, so that it is let go everywhere.
-func TestARequestThatRunsWellAfterAllIsTold(t *testing.T) {
+// A reported request that then runs well is reported as such, so that all VMs release it.
+func TestSurvivalOfReportedRequestIsReported(t *testing.T) {
 	first := newWorker(t, endsAtHead)
 	g := newStreamEntry(t, first)
 	askPath(t, g, "/a")
 	reported(t, g)
 	next := newWorker(t, streamed)
 	daemon.TakeTarget(g, relay.Target{ID: relay.TargetID(next.address), Service: "s", Address: next.address, Slots: 10, Call: 1})
-	for range asksMost {
+	for range maxAsks {
 		if askPath(t, g, "/a") == http.StatusOK {
 			break
 		}
@@ -212,8 +215,9 @@
 	require.Equal(t, fingerprint("/a"), survived.Request)
 }
 
-// Its caller is told that it has run, at once, and no target gets it; others are served.
-func TestARequestInQuarantineIsSentToNobody(t *testing.T) {
+// The caller is told at once that the request has run, and no target gets it; other requests
+// are served.
+func TestQuarantinedRequestIsNotSent(t *testing.T) {
 	w := newWorker(t, streamed)
 	g := newStreamEntry(t, w)
 	daemon.Quarantine(g, fingerprint("/a"), time.Now().Add(time.Hour))
@@ -224,17 +228,17 @@
 	require.Equal(t, http.StatusOK, askPath(t, g, "/a"), "its time is over")
 }
 
-// A stage that refuses because a later one has ended, after it was waited for, is a run that
-// ended a target too.
-func TestALaterStageThatEndsIsReported(t *testing.T) {
+// A first stage that refuses the request after some wait, because a later stage has ended,
+// counts as a run that ended a target too.
+func TestCrashOfLaterStageIsReported(t *testing.T) {
 	x := daemon.NewEndings()
 	now := time.Unix(1000, 0)
 	stage := relay.Stage{Target: "later", Address: "a"}
-	require.True(t, x.Note(stage, fingerprint("/a"), false, now), "the first one has it looked at")
+	require.True(t, x.Note(stage, fingerprint("/a"), false, now), "the first one starts a check")
 	require.False(t, x.Note(stage, fingerprint("/b"), false, now))
 	require.False(t, x.Note(stage, fingerprint("/c"), true, now))
 	starting, midway := x.Take(stage.Target)
 	require.Equal(t, []relay.Fingerprint{fingerprint("/a"), fingerprint("/b")}, starting)
 	require.Equal(t, 1, midway)
-	require.False(t, x.Note(stage, fingerprint("/c"), true, now), "mid-answers alone say nothing")
+	require.False(t, x.Note(stage, fingerprint("/c"), true, now), "runs with output alone prove nothing")
 }
--- a/internal/daemon/entrance_test.go
+++ b/internal/daemon/entrance_test.go
@@ -14,7 +14,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// exhausted is a listener whose process has no descriptors left, for some connections.
+// exhausted is a listener whose process has no free descriptors for its first accepts.
 type exhausted struct {
 	net.Listener
 	failures atomic.Int32
@@ -27,7 +27,7 @@
 	return l.Listener.Accept()
 }
 
-func TestAReadyVMTakesItsConnections(t *testing.T) {
+func TestReadyOnlyWhileConnectionsAreAccepted(t *testing.T) {
 	w := newWorker(t, served)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
 	require.True(t, g.Ready())
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -122,7 +122,7 @@
 	pickedAt, sentAt time.Time
 	// read says that the prompt has been processed on the present path.
 	read bool
-	// pace is the event rate of the answer on the present path.
+	// pace tracks the pauses between the events of the answer on the present path.
 	pace relay.Pace
 	// replaceAt is the earliest time at which a stage's replacement may be sought again.
 	replaceAt map[relay.TargetID]time.Time
@@ -149,7 +149,7 @@
 	events     int
 	lastEvent  time.Time
 	worstPause time.Duration
-	// pauseExplained says that the present pause is attributed to an engine.
+	// pauseExplained says that the present pause is attributed to an engine or to the caller.
 	pauseExplained bool
 	// proven says that the answer has run for long enough to count as evidence that the request is
 	// harmless.
--- a/internal/daemon/gateway_metrics.go
+++ b/internal/daemon/gateway_metrics.go
@@ -166,7 +166,7 @@
 
 func (g *gatewayMetrics) targetsBackedOff(n int) { g.backedOff.Record(context.Background(), int64(n)) }
 
-func (g *gatewayMetrics) targetsEnded(lives int) { g.ended.Add(context.Background(), int64(lives)) }
+func (g *gatewayMetrics) targetsEnded(count int) { g.ended.Add(context.Background(), int64(count)) }
 
 func (g *gatewayMetrics) crashed(runs int) { g.runsCrashed.Add(context.Background(), int64(runs)) }
 
@@ -185,7 +185,7 @@
 
 // limits records the targets with limits. A target whose limit has ended is recorded with 0.
 func (g *gatewayMetrics) limits(limited []relay.LimitedTarget) {
-	over := g.limited
+	expired := g.limited
 	g.limited = make(map[relay.TargetID]bool)
 	for _, l := range limited[:min(len(limited), limitsMeasured)] {
 		of := metric.WithAttributes(attribute.String("target", string(l.Target)))
@@ -194,9 +194,9 @@
 		g.limitUsed.Record(context.Background(), float64(l.Used), of)
 		g.limitHeld.Record(context.Background(), float64(l.HeldBack), of)
 		g.limited[l.Target] = true
-		delete(over, l.Target)
+		delete(expired, l.Target)
 	}
-	for id := range over {
+	for id := range expired {
 		of := metric.WithAttributes(attribute.String("target", string(id)))
 		g.limit.Record(context.Background(), 0, of)
 		g.permits.Record(context.Background(), 0, of)
--- a/internal/daemon/leaving_test.go
+++ b/internal/daemon/leaving_test.go
@@ -14,7 +14,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// pausingEntry is a gateway before one target whose stream stands still.
+// pausingEntry returns a gateway with targets whose streams stall.
 func pausingEntry(t *testing.T, targets ...relay.Target) *daemon.Gateway {
 	t.Helper()
 	document := &relay.Document{
@@ -26,17 +26,17 @@
 		}},
 	}
 	budget := relay.BudgetTerms{Share: 1, Fixed: 100, Window: 10 * time.Second}
-	g, err := daemon.NewGatewayAlone(daemon.Platform{Codec: plainCodec{}, Engines: mute{}, Router: relay.Settings{Seed: 1, Started: time.Now(), Budget: budget}}, document, targets)
+	g, err := daemon.NewGatewayAlone(daemon.Platform{Codec: plainCodec{}, Engines: muteEngines{}, Router: relay.Settings{Seed: 1, Started: time.Now(), Budget: budget}}, document, targets)
 	require.NoError(t, err)
 	return g
 }
 
-// serve has a gateway serve one call, and returns what is closed at its end.
+// serve has a gateway serve one call, and returns a channel that is closed at its end.
 func serve(ctx context.Context, g *daemon.Gateway, w http.ResponseWriter) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		defer func() { _ = recover() }() // a call that is cut ends so
+		defer func() { _ = recover() }() // a call that is cut off ends with a panic
 		now := time.Now()
 		g.Serve(ctx, w, &daemon.Call{ID: "a", Arrived: now, Deadline: now.Add(20 * time.Second), Method: http.MethodPost, URI: "/", Path: "/", Host: "h", Answer: 10})
 	}()
@@ -52,37 +52,37 @@
 	}
 }
 
-// The first engine hears of it by the end of its connection, and tells the other stages.
-func TestACallerThatLeavesEndsItsTries(t *testing.T) {
+// The first engine notices it by the end of its connection, and notifies the other stages.
+func TestCallerDisconnectCancelsTry(t *testing.T) {
 	p := newPausing(t)
 	g := pausingEntry(t, relay.Target{ID: "i-1", Service: "s", Address: p.address, Slots: 10, Call: 1})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := serve(ctx, g, httptest.NewRecorder())
 	closed(t, "the stream begins", p.begun)
 	cancel()
-	closed(t, "the engine's connection ends", p.givenUp)
+	closed(t, "the engine's connection ends", p.connClosed)
 	closed(t, "the call ends", done)
 	require.Zero(t, daemon.UnderWay(g))
 }
 
-// deaf is a caller that has closed its connection.
-type deaf struct{ *httptest.ResponseRecorder }
+// failingWriter is the writer of a caller that has closed its connection.
+type failingWriter struct{ *httptest.ResponseRecorder }
 
-func (deaf) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
+func (failingWriter) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
-// Each caller whose end was met while an event was written left its request counted as
-// under way at its engines for good.
-func TestACallerThatIsFoundGoneLeavesNothingUnderWay(t *testing.T) {
+// Guards against a leak: a caller that was found to have disconnected while an event was
+// written left its request counted as in flight at its engines for good.
+func TestWriteErrorReleasesRequest(t *testing.T) {
 	p := newPausing(t)
 	g := pausingEntry(t, relay.Target{ID: "i-1", Service: "s", Address: p.address, Slots: 10, Call: 1})
-	done := serve(t.Context(), g, deaf{httptest.NewRecorder()})
-	closed(t, "the engine's connection ends", p.givenUp)
+	done := serve(t.Context(), g, failingWriter{httptest.NewRecorder()})
+	closed(t, "the engine's connection ends", p.connClosed)
 	closed(t, "the call ends", done)
 	require.Zero(t, daemon.UnderWay(g))
 }
 
-// A try that another one has followed is closed before that one is sent.
-func TestATryThatIsReplacedHasEnded(t *testing.T) {
+// A try is closed before its replacement is sent.
+func TestTryEndsBeforeItsReplacement(t *testing.T) {
 	first, second := newPausing(t), newPausing(t)
 	g := pausingEntry(t,
 		relay.Target{ID: "i-1", Service: "s", Address: first.address, Slots: 10, Call: 1},
@@ -97,15 +97,16 @@
 	}
 	daemon.Suspect(g, id)
 	closed(t, "the second engine is asked", late.begun)
-	closed(t, "the first one's connection has ended", early.givenUp)
+	closed(t, "the first one's connection has ended", early.connClosed)
 	cancel()
-	closed(t, "the second one's connection ends", late.givenUp)
+	closed(t, "the second one's connection ends", late.connClosed)
 	closed(t, "the call ends", done)
 	require.Zero(t, daemon.UnderWay(g))
 }
 
-// A call that was held here while its caller left was sent on a kept connection.
-func TestNothingIsSentForACallerThatHasLeft(t *testing.T) {
+// Guards against sending a call on an idle connection although its caller disconnected while
+// the call waited on this VM.
+func TestNothingIsSentAfterCallerDisconnect(t *testing.T) {
 	w := newWorker(t, served)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
 	require.Equal(t, http.StatusOK, ask(t, g))
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -13,16 +13,17 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// limiting is the answer of a target that takes 4.5 requests a second from all VMs together.
+// limiting is the answer of a target that accepts 4.5 requests a second from all VMs together.
 var limiting = step{runs: true, text: "HTTP/1.1 200 OK\r\nId: a\r\nLimit: 4.5\r\nContent-Length: 2\r\n\r\nok"}
 
-// Two engines named limits of 4.5 and 4.3 requests a second with their answers, and got 61 and 39
-// in the next 4 s from VMs that had been told; one and a half times the limit and 5 are allowed.
-// They went on to get 15 and 11 a second, as many as before: nothing read what they named, and no VM
-// knew what the others sent. That the rates did not change when the limits were named, at all VMs
-// alike, proved it, and that no try failed spoke against resends. Here ten VMs that hear of no leader are
-// told by the target alone; core.TestALimitHoldsForAllVMs has them share the limit.
-func TestATargetThatNamesALimitGetsNoMore(t *testing.T) {
+// Guards against requests over a target's limit. Two engines named limits of 4.5 and 4.3
+// requests a second with their answers, and got 61 and 39 in the next 4 s from VMs that had
+// received them; one and a half times the limit and 5 are allowed. They still got 15 and 11 a
+// second, as many as before: the limits were not read, and no VM knew what the others sent.
+// Resends were excluded as a cause, as no try had failed; the rates had stayed the same at all
+// VMs. Here ten VMs without a leader learn the limit from the target only; a test of package
+// core covers how VMs share it.
+func TestTargetRateLimitHolds(t *testing.T) {
 	const (
 		entryVMs = 10
 		span     = 4 * time.Second
@@ -52,11 +53,11 @@
 	require.LessOrEqual(t, float64(limited.ran.Load()-told), allowed)
 }
 
-// A second sending, after a kept connection was gone, needs a permit of its own.
-func TestASecondSendingNeedsAPermit(t *testing.T) {
+// A second sending, after an idle connection was lost, needs a permit of its own.
+func TestSecondSendingNeedsPermit(t *testing.T) {
 	var g *daemon.Gateway
 	var w *worker
-	dropped := step{meanwhile: func() {
+	dropped := step{beforeAnswer: func() {
 		daemon.ApplyNotice(g, relay.TargetID(w.address), relay.Notice{Limited: true, Limit: 4.5})
 	}}
 	w = newWorker(t, served, dropped, served)
@@ -67,9 +68,9 @@
 	require.Empty(t, daemon.FindingsOf(g).Dead, "it has done nothing wrong")
 }
 
-// Where all targets are limited, a request waits no longer than permits are likely to come, and
-// the leader is asked for some at once.
-func TestARequestWaitsForAPermit(t *testing.T) {
+// Where all targets are limited, a request waits no longer than permits are likely to arrive,
+// and the leader is asked for some at once.
+func TestRequestWaitsForPermit(t *testing.T) {
 	w := newWorker(t, limiting)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
 	require.Equal(t, http.StatusOK, ask(t, g))
@@ -88,14 +89,14 @@
 	closed(t, "the leader is asked", lent)
 	require.EqualValues(t, 2, w.ran.Load())
 
-	// Four wait already for the one permit that comes in 0.2 s: the next is refused at once.
+	// Four wait already for the one permit that arrives in 0.2 s: the next is refused at once.
 	daemon.WaitForPermits(g, "s", 4)
 	require.Equal(t, http.StatusServiceUnavailable, ask(t, g))
 	require.EqualValues(t, 2, w.ran.Load())
 }
 
-// Whatever an engine is asked beside requests counts against its limit.
-func TestOrdersAndReportsCountAgainstALimit(t *testing.T) {
+// All calls to an engine beside requests count against its limit.
+func TestEngineCallsCountAgainstLimit(t *testing.T) {
 	const id = relay.TargetID("i-1")
 	engines := countingEngines{asked: new(atomic.Int32), notice: &relay.Notice{Limited: true, Limit: 3}}
 	g, err := daemon.NewGatewayAlone(daemon.Platform{Codec: plainCodec{}, Engines: engines}, &relay.Document{Version: 1}, nil)
@@ -105,6 +106,6 @@
 	e.Order(t.Context(), core.OrderLayers{Target: id})
 	_, _ = e.Repath(t.Context(), "a", relay.Path{Stages: []relay.Stage{{Target: id}}})
 	_, _ = e.Report(t.Context(), relay.Stage{Target: id})
-	require.EqualValues(t, 4, engines.asked.Load(), "they go before requests")
+	require.EqualValues(t, 4, engines.asked.Load(), "they have priority over requests")
 	require.Equal(t, 3, daemon.FindingsOf(g).Limited[0].Used)
 }
--- a/internal/daemon/notices.go
+++ b/internal/daemon/notices.go
@@ -94,18 +94,18 @@
 	g.meter.noticed(notice)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	news := false
-	if limit, said := notice.LimitAnswer(sentAt, now); said {
-		news = g.router.HearLimit(id, limit)
+	isNew := false
+	if limit, named := notice.LimitAnswer(sentAt, now); named {
+		isNew = g.router.HearLimit(id, limit)
 	}
 	if notice.Leaving && g.router.Leave(id, now) {
-		news = true
+		isNew = true
 	}
 	if !notice.BackoffUntil.IsZero() {
 		g.router.Backoff(id, notice.BackoffUntil, now)
-		news = true
+		isNew = true
 	}
-	return news
+	return isNew
 }
 
 // applyEngineNotice applies the notice that came with an engine's answer to anything but a
--- a/internal/daemon/openai_test.go
+++ b/internal/daemon/openai_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What can't be had was left out without a word, and a body over the limit was
-// called a bad request.
-func TestRequestsThatAskForTooMuchAreToldSo(t *testing.T) {
+// Guards against options that were silently ignored, and a body over the limit that was
+// answered as a bad request.
+func TestUnsupportedRequestsAreRefused(t *testing.T) {
 	d := deploy(t, 1, 0, 600)
 	for _, test := range []struct {
 		name, body string
--- a/internal/daemon/outbox.go
+++ b/internal/daemon/outbox.go
@@ -181,16 +181,16 @@
 	}
 }
 
-// awaitRoom waits until there may be more room, until over is closed, or for roomCheckInterval
+// awaitRoom waits until there may be more room, until done is closed, or for roomCheckInterval
 // at most. The lock is held before and after.
-func (o *outbox) awaitRoom(until time.Time, over <-chan struct{}) {
+func (o *outbox) awaitRoom(until time.Time, done <-chan struct{}) {
 	mine := make(chan struct{})
 	o.queue = append(o.queue, mine)
 	o.mu.Unlock()
 	timer := time.NewTimer(min(time.Until(until), roomCheckInterval))
 	select {
 	case <-mine:
-	case <-over:
+	case <-done:
 	case <-timer.C:
 	}
 	timer.Stop()
--- a/internal/daemon/probes_test.go
+++ b/internal/daemon/probes_test.go
@@ -48,9 +48,9 @@
 	return p
 }
 
-// An engine that is cut off says nothing, and one whose process died refuses the connection.
-// Any answer, also a failure, is a sign of life.
-func TestEnginesThatDoNotAnswerAreLost(t *testing.T) {
+// A partitioned engine does not answer, and one whose process died refuses the connection. Any
+// answer, also a failure, proves that the engine is alive.
+func TestUnresponsiveEnginesAreLost(t *testing.T) {
 	engines := reportingEngines{
 		"well":    after(2*time.Millisecond, daemon.EngineReport{Pace: 1}, nil),
 		"slow":    after(3*time.Millisecond, daemon.EngineReport{Pace: 12}, nil),
@@ -65,12 +65,12 @@
 		require.Equal(t, []relay.TargetID{"i-refuses", "i-cut off"}, silent)
 		require.Equal(t, map[relay.TargetID]float64{"i-well": 1, "i-slow": 12}, paces)
 		require.LessOrEqual(t, time.Since(began), 20*time.Millisecond)
-		time.Sleep(time.Second) // the question to the engine that is cut off ends
+		time.Sleep(time.Second) // the probe of the partitioned engine ends
 	})
 }
 
-// Where nobody answers it is this VM that is cut off.
-func TestAVMThatNobodyAnswersCallsNobodyLost(t *testing.T) {
+// Where no engine answers, this VM is the one that is partitioned.
+func TestNoLossIsCertainWithoutAnyAnswer(t *testing.T) {
 	engines := reportingEngines{"a": after(time.Hour, daemon.EngineReport{}, nil), "b": after(time.Hour, daemon.EngineReport{}, nil)}
 	synctest.Test(t, func(t *testing.T) {
 		_, _, certain := daemon.CallEngines(t.Context(), engines, pathOver("a", "b"))
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -49,19 +49,19 @@
 	require.Equal(t, r.Asked, r.Whole, "faults %v refusals %v lost %d doubled %d wrong %d", r.Faults, r.Refusals, r.Lost, r.Doubled, r.Wrong)
 }
 
-func TestBurstIsWholeThroughKills(t *testing.T) {
+func TestBurstCompletesDespiteKills(t *testing.T) {
 	d := deploy(t, 3, 2, 600)
 	done := make(chan load.Report, 1)
 	go func() { done <- d.burst(60) }()
 	d.until("streams run", func() bool { return d.rows("show vms where requests > 0") > 0 })
 	leader := d.leader()
-	// The leader is an entry VM too, and an engine goes at the same moment.
+	// The leader is an entry VM too, and an engine is lost at the same moment.
 	d.kill(leader)
 	closeAtOnce(t, d.engines[0])
 	requireWhole(t, <-done)
 }
 
-func TestEntryKilledTheRestComesFromAnother(t *testing.T) {
+func TestStreamResumesOnAnotherEntryVM(t *testing.T) {
 	d := deploy(t, 3, 2, 600)
 	victim, next := d.vms[4], d.vms[3]
 	prompt := "what moved today"
@@ -76,7 +76,7 @@
 	require.Equal(t, testTokens, count+n)
 }
 
-// openStream asks for a streamed completion, or for the rest of one.
+// openStream requests a streamed completion, or the rest of one.
 func (d *deployment) openStream(p *process, id, prompt string, after int) *http.Response {
 	body := fmt.Sprintf(`{"model": "p", "prompt": %q, "max_tokens": %d, "stream": true}`, prompt, testTokens)
 	request, err := http.NewRequestWithContext(d.t.Context(), http.MethodPost, "http://"+p.callers+"/v1/completions", strings.NewReader(body))
@@ -92,7 +92,7 @@
 	return response
 }
 
-// readTokens reads at most so many tokens of a stream.
+// readTokens reads up to a number of tokens of a stream.
 func readTokens(t *testing.T, r *http.Response, most int) (string, int) {
 	defer r.Body.Close()
 	var text strings.Builder
@@ -146,7 +146,7 @@
 	require.Equal(t, result.Revision, d.must("set organisation o weight=3", "op", 2).Revision, "a resend gets the first result")
 }
 
-func TestDeletedFolderIsRepairedAndASecondLossIsSurvived(t *testing.T) {
+func TestDeletedDataFolderIsRepairedBeforeSecondLoss(t *testing.T) {
 	d := deploy(t, 3, 0, 0)
 	leader := d.leader()
 	lost := d.others(leader)
@@ -187,7 +187,7 @@
 	require.Equal(t, last.Revision, d.must("set organisation o weight=500", "op", 500).Revision)
 }
 
-func TestRacingOperatorsOneWins(t *testing.T) {
+func TestConcurrentOperatorsOneWins(t *testing.T) {
 	d := deploy(t, 3, 0, 0)
 	leader := d.leader()
 	kinds := make([]core.ResultKind, 2)
@@ -204,7 +204,7 @@
 	require.ElementsMatch(t, []core.ResultKind{core.ResultAccepted, core.ResultConflict}, kinds)
 }
 
-func TestSubmissionRunsOnceThroughResendsAndKills(t *testing.T) {
+func TestSubmissionRunsOnceDespiteResendsAndKills(t *testing.T) {
 	d := deploy(t, 3, 2, 0)
 	outcomes := make(chan int, 100)
 	var wait sync.WaitGroup
@@ -289,9 +289,9 @@
 	require.Equal(t, string(core.RefusedPipeline), refused.Type)
 }
 
-// Runners that name a limit get no more calls than that from all VMs together, whoever is asked and
-// whatever is killed; once they name none they get all again.
-func TestRunnersThatNameALimitGetNoMore(t *testing.T) {
+// Runners that name a rate limit get no more calls than that from all VMs together, whichever
+// VM is called and whichever process is killed; once they name none they get all calls again.
+func TestRunnerRateLimitHolds(t *testing.T) {
 	const limit = 5.0
 	d := deploy(t, 3, 2, 0)
 	for _, r := range d.runners {
@@ -307,7 +307,7 @@
 			if err != nil {
 				continue
 			}
-			_, _ = io.Copy(io.Discard, response.Body) // the status says it
+			_, _ = io.Copy(io.Discard, response.Body) // the status is enough
 			response.Body.Close()
 			if response.StatusCode == http.StatusOK {
 				served++
--- a/internal/daemon/promises_test.go
+++ b/internal/daemon/promises_test.go
@@ -21,26 +21,26 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// promises are the statuses that tell a caller that its request has not run and never
+// notRunStatuses are the statuses that tell a caller that its request has not run and never
 // will.
-var promises = []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}
+var notRunStatuses = []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}
 
-// plainCodec is a protocol that says with a header what a request is and whether it ran.
+// plainCodec is a protocol whose headers give a request's id and whether it ran.
 type plainCodec struct{}
 
 func (plainCodec) Head(h daemon.Hop) http.Header { return http.Header{"Id": {h.Call.ID}} }
 
 func (plainCodec) Verdict(status int, h http.Header) daemon.Verdict {
-	return daemon.Verdict{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Promise: slices.Contains(promises, status)}
+	return daemon.Verdict{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Promise: slices.Contains(notRunStatuses, status)}
 }
 
-// Notice reads the seconds of a backoff, a limit, and whether the target leaves.
+// Notice parses the seconds of a backoff, a limit, and whether the target leaves.
 func (plainCodec) Notice(_ relay.TargetID, _ int, h http.Header, now time.Time) (relay.Notice, error) {
 	n := relay.Notice{Leaving: h.Get("Leaving") != ""}
 	if seconds, err := strconv.Atoi(h.Get("Backoff")); err == nil {
 		n.BackoffUntil = now.Add(time.Duration(seconds) * time.Second)
 	}
-	n.Limit, _ = strconv.ParseFloat(h.Get("Limit"), 64) // without one, or without a number, there is none
+	n.Limit, _ = strconv.ParseFloat(h.Get("Limit"), 64) // a missing or malformed limit means none
 	n.Limited, n.Unlimited = n.Limit > 0, h.Get("Limit") == ""
 	return n, nil
 }
@@ -53,14 +53,14 @@
 	w.WriteHeader(http.StatusBadGateway)
 }
 
-// step is what a scripted target does with a request: it runs it or not, and answers with
-// a text, or closes the connection where there is none.
+// step is a scripted target's reaction to a request: it runs it or not, and answers with a
+// text, or closes the connection where the text is empty.
 type step struct {
 	runs bool
 	text string
-	// meanwhile is called before the answer, nil where nothing happens.
-	meanwhile func()
-	// ends has the target refuse new connections, and close this one, after that.
+	// beforeAnswer is called before the answer, if set.
+	beforeAnswer func()
+	// ends closes the listener, and this connection after the answer.
 	ends bool
 }
 
@@ -70,7 +70,7 @@
 	lost     = step{runs: true}
 )
 
-// worker is a target that does one step after the other.
+// worker is a target that performs one step per request.
 type worker struct {
 	address  string
 	listener net.Listener
@@ -115,8 +115,8 @@
 		if s.ends {
 			w.listener.Close()
 		}
-		if s.meanwhile != nil {
-			s.meanwhile()
+		if s.beforeAnswer != nil {
+			s.beforeAnswer()
 		}
 		if _, err := io.WriteString(conn, s.text); err != nil || s.text == "" || s.ends {
 			return
@@ -124,7 +124,7 @@
 	}
 }
 
-// entry is a gateway before some workers.
+// newEntry returns a gateway with some workers as targets.
 func newEntry(t *testing.T, repeat relay.Repeat, targets int, workers ...*worker) *daemon.Gateway {
 	t.Helper()
 	document := &relay.Document{
@@ -154,7 +154,7 @@
 	return w.Code
 }
 
-func TestWhatNoTargetTookIsSaidNotToHaveRun(t *testing.T) {
+func TestRejectedRequestIsReportedNotRun(t *testing.T) {
 	for _, repeat := range []relay.Repeat{relay.RepeatNever, relay.RepeatAlways} {
 		w := newWorker(t, rejected)
 		require.Equal(t, http.StatusServiceUnavailable, ask(t, newEntry(t, repeat, 2, w)))
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestWhatNoTargetCouldBeAskedIsSaidNotToHaveRun(t *testing.T) {
+func TestUnsentRequestIsReportedNotRun(t *testing.T) {
 	require.Equal(t, http.StatusServiceUnavailable, ask(t, newEntry(t, relay.RepeatNever, 2)))
 	gone := newWorker(t, served)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -172,7 +172,7 @@
 	require.Equal(t, http.StatusServiceUnavailable, ask(t, newEntry(t, relay.RepeatNever, 2, gone)))
 }
 
-func TestALostAnswerIsNoPromise(t *testing.T) {
+func TestLostAnswerIsReportedUnknown(t *testing.T) {
 	for _, repeat := range []relay.Repeat{relay.RepeatNever, relay.RepeatAlways} {
 		w := newWorker(t, lost)
 		require.Equal(t, http.StatusBadGateway, ask(t, newEntry(t, repeat, 2, w)))
@@ -180,27 +180,29 @@
 	}
 }
 
-// The answer of the first target was lost, and the second took nothing.
-func TestAnotherTargetsMessageDoesNotSpeakForTheFirst(t *testing.T) {
+// The answer of the first target was lost, and the second one rejected the request.
+func TestRejectionByOneTargetDoesNotCoverAnother(t *testing.T) {
 	first, second := newWorker(t, lost, rejected), newWorker(t, lost, rejected)
-	// Either may be asked first; each loses its first answer and rejects what follows.
+	// Either may be asked first; each loses its first answer and rejects later requests.
 	require.Equal(t, http.StatusBadGateway, ask(t, newEntry(t, relay.RepeatAlways, 3, first, second)))
 }
 
-// A kept connection broke after the request was sent on it, the request was sent again on
-// a new one, and the target rejected that: the caller was told that it had not run.
-func TestARejectedRepeatOnANewConnectionIsNoPromise(t *testing.T) {
+// Guards against a wrong "not run": an idle connection broke after the request was sent on it,
+// the request was sent again on a new one, and the target rejected that; the caller was told
+// that it had not run.
+func TestRejectedResendIsReportedUnknown(t *testing.T) {
 	w := newWorker(t, served, lost, rejected)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
 	require.Equal(t, http.StatusOK, ask(t, g))
 	status := ask(t, g)
-	require.EqualValues(t, 2, w.ran.Load(), "it ran behind the lost answer")
+	require.EqualValues(t, 2, w.ran.Load(), "it ran before the answer was lost")
 	require.EqualValues(t, 3, w.next.Load(), "it was sent again")
 	require.Equal(t, http.StatusBadGateway, status)
 }
 
-// A target that answers so without saying that it did not run the request may have run it.
-func TestATargetsOwnStatusIsNoPromise(t *testing.T) {
+// A target that answers with such a status, without saying that it did not run the request,
+// may have run it.
+func TestUnconfirmedStatusIsReportedUnknown(t *testing.T) {
 	for _, code := range []string{"408 Timeout", "429 Many", "503 Down"} {
 		for _, repeat := range []relay.Repeat{relay.RepeatNever, relay.RepeatAlways} {
 			w := newWorker(t, step{runs: true, text: "HTTP/1.1 " + code + "\r\nId: a\r\nContent-Length: 0\r\n\r\n"})
@@ -209,19 +211,19 @@
 	}
 }
 
-func TestACallerThatLeavesGetsNoPromise(t *testing.T) {
+func TestDisconnectedCallerGetsNoNotRunStatus(t *testing.T) {
 	w := newWorker(t, served)
 	g := newEntry(t, relay.RepeatNever, 2, w)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	recorder := httptest.NewRecorder()
 	closed(t, "the call ends", serve(ctx, g, recorder))
-	require.NotContains(t, promises, recorder.Code)
+	require.NotContains(t, notRunStatuses, recorder.Code)
 }
 
-// The product's own interface said 503 or 429 of requests that may have run, with the
-// truth in the body alone.
-func TestOnlyWhatHasNotRunIsRefusedWithAPromise(t *testing.T) {
+// Guards against 503 or 429 for requests that may have run, which the entry's own API returned
+// with the outcome only in the body.
+func TestOnlyRequestsNotRunGetNotRunStatus(t *testing.T) {
 	for _, kind := range []core.RefusalKind{
 		core.RefusedKey, core.RefusedPipeline, core.RefusedService, core.RefusedRequest, core.RefusedTooLarge, core.RefusedNoLease,
 		core.RefusedLeaving, core.RefusedLimit, core.RefusedOverload, core.RefusedDeadline, core.RefusedNoTarget, core.RefusedBroken,
@@ -231,7 +233,7 @@
 			w := httptest.NewRecorder()
 			daemon.WriteRefusal(w, "id", core.Refusal{Kind: kind, Ran: ran}, 0)
 			if ran != core.RanNo {
-				require.NotContains(t, promises, w.Code, "%s, ran: %s", kind, ran)
+				require.NotContains(t, notRunStatuses, w.Code, "%s, ran: %s", kind, ran)
 			}
 		}
 	}
@@ -240,8 +242,8 @@
 	require.Equal(t, http.StatusTooManyRequests, w.Code)
 }
 
-// What is not decided in time may be taken later.
-func TestWhatIsUndecidedIsNotRefused(t *testing.T) {
+// An outcome that is not decided in time may still be an acceptance.
+func TestUndecidedOutcomeIsNotRefused(t *testing.T) {
 	g := newEntry(t, relay.RepeatNever, 1)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -250,9 +252,10 @@
 	require.Equal(t, core.ResultInterrupted, g.ReadDocument(ctx).Result.Kind)
 }
 
-// A request whose kept connection broke was sent again on a new one, which did not come about;
-// it counted as not sent at all, and ran on a second target where its route allows one.
-func TestWhatWasSentOnceStaysSent(t *testing.T) {
+// Guards against a second run: a request whose idle connection broke was sent again on a new
+// one, whose dial failed; it counted as not sent at all, and ran on a second target although
+// its route allows one.
+func TestFailedResendStillCountsAsSent(t *testing.T) {
 	first, second := newWorker(t, served, lost), newWorker(t, served)
 	g := newEntry(t, relay.RepeatAlways, 1, first, second)
 	asked := int32(0)
--- a/internal/daemon/readers_socket_test.go
+++ b/internal/daemon/readers_socket_test.go
@@ -2,7 +2,7 @@
 
 import "syscall"
 
-// smallWindow has the kernel take few bytes that are not read.
+// smallWindow has the kernel accept few unread bytes.
 func smallWindow(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
--- a/internal/daemon/readers_test.go
+++ b/internal/daemon/readers_test.go
@@ -26,15 +26,15 @@
 )
 
 const (
-	// smallBuffer keeps what the kernel holds for a connection below what a test sends.
+	// smallBuffer keeps the kernel's buffer for a connection below what a test sends.
 	smallBuffer = 4 << 10
 	eventBytes  = 8 << 10
-	// unreadMost is how long an engine of these tests bears that its answer is not read.
-	unreadMost = 2 * time.Second
-	headerID   = "Request-Id"
+	// maxUnreadTime is how long an engine of these tests tolerates that its answer is not read.
+	maxUnreadTime = 2 * time.Second
+	headerID      = "Request-Id"
 )
 
-// bareCodec sends on what it gets.
+// bareCodec forwards what it gets.
 type bareCodec struct{}
 
 func (bareCodec) Notice(relay.TargetID, int, http.Header, time.Time) (relay.Notice, error) {
@@ -64,16 +64,17 @@
 	http.Error(w, r.Error(), status)
 }
 
-// writingEngine streams events as fast as they are read, and cuts off an answer that is
-// left unread. A request of body "stop reading" is not read to its end.
+// writingEngine streams events as fast as they are read, and cuts off an answer that is left
+// unread.
 type writingEngine struct {
 	address string
 	events  int
 	runs    atomic.Int32
 	cut     atomic.Int32
-	// written counts the answers that were taken whole, and gone the callers who left.
-	written chan struct{}
-	gone    chan struct{}
+	// written gets an item for each answer that was sent completely, and disconnected one for each
+	// answer whose caller disconnected or did not read.
+	written      chan struct{}
+	disconnected chan struct{}
 }
 
 func newWritingEngine(t *testing.T, events int) *writingEngine {
@@ -81,7 +82,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	e := &writingEngine{address: l.Addr().String(), events: events, written: make(chan struct{}, 10000), gone: make(chan struct{}, 10000)}
+	e := &writingEngine{address: l.Addr().String(), events: events, written: make(chan struct{}, 10000), disconnected: make(chan struct{}, 10000)}
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -120,12 +121,12 @@
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", headerID, request.Header.Get(headerID), len(text))
 	for rest := head + text; len(rest) > 0; {
 		n := min(len(rest), eventBytes)
-		conn.SetWriteDeadline(time.Now().Add(unreadMost))
+		conn.SetWriteDeadline(time.Now().Add(maxUnreadTime))
 		if _, err := io.WriteString(conn, rest[:n]); err != nil {
 			if late, ok := err.(net.Error); ok && late.Timeout() {
 				e.cut.Add(1)
 			}
-			e.gone <- struct{}{}
+			e.disconnected <- struct{}{}
 			return false
 		}
 		rest = rest[n:]
@@ -142,7 +143,7 @@
 	return text.String()
 }
 
-// served is a gateway with its callers' interface.
+// servedGateway is a gateway with its callers' listener.
 type servedGateway struct {
 	*daemon.Gateway
 	address string
@@ -201,7 +202,7 @@
 	})
 }
 
-// livingEngines answer that all is well.
+// livingEngines report no problem.
 type livingEngines struct{}
 
 func (livingEngines) Order(context.Context, core.OrderLayers) (core.OrderOutcome, relay.Notice) {
@@ -214,7 +215,7 @@
 	return daemon.EngineReport{Pace: 1}, nil
 }
 
-// dialSlowly connects as a caller for whom the kernel takes little.
+// dialSlowly connects as a caller whose kernel accepts little.
 func dialSlowly(t *testing.T, address string) *net.TCPConn {
 	t.Helper()
 	dialer := net.Dialer{Control: smallWindow}
@@ -245,16 +246,16 @@
 	return response.StatusCode, string(text)
 }
 
-// A caller that does not read for longer than its engine bears gets its answer once it
-// reads, from the one run that there was.
-func TestASlowCallerIsNotItsEnginesFault(t *testing.T) {
+// A caller that does not read for longer than its engine tolerates gets its answer once it
+// reads, from the only run.
+func TestSlowCallerDoesNotFailEngine(t *testing.T) {
 	const events = 28
 	e := newWritingEngine(t, events)
 	x := serveGateway(t, []string{e.address}, func(*settings.Settings) {})
 	conn := askFor(t, x.address, "/s/x", []byte("ask"))
 	select {
 	case <-e.written:
-	case <-e.gone:
+	case <-e.disconnected:
 	}
 	status, text := readAnswer(t, conn)
 	require.Equal(t, http.StatusOK, status)
@@ -264,23 +265,23 @@
 	require.False(t, x.Suspects("t-0"))
 }
 
-// waitFor waits for a condition; patience only ends a test that hangs.
+// waitFor waits for a condition; the time-out only ends a test that hangs.
 func waitFor(t *testing.T, what string, reached func() bool) {
 	t.Helper()
 	require.Eventually(t, reached, 20*time.Second, 5*time.Millisecond, what)
 }
 
-// A caller that reads nothing of an answer that is longer than what is held for one is
-// ended as its engine bears no more, and the engine's request is cancelled.
-func TestACallerThatReadsNothingIsEndedAndItsRequestCancelled(t *testing.T) {
+// A caller that reads nothing of an answer that exceeds its buffer is ended at the engine's
+// time limit, and the engine's request is cancelled.
+func TestUnreadAnswerEndsCallerAndCancelsRequest(t *testing.T) {
 	e := newWritingEngine(t, 1000)
 	x := serveGateway(t, []string{e.address}, func(*settings.Settings) {})
 	conn := askFor(t, x.address, "/s/x", []byte("ask"))
-	<-e.gone
+	<-e.disconnected
 	require.Zero(t, e.cut.Load(), "the engine had to cut the answer off")
 	_, err := io.Copy(io.Discard, conn)
 	require.Error(t, err, "an answer that is not whole must not look complete")
-	waitFor(t, "nothing is under way", func() bool { return x.UnderWay() == 0 })
+	waitFor(t, "nothing is in flight", func() bool { return x.UnderWay() == 0 })
 	waitFor(t, "nothing is held", func() bool { held, _, _, _ := x.Held(); return held == 0 })
 	_, _, behind, ended := x.Held()
 	require.Zero(t, behind)
@@ -289,8 +290,8 @@
 	require.False(t, x.Suspects("t-0"))
 }
 
-// An answer that is whole here is held for as long as the settings say.
-func TestAReadyAnswerIsHeldForTheTimeThatIsSet(t *testing.T) {
+// A completely read answer is held for as long as the settings allow.
+func TestCompleteAnswerIsHeldForUnreadTime(t *testing.T) {
 	e := newWritingEngine(t, 28)
 	x := serveGateway(t, []string{e.address}, func(s *settings.Settings) { s.Limits.UnreadTime = settings.Duration(time.Minute) })
 	early, late := askFor(t, x.address, "/s/x", []byte("ask")), askFor(t, x.address, "/o/x", []byte("ask"))
@@ -316,11 +317,11 @@
 	waitFor(t, "nothing is held", func() bool { held, _, _, _ := x.Held(); return held == 0 })
 }
 
-// Ten times as many slow callers as there is memory for: what is held stays within the
-// bound, the process within its limit, and callers that read are served as before.
-func TestSlowCallersAtTenTimesTheMemory(t *testing.T) {
+// Ten times as many slow callers as fit into memory: the held bytes stay within the bound, the
+// process within its limit, and callers that read are served as before.
+func TestSlowCallersStayWithinMemory(t *testing.T) {
 	const limit = 64
-	runtime.GC() // what other tests have left would count as in use
+	runtime.GC() // garbage of other tests would count as in use
 	e := newWritingEngine(t, 28)
 	x := serveGateway(t, []string{e.address}, func(s *settings.Settings) { s.Limits.MemoryMB = limit })
 	_, bound, _, _ := x.Held()
@@ -330,8 +331,8 @@
 	go func() { peak <- peakHeld(x, stop) }()
 	served := make(chan int)
 	go func() { served <- readingCallers(t, x, stop) }()
-	// No faster than the gateway and the engine of this test are on a busy machine, nor so
-	// fast that all come within the time that any caller is given to read.
+	// No faster than the gateway and the engine of this test are on a busy machine, and slow
+	// enough that not all come within the grace time for reading.
 	pace := time.NewTicker(10 * time.Millisecond)
 	defer pace.Stop()
 	for range slow {
@@ -351,7 +352,7 @@
 	require.False(t, x.Suspects("t-0"))
 }
 
-// peakHeld returns the most that was held.
+// peakHeld returns the maximum of the held bytes.
 func peakHeld(x *servedGateway, stop chan struct{}) int64 {
 	most := int64(0)
 	for {
@@ -365,8 +366,8 @@
 	}
 }
 
-// readingCallers asks and reads, one call after the other, and returns how many answers
-// were whole. Any that was not fails the test.
+// readingCallers sends and reads one call after the other, and returns how many answers were
+// whole. Any other answer fails the test.
 func readingCallers(t *testing.T, x *servedGateway, stop chan struct{}) int {
 	whole := 0
 	client := &http.Client{Timeout: 10 * time.Second}
@@ -397,8 +398,8 @@
 	}
 }
 
-// Where there is no memory for a body, its request is refused at once with a time to come
-// back, and has not run.
+// Where there is no memory for a body, its request is refused at once with a retry time, and
+// has not run.
 func TestBodiesWithoutMemoryAreRefusedAtOnce(t *testing.T) {
 	e := newWritingEngine(t, 1)
 	x := serveGateway(t, []string{e.address}, func(s *settings.Settings) { s.Limits.MemoryMB = 64 })
@@ -427,14 +428,14 @@
 	require.LessOrEqual(t, held, bound)
 }
 
-// sendMost sends a request but for its last byte, so that it stays open, and hands on what
-// is answered all the same.
+// sendMost sends a request without its last byte, so that it stays open, and passes on an
+// answer that comes all the same.
 func sendMost(t *testing.T, address string, body int, answers chan<- *http.Response) {
 	t.Helper()
 	conn := dialSlowly(t, address)
 	_, err := fmt.Fprintf(conn, "POST /o/x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", body)
 	require.NoError(t, err)
-	go conn.Write(make([]byte, body-1)) // it breaks off where the request is refused
+	go conn.Write(make([]byte, body-1)) // the write fails where the request is refused
 	go func() {
 		if response, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
 			answers <- response
@@ -442,9 +443,9 @@
 	}()
 }
 
-// A target that takes the connection and reads nothing is full, not lost: the request goes
-// to another one, and the target is not under suspicion.
-func TestATargetThatDoesNotReadABodyIsNotLost(t *testing.T) {
+// A target that accepts the connection and reads nothing is full, not lost: the request goes
+// to another one, and the target is not suspected.
+func TestTargetNotReadingBodyIsNotSuspected(t *testing.T) {
 	still, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer still.Close()
@@ -455,13 +456,14 @@
 	status, text := readAnswer(t, conn)
 	require.Equal(t, http.StatusOK, status)
 	require.Equal(t, answerText(0, 1), text)
-	require.False(t, x.Suspects("t-0"), "a target that acknowledges all that it is sent lives")
+	require.False(t, x.Suspects("t-0"), "a target that acknowledges all bytes sent is alive")
 	require.Equal(t, int32(1), e.runs.Load())
 	waitFor(t, "nothing is held", func() bool { held, _, _, _ := x.Held(); return held == 0 })
 }
 
-// BenchmarkEventToACallerThatKeepsUp is the cost of an event from an engine to a caller.
-func BenchmarkEventToACallerThatKeepsUp(b *testing.B) {
+// BenchmarkEventToReadingCaller measures the cost of forwarding an event from an engine to a
+// caller.
+func BenchmarkEventToReadingCaller(b *testing.B) {
 	server, client := callerConns(b)
 	event := []byte("id: 17\ndata: " + strings.Repeat("x", 150) + "\n\n")
 	got := make([]byte, len(event))
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -33,7 +33,7 @@
 }
 
 // minPatienceShare is the part of a route's pause bound before which no engine is checked: on
-// the fastest paths, a moment in which a VM is too busy to answer lasts longer than twice the
+// the fastest paths, a moment in which this VM is too busy to read lasts longer than twice the
 // mean pause and looks like a loss.
 const minPatienceShare = 0.4
 
--- a/internal/daemon/watcher_test.go
+++ b/internal/daemon/watcher_test.go
@@ -16,14 +16,14 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// pausing is a target whose stream stands still after its first event until it is told to
-// go on. It reports whether the connection was given up meanwhile.
+// pausing is a target whose stream stalls after its first event until resume is closed. It
+// reports whether the connection was closed meanwhile.
 type pausing struct {
-	address string
-	begun   chan struct{}
-	goOn    chan struct{}
-	givenUp chan struct{}
-	// header are further lines of its answer's head.
+	address    string
+	begun      chan struct{}
+	resume     chan struct{}
+	connClosed chan struct{}
+	// header holds further lines of its answer's head.
 	header string
 }
 
@@ -32,7 +32,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	p := &pausing{address: l.Addr().String(), begun: make(chan struct{}), goOn: make(chan struct{}), givenUp: make(chan struct{})}
+	p := &pausing{address: l.Addr().String(), begun: make(chan struct{}), resume: make(chan struct{}), connClosed: make(chan struct{})}
 	go func() {
 		conn, err := l.Accept()
 		if err != nil {
@@ -51,26 +51,26 @@
 	}
 	go func() {
 		_, _ = reader.ReadByte() // nothing else is sent on it
-		close(p.givenUp)
+		close(p.connClosed)
 	}()
 	if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nId: a\r\n"+p.header+"Content-Length: 13\r\n\r\nid: 1\n\n"); err != nil {
 		return
 	}
 	close(p.begun)
-	<-p.goOn
-	_, _ = io.WriteString(conn, "x: 2\n\n") // who has given it up reads nothing
+	<-p.resume
+	_, _ = io.WriteString(conn, "x: 2\n\n") // a client that has closed it reads nothing
 }
 
-// mute is engines that answer no question.
-type mute struct{ daemon.Engines }
+// mute engines answer no report request.
+type muteEngines struct{ daemon.Engines }
 
-func (mute) Report(context.Context, relay.Stage) (daemon.EngineReport, error) {
+func (muteEngines) Report(context.Context, relay.Stage) (daemon.EngineReport, error) {
 	return daemon.EngineReport{}, daemon.ErrEngineSilent
 }
 
-// The streams of a suspected engine were cut beside a change of the document, though the
-// budget of repeats was used up and nothing else could go on with them.
-func TestAStreamThatNothingElseCanGoOnWithIsWaitedFor(t *testing.T) {
+// Guards against cutting off the streams of a suspected engine, at a change of the document,
+// when the retry budget was used up and no other engine could continue them.
+func TestStalledStreamWithoutAlternativeIsNotCut(t *testing.T) {
 	p := newPausing(t)
 	document := &relay.Document{
 		Version:  1,
@@ -82,7 +82,7 @@
 	}
 	target := relay.Target{ID: "i-1", Service: "s", Address: p.address, Slots: 10, Call: 1}
 	noRepeats := relay.BudgetTerms{Window: 10 * time.Second}
-	g, err := daemon.NewGatewayAlone(daemon.Platform{Codec: plainCodec{}, Engines: mute{}, Router: relay.Settings{Seed: 1, Started: time.Now(), Budget: noRepeats}}, document, []relay.Target{target})
+	g, err := daemon.NewGatewayAlone(daemon.Platform{Codec: plainCodec{}, Engines: muteEngines{}, Router: relay.Settings{Seed: 1, Started: time.Now(), Budget: noRepeats}}, document, []relay.Target{target})
 	require.NoError(t, err)
 	whole := make(chan string, 1)
 	go func() {
@@ -100,9 +100,9 @@
 	<-p.begun
 	daemon.Suspect(g, target.ID)
 	select {
-	case <-p.givenUp:
-	case <-time.After(time.Second): // four looks at a stream that stands still
+	case <-p.connClosed:
+	case <-time.After(time.Second): // four checks of a stalled stream
 	}
-	close(p.goOn)
+	close(p.resume)
 	require.Equal(t, "id: 1\n\nx: 2\n\n", <-whole)
 }
