--- a/internal/daemon/backoffs_test.go
+++ b/internal/daemon/backoffs_test.go
@@ -27,8 +27,9 @@
 // it for 3 s of backoff, and got three more requests from it in that time, each of which it
 // refused too: the notice was not read, and the VM used a pause of its own, of 0.1 s that
 // doubled up to 0.8 s. Nine of nineteen such callers were refused while two other targets had
-// room. The requests came 0.3 s and more after the previous refusal, when that pause was over.
-// Here no other target is known, and the clock is advanced by the test.
+// room. The cause showed in the intervals: the requests came 0.3 s and more after the previous
+// refusal, when that pause was over. Here no other target is known, and the test advances the
+// clock.
 func TestNoRequestsDuringBackoff(t *testing.T) {
 	s := newSuspendable(t)
 	w := newWorker(t, backedOff, served)
@@ -93,8 +94,8 @@
 	closed(t, "the call ends", done)
 }
 
-// A request whose idle connection was lost is not sent again on a new one when its target has
-// asked for a backoff, or announced that it leaves, in between.
+// A request whose reused connection was lost is not sent again on a new one when its target
+// has asked for a backoff, or announced that it leaves, in between.
 func TestSecondSendingIsHeldBack(t *testing.T) {
 	for name, notice := range map[string]relay.Notice{
 		"backoff": {BackoffUntil: time.Now().Add(time.Hour)},
@@ -109,7 +110,7 @@
 			require.Equal(t, http.StatusOK, ask(t, g))
 			require.Equal(t, http.StatusBadGateway, ask(t, g), "the first sending may have run")
 			require.EqualValues(t, 2, w.next.Load())
-			require.Empty(t, daemon.FindingsOf(g).Dead, "it has done nothing wrong")
+			require.Empty(t, daemon.FindingsOf(g).Dead, "the target has not failed")
 			require.Zero(t, daemon.UnderWay(g))
 		})
 	}
@@ -192,23 +193,23 @@
 			return errors.Is(err, daemon.ErrHeldBack)
 		},
 	}
-	for told, tell := range asks {
-		for asked, ask := range asks {
-			t.Run(asked+" after "+told, func(t *testing.T) {
+	for first, firstCall := range asks {
+		for second, secondCall := range asks {
+			t.Run(second+" after "+first, func(t *testing.T) {
 				engines := countingEngines{asked: new(atomic.Int32), notice: &relay.Notice{BackoffUntil: time.Now().Add(time.Hour)}}
 				g, err := daemon.NewGatewayAlone(daemon.Platform{Codec: plainCodec{}, Engines: engines}, &relay.Document{Version: 1}, nil)
 				require.NoError(t, err)
-				require.False(t, tell(daemon.EnginesOf(g)))
-				require.True(t, ask(daemon.EnginesOf(g)))
+				require.False(t, firstCall(daemon.EnginesOf(g)))
+				require.True(t, secondCall(daemon.EnginesOf(g)))
 				require.EqualValues(t, 1, engines.asked.Load())
 			})
 		}
-		t.Run(told+" of one that leaves", func(t *testing.T) {
+		t.Run(first+" of a leaving engine", func(t *testing.T) {
 			engines := countingEngines{asked: new(atomic.Int32), notice: &relay.Notice{Leaving: true}}
 			g, err := daemon.NewGatewayAlone(daemon.Platform{Codec: plainCodec{}, Engines: engines}, &relay.Document{Version: 1}, nil)
 			require.NoError(t, err)
-			require.False(t, tell(daemon.EnginesOf(g)))
-			require.False(t, tell(daemon.EnginesOf(g)))
+			require.False(t, firstCall(daemon.EnginesOf(g)))
+			require.False(t, firstCall(daemon.EnginesOf(g)))
 			require.Equal(t, []relay.TargetID{id}, daemon.FindingsOf(g).Leaving)
 			require.Equal(t, core.TargetDrains{Target: id}, daemon.Posted(t.Context(), g))
 		})
--- a/internal/daemon/choosing.go
+++ b/internal/daemon/choosing.go
@@ -23,8 +23,8 @@
 		}
 		if refusal.NoPermit && !waiting {
 			waiting = true
-			over := f.g.waitForPermit(refusal.Service, f.urgency())
-			defer over()
+			stopWaiting := f.g.waitForPermit(refusal.Service, f.urgency())
+			defer stopWaiting()
 		}
 		if !f.pause(ctx, until) {
 			return path, refusal
--- a/internal/daemon/crashes_test.go
+++ b/internal/daemon/crashes_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// The request was sent over an idle connection, which closed without a byte, and the second
+// The request was sent over a reused connection, which closed without a byte, and the second
 // sending on a new one was refused: the first one may have run, and ended the target.
 func TestCrashOverReusedConnectionIsReported(t *testing.T) {
 	w := newWorker(t, served, endsWithoutAnswer)
@@ -126,7 +126,7 @@
 		name  string
 		first step
 	}{
-		{"the target closes a connection and lives", lost},
+		{"the target closes a connection and stays up", lost},
 		{"it ends in the middle of an answer, with many others in flight", endsMidway},
 		{"it refuses", rejected},
 	}
--- a/internal/daemon/endings.go
+++ b/internal/daemon/endings.go
@@ -89,8 +89,8 @@
 func (e *endings) note(s relay.Stage, r run, now time.Time) (first bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	known, looking := e.checking[s.Target]
-	if !looking {
+	known, found := e.checking[s.Target]
+	if !found {
 		if r.started || len(e.checking) >= maxEndChecks {
 			return false
 		}
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -292,9 +292,9 @@
 		Admit:   func() error { return f.mayReach(first.Target) },
 		Matches: func(h http.Header) bool { return f.g.platform.Codec.Verdict(0, h).ID == f.call.ID },
 	}
-	living, over := f.g.exchanges.follow(ctx, first.Target)
-	defer over()
-	watch := &watcher{f: f, ctx: ctx, incarnationCtx: living, began: clock.Now(), request: request}
+	incarnationCtx, stopFollowing := f.g.exchanges.follow(ctx, first.Target)
+	defer stopFollowing()
+	watch := &watcher{f: f, ctx: ctx, incarnationCtx: incarnationCtx, began: clock.Now(), request: request}
 	if f.route.Stream {
 		request.Patience = max(stallCheckInterval, f.g.firstOverdueAfter())
 		request.Silent = watch.waitOn
@@ -305,7 +305,7 @@
 	}
 	sent := sync.OnceFunc(sending)
 	defer sent()
-	answer, err := f.exchange(living, first.Address, request)
+	answer, err := f.exchange(incarnationCtx, first.Address, request)
 	sent()
 	if err != nil {
 		return f.handleBroken(ctx, path, watch, err)
--- a/internal/daemon/leaving_test.go
+++ b/internal/daemon/leaving_test.go
@@ -104,7 +104,7 @@
 	require.Zero(t, daemon.UnderWay(g))
 }
 
-// Guards against sending a call on an idle connection although its caller disconnected while
+// Guards against sending a call on a reused connection although its caller disconnected while
 // the call waited on this VM.
 func TestNothingIsSentAfterCallerDisconnect(t *testing.T) {
 	w := newWorker(t, served)
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -20,9 +20,9 @@
 // requests a second with their answers, and got 61 and 39 in the next 4 s from VMs that had
 // received them; one and a half times the limit and 5 are allowed. They still got 15 and 11 a
 // second, as many as before: the limits were not read, and no VM knew what the others sent.
-// Resends were excluded as a cause, as no try had failed; the rates had stayed the same at all
-// VMs. Here ten VMs without a leader learn the limit from the target only; a test of package
-// core covers how VMs share it.
+// The cause showed in the rates, which changed at no VM when the limits were named; no try had
+// failed, so resends were not the cause. Here ten VMs without a leader learn the limit from
+// the target only; a test of package core covers how VMs share it.
 func TestTargetRateLimitHolds(t *testing.T) {
 	const (
 		entryVMs = 10
@@ -41,7 +41,7 @@
 			require.Equal(t, http.StatusOK, ask(t, g))
 		}
 	}
-	told := limited.ran.Load()
+	before := limited.ran.Load()
 	for range span / pause {
 		s.ahead += pause
 		for _, g := range vms {
@@ -50,10 +50,10 @@
 			}
 		}
 	}
-	require.LessOrEqual(t, float64(limited.ran.Load()-told), allowed)
+	require.LessOrEqual(t, float64(limited.ran.Load()-before), allowed)
 }
 
-// A second sending, after an idle connection was lost, needs a permit of its own.
+// A second sending, after a reused connection was lost, needs a permit of its own.
 func TestSecondSendingNeedsPermit(t *testing.T) {
 	var g *daemon.Gateway
 	var w *worker
@@ -65,7 +65,7 @@
 	require.Equal(t, http.StatusOK, ask(t, g))
 	require.Equal(t, http.StatusBadGateway, ask(t, g), "the first sending may have run")
 	require.EqualValues(t, 2, w.next.Load())
-	require.Empty(t, daemon.FindingsOf(g).Dead, "it has done nothing wrong")
+	require.Empty(t, daemon.FindingsOf(g).Dead, "the target has not failed")
 }
 
 // Where all targets are limited, a request waits no longer than permits are likely to arrive,
@@ -74,9 +74,9 @@
 	w := newWorker(t, limiting)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
 	require.Equal(t, http.StatusOK, ask(t, g))
-	lent := make(chan struct{})
+	granted := make(chan struct{})
 	go func() {
-		defer close(lent)
+		defer close(granted)
 		for event := daemon.Posted(t.Context(), g); event != nil; event = daemon.Posted(t.Context(), g) {
 			if wanted, ok := event.(core.PermitsWanted); ok {
 				permits := []relay.Permits{{Target: wanted.Asks[0].Target, PerSecond: 4.5, Count: 1}}
@@ -86,7 +86,7 @@
 		}
 	}()
 	require.Equal(t, http.StatusOK, ask(t, g))
-	closed(t, "the leader is asked", lent)
+	closed(t, "the leader is asked", granted)
 	require.EqualValues(t, 2, w.ran.Load())
 
 	// Four wait already for the one permit that arrives in 0.2 s: the next is refused at once.
--- a/internal/daemon/openai.go
+++ b/internal/daemon/openai.go
@@ -13,9 +13,9 @@
 )
 
 // This file serves model pipelines through the OpenAI API: completions and chat completions,
-// streamed as server-sent events or whole. The id of each event is the number of tokens sent
-// so far; a caller whose answer was cut off sends it back as Last-Event-ID, with the request's
-// id as Idempotency-Key, and gets the rest.
+// streamed as server-sent events or whole. The id of each event is the number of the answer's
+// tokens up to it; a caller whose answer was cut off sends it back as Last-Event-ID, with the
+// request's id as Idempotency-Key, and gets the rest.
 
 // defaultMaxTokens is the limit for a request without max_tokens.
 const defaultMaxTokens = 256
@@ -29,7 +29,8 @@
 	// MaxCompletionTokens is the newer name of MaxTokens in chat requests.
 	MaxCompletionTokens *int `json:"max_completion_tokens"`
 	Stream              bool `json:"stream"`
-	// N, Stop and StreamOptions are not supported; unsupported refuses them.
+	// N, Stop and StreamOptions are supported with their default effect only; unsupported refuses
+	// others.
 	N             *int            `json:"n"`
 	Stop          json.RawMessage `json:"stop"`
 	StreamOptions struct {
--- a/internal/daemon/promises_test.go
+++ b/internal/daemon/promises_test.go
@@ -164,12 +164,12 @@
 
 func TestUnsentRequestIsReportedNotRun(t *testing.T) {
 	require.Equal(t, http.StatusServiceUnavailable, ask(t, newEntry(t, relay.RepeatNever, 2)))
-	gone := newWorker(t, served)
+	unreachable := newWorker(t, served)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	gone.address = l.Addr().String()
+	unreachable.address = l.Addr().String()
 	require.NoError(t, l.Close())
-	require.Equal(t, http.StatusServiceUnavailable, ask(t, newEntry(t, relay.RepeatNever, 2, gone)))
+	require.Equal(t, http.StatusServiceUnavailable, ask(t, newEntry(t, relay.RepeatNever, 2, unreachable)))
 }
 
 func TestLostAnswerIsReportedUnknown(t *testing.T) {
@@ -187,9 +187,9 @@
 	require.Equal(t, http.StatusBadGateway, ask(t, newEntry(t, relay.RepeatAlways, 3, first, second)))
 }
 
-// Guards against a wrong "not run": an idle connection broke after the request was sent on it,
-// the request was sent again on a new one, and the target rejected that; the caller was told
-// that it had not run.
+// Guards against a wrong "not run": a reused connection broke after the request was sent on
+// it, the request was sent again on a new one, and the target rejected that; the caller was
+// told that it had not run.
 func TestRejectedResendIsReportedUnknown(t *testing.T) {
 	w := newWorker(t, served, lost, rejected)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
@@ -252,9 +252,9 @@
 	require.Equal(t, core.ResultInterrupted, g.ReadDocument(ctx).Result.Kind)
 }
 
-// Guards against a second run: a request whose idle connection broke was sent again on a new
+// Guards against a second run: a request whose reused connection broke was sent again on a new
 // one, whose dial failed; it counted as not sent at all, and ran on a second target although
-// its route allows one.
+// its route allows only one.
 func TestFailedResendStillCountsAsSent(t *testing.T) {
 	first, second := newWorker(t, served, lost), newWorker(t, served)
 	g := newEntry(t, relay.RepeatAlways, 1, first, second)
--- a/internal/daemon/readers_test.go
+++ b/internal/daemon/readers_test.go
@@ -170,7 +170,7 @@
 	s.Limits.MemoryMB = 512
 	change(&s)
 	g, err := daemon.GatewayFor(s, logr.Discard(), daemon.Platform{
-		Codec: bareCodec{}, Engines: livingEngines{},
+		Codec: bareCodec{}, Engines: healthyEngines{},
 		Router: relay.Settings{Hall: "h", Started: time.Now(), Budget: relay.BudgetTerms{Share: 1, Fixed: 1000, Window: 10 * time.Second}},
 	}, doc, targets)
 	require.NoError(t, err)
@@ -202,16 +202,16 @@
 	})
 }
 
-// livingEngines report no problem.
-type livingEngines struct{}
+// healthyEngines report no problem.
+type healthyEngines struct{}
 
-func (livingEngines) Order(context.Context, core.OrderLayers) (core.OrderOutcome, relay.Notice) {
+func (healthyEngines) Order(context.Context, core.OrderLayers) (core.OrderOutcome, relay.Notice) {
 	return core.OrderRefused, relay.Notice{}
 }
-func (livingEngines) Repath(context.Context, string, relay.Path) (relay.Notice, error) {
+func (healthyEngines) Repath(context.Context, string, relay.Path) (relay.Notice, error) {
 	return relay.Notice{}, nil
 }
-func (livingEngines) Report(context.Context, relay.Stage) (daemon.EngineReport, error) {
+func (healthyEngines) Report(context.Context, relay.Stage) (daemon.EngineReport, error) {
 	return daemon.EngineReport{Pace: 1}, nil
 }
 
@@ -331,8 +331,8 @@
 	go func() { peak <- peakHeld(x, stop) }()
 	served := make(chan int)
 	go func() { served <- readingCallers(t, x, stop) }()
-	// No faster than the gateway and the engine of this test are on a busy machine, and slow
-	// enough that not all come within the grace time for reading.
+	// The pace is no faster than the gateway and the engine of this test are on a busy machine,
+	// and slow enough that not all callers come within the grace time for reading.
 	pace := time.NewTicker(10 * time.Millisecond)
 	defer pace.Stop()
 	for range slow {
@@ -446,11 +446,11 @@
 // A target that accepts the connection and reads nothing is full, not lost: the request goes
 // to another one, and the target is not suspected.
 func TestTargetNotReadingBodyIsNotSuspected(t *testing.T) {
-	still, err := net.Listen("tcp", "127.0.0.1:0")
+	unread, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer still.Close()
+	defer unread.Close()
 	e := newWritingEngine(t, 1)
-	x := serveGateway(t, []string{still.Addr().String()}, func(*settings.Settings) {})
+	x := serveGateway(t, []string{unread.Addr().String()}, func(*settings.Settings) {})
 	conn := askFor(t, x.address, "/s/x", make([]byte, 4<<20-1))
 	x.AddTarget("t-1", e.address)
 	status, text := readAnswer(t, conn)
--- a/internal/daemon/repeating.go
+++ b/internal/daemon/repeating.go
@@ -81,7 +81,7 @@
 	return f.g.router.CouldRepeat(a, clock.Now())
 }
 
-// mayAskAgain reports whether a request whose idle connection was lost may be sent on a new
+// mayAskAgain reports whether a request whose reused connection was lost may be sent on a new
 // one. A connection that the target had dropped before delivers nothing; one that broke just
 // now may have delivered the request, so it counts as a repeat.
 func (f *forwarding) mayAskAgain() bool {
