--- a/internal/target/admit_test.go
+++ b/internal/target/admit_test.go
@@ -11,10 +11,10 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// What is not admitted once its connection is there is not sent, and the connection is kept for
-// what is.
-func TestWhatIsNotAdmittedIsNotSent(t *testing.T) {
-	s := newScripted(t, answerTo("1", "ok"))
+// A request that Admit rejects on an open connection is not sent, and the connection is kept for
+// requests that are admit.
+func TestRequestNotAdmittedIsNotSent(t *testing.T) {
+	s := newScriptedTarget(t, answerTo("1", "ok"))
 	x := target.NewExchanger(func() {})
 	refused := errors.New("not now")
 	for _, fresh := range []bool{false, true} {
@@ -28,6 +28,6 @@
 	}
 	body, err := exchange(t, x, s.address, false)
 	require.NoError(t, err)
-	require.Equal(t, "ok", body, "the first of its answers")
-	require.EqualValues(t, 2, s.conns.Load(), "one for each that asked for a new one, and none for the last")
+	require.Equal(t, "ok", body, "a rejected request was sent")
+	require.EqualValues(t, 2, s.conns.Load(), "want the first connection and one for Fresh; the last request reuses one")
 }
--- a/internal/target/answer_fuzz_test.go
+++ b/internal/target/answer_fuzz_test.go
@@ -12,7 +12,7 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// FuzzAnswers has a target answer with any bytes and close the connection.
+// FuzzAnswers has a target answer with arbitrary bytes and close the connection.
 func FuzzAnswers(f *testing.F) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(f, err)
@@ -38,7 +38,7 @@
 		defer answer.Close()
 		body, err := io.ReadAll(answer)
 		if err == nil && answer.Length >= 0 {
-			require.Len(t, body, int(answer.Length), "an answer that was cut looks whole")
+			require.Len(t, body, int(answer.Length), "a truncated answer was read as whole")
 		}
 		require.True(t, bytes.Contains(text, body) || answer.Length < 0)
 	})
@@ -53,5 +53,5 @@
 	if _, err := conn.Read(make([]byte, 1<<10)); err != nil {
 		return
 	}
-	_, _ = conn.Write(text) // who can't make sense of it may have left
+	_, _ = conn.Write(text) // the client may have closed the connection already
 }
--- a/internal/target/body.go
+++ b/internal/target/body.go
@@ -9,58 +9,58 @@
 	"unsafe"
 )
 
-// This file writes the bodies of requests to targets that may not read them.
+// This file writes request bodies to targets that may not read them.
 //
-// A target that does not read is told from one that is lost by what the kernel knows: a lost
-// one leaves bytes unacknowledged; one that does not read has acknowledged all that was
-// sent, and closed its window to the rest.
+// The kernel's counters tell a target that does not read from one that is lost: a lost target
+// leaves bytes unacknowledged; one that does not read has acknowledged all bytes that were
+// sent, and its receive window is closed to the rest.
 
-// ErrNotReading is the kind of errors for requests whose target lives and does not read
-// them: it is full, not lost. Whether it ran the request is not known.
+// ErrNotReading is wrapped by errors of requests whose target is alive but does not read them:
+// it is overloaded, not lost. Whether it ran the request is unknown.
 var ErrNotReading = errors.New("target does not read the request")
 
 const (
-	// bodyPiece is what is written of a body before its progress is looked at, in bytes.
-	bodyPiece = 64 << 10
-	// bodyStallLimit is how long a target may take nothing of a body: less than unackedLimit,
-	// after which the kernel breaks the connection and can't say why.
-	bodyStallLimit = 1500 * time.Millisecond
-	// receiveBytes is what the kernel buffers of an answer that is not read yet, in bytes,
-	// where memory is limited. It takes twice as much, for its own records.
-	receiveBytes = 16 << 10
+	// bodyPieceBytes is the size of one write of a body, after which its progress is checked, in bytes.
+	bodyPieceBytes = 64 << 10
+	// bodyStallTimeout is how long a target may accept no byte of a body. It is less than
+	// unackedTimeout, after which the kernel breaks the connection without giving the cause.
+	bodyStallTimeout = 1500 * time.Millisecond
+	// receiveBufferBytes is the kernel's receive buffer for one answer where memory is limited, in
+	// bytes. The kernel doubles it to account for its own bookkeeping.
+	receiveBufferBytes = 16 << 10
 )
 
-// writeBody writes a body beside the reading of the answer.
+// writeBody writes a body while the answer is being read.
 func (l *link) writeBody(body []byte) error {
 	for len(body) > 0 {
-		piece := body[:min(len(body), bodyPiece)]
-		if err := l.Conn.SetWriteDeadline(time.Now().Add(bodyStallLimit)); err != nil {
+		piece := body[:min(len(body), bodyPieceBytes)]
+		if err := l.Conn.SetWriteDeadline(time.Now().Add(bodyStallTimeout)); err != nil {
 			return err
 		}
 		n, err := l.Conn.Write(piece)
 		body = body[n:]
-		var late net.Error
+		var netErr net.Error
 		switch {
 		case err == nil:
 			continue
-		case !errors.As(err, &late) || !late.Timeout():
+		case !errors.As(err, &netErr) || !netErr.Timeout():
 			return err
 		case n > 0:
 			continue
 		case !l.acknowledged():
 			return err
 		}
-		l.unread.Store(true)
-		l.Conn.Close() // the answer is not waited for any more
+		l.notReading.Store(true)
+		l.Conn.Close() // stops waiting for the answer
 		return ErrNotReading
 	}
 	return l.Conn.SetWriteDeadline(time.Time{})
 }
 
-// orUnread returns what broke an answer: its target's not reading the request, if that was
-// found meanwhile.
-func (l *link) orUnread(err error) error {
-	if err == nil || errors.Is(err, io.EOF) || !l.unread.Load() {
+// orNotReading returns ErrNotReading in place of err if the target was found not to read the
+// request; nil and io.EOF are returned as they are.
+func (l *link) orNotReading(err error) error {
+	if err == nil || errors.Is(err, io.EOF) || !l.notReading.Load() {
 		return err
 	}
 	return ErrNotReading
@@ -68,14 +68,14 @@
 
 const (
 	// siocOutq and siocOutqnsd are the ioctls SIOCOUTQ and SIOCOUTQNSD of Linux: the first
-	// asks for the bytes that are not acknowledged, the second for those of them that are not
-	// sent. Package syscall lacks both.
+	// returns the number of unacknowledged bytes, the second how many of them are not sent yet.
+	// Package syscall lacks both.
 	siocOutq    = 0x5411
 	siocOutqnsd = 0x894b
 )
 
-// acknowledged reports whether all that was sent has been acknowledged. It is false where
-// the kernel can't say.
+// acknowledged reports whether all bytes that were sent have been acknowledged. It returns
+// false where the kernel can't report it.
 func (l *link) acknowledged() bool {
 	tcp, ok := l.Conn.(*net.TCPConn)
 	if !ok {
@@ -100,8 +100,8 @@
 	return errno
 }
 
-// BoundKernel bounds what the kernel holds of answers that are not read, for connections
-// that are opened from then on.
+// BoundKernel limits the kernel's receive buffer of connections that are opened from then on,
+// and so the memory for answers that are not read.
 func (x *Exchanger) BoundKernel() {
 	first := x.dialer.Control
 	x.dialer.Control = func(network, address string, raw syscall.RawConn) error {
@@ -109,8 +109,8 @@
 			return err
 		}
 		return raw.Control(func(fd uintptr) {
-			// Where this fails the kernel may hold more than is counted.
-			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBytes)
+			// If this fails, the kernel may buffer more than is accounted for.
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferBytes)
 		})
 	}
 }
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -15,23 +15,24 @@
 	"github.com/spoolbank/spoolbank/internal/core"
 )
 
-// replyLimit bounds what is read of a reply, in bytes.
-const replyLimit = 64 << 20
+// maxReplyBytes bounds how much of a reply is read, in bytes.
+const maxReplyBytes = 64 << 20
 
-// watchTime bounds a look at a target.
-const watchTime = time.Second
+// watchTimeout bounds one watch request to a target, one request for the platform's list, and
+// the release of all engines of a chain.
+const watchTimeout = time.Second
 
-// Client speaks to targets and to the platform.
+// Client sends requests to targets and to the platform.
 type Client struct {
 	http *http.Client
 	runs *runLinks
-	// fresh makes a connection for each request.
+	// fresh dials a new connection for each request.
 	fresh *http.Client
-	// silence says what silent connections are; see WithSilence.
-	silence silenceTerms
+	// silence configures the detection of silent connections; see WithSilence.
+	silence silenceDetection
 }
 
-// NewClient returns a Client with connections of its own.
+// NewClient returns a Client with a connection pool of its own.
 func NewClient() *Client {
 	kept := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -41,7 +42,7 @@
 	fresh := kept.Clone()
 	fresh.DisableKeepAlives = true
 	client := &http.Client{Transport: kept}
-	return &Client{http: client, runs: newRunLinks(client, silenceTerms{}), fresh: &http.Client{Transport: fresh}}
+	return &Client{http: client, runs: newRunLinks(client, silenceDetection{}), fresh: &http.Client{Transport: fresh}}
 }
 
 // RunOrder sends an order over the engine's link and waits for its reply.
@@ -71,7 +72,7 @@
 		return reply, err
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, replyLimit))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
 		return reply, err
 	}
@@ -87,7 +88,7 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// Run orders a run and waits for its end.
+// Run sends an order for a run and waits for its reply.
 func (c *Client) Run(ctx context.Context, r core.Run) core.RunEnded {
 	ended := core.RunEnded{Stream: r.Stream, Epoch: r.Epoch, Position: r.Position}
 	if clock.Sampled().After(r.NotAfter) {
@@ -114,7 +115,7 @@
 	return ended
 }
 
-// Rebuild orders a rebuild and waits for its end.
+// Rebuild sends an order for a rebuild and waits for its reply.
 func (c *Client) Rebuild(ctx context.Context, r core.Rebuild) core.RebuildEnded {
 	ctx, cancel := clock.WithDeadline(ctx, r.Silence)
 	defer cancel()
@@ -129,36 +130,36 @@
 	return core.RebuildEnded{Stream: r.Stream, Epoch: r.Epoch, Target: reply.Target, Result: reply.Result}
 }
 
-// Release tells the engines of a chain that a stream has ended. It is a
-// courtesy: an engine drops streams that are idle for long by itself.
+// Release notifies the engines of a chain that a stream has ended. It is best
+// effort: an engine drops streams that are idle for long by itself.
 func (c *Client) Release(ctx context.Context, r core.Release) {
-	ctx, cancel := context.WithTimeout(ctx, watchTime)
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	for _, s := range r.Chain {
 		_, _ = Post[struct{}](ctx, c, s.Address, PathRelease, ReleaseOrder{Stream: r.Stream, Epoch: r.Epoch})
 	}
 }
 
-// Order sends a placement order, unless it is void already.
+// Order sends a placement order, unless it has expired.
 func (c *Client) Order(ctx context.Context, o core.Order) core.OrderEnded {
 	ended := core.OrderEnded{Target: o.Placement.Target, Fence: o.Fence}
-	life := o.NotAfter.Sub(clock.Sampled())
-	if life <= 0 {
+	remaining := o.NotAfter.Sub(clock.Sampled())
+	if remaining <= 0 {
 		return ended
 	}
-	ctx, cancel := context.WithTimeout(ctx, life)
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	reply, err := Post[PlaceReply](ctx, c, o.Address, PathOrder, PlaceOrder{
 		Fence: o.Fence, Model: o.Placement.Model, Version: o.Placement.Version,
-		Adapters: o.Adapters, Layers: o.Placement.Layers, LifeMillis: life.Milliseconds(),
+		Adapters: o.Adapters, Layers: o.Placement.Layers, LifeMillis: remaining.Milliseconds(),
 	})
 	ended.Done = err == nil && reply.Result == OrderDone
 	return ended
 }
 
-// Watch looks at a target.
+// Watch requests a target's load report.
 func (c *Client) Watch(ctx context.Context, w core.Watch) core.Watched {
-	ctx, cancel := context.WithTimeout(ctx, watchTime)
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	watched := core.Watched{Report: core.TargetReport{Target: w.Target}}
 	report, err := get[LoadReport](ctx, c, "http://"+w.Address+PathLoad)
@@ -172,9 +173,9 @@
 	return watched
 }
 
-// Platform asks for the platform's list.
+// Platform requests the platform's list of VMs.
 func (c *Client) Platform(ctx context.Context, url string) (core.PlatformListed, error) {
-	ctx, cancel := context.WithTimeout(ctx, watchTime)
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	list, err := get[VMList](ctx, c, url+PathVMs)
 	if err != nil {
@@ -189,7 +190,7 @@
 	return listed, nil
 }
 
-// Call is the body and form of a call to a plain service.
+// Call is the content of a call to a plain service.
 type Call struct {
 	Method      string
 	Path        string
@@ -197,11 +198,11 @@
 	Body        []byte
 }
 
-// HeaderIdempotencyKey carries a request's identity, from callers and to
-// plain services.
+// HeaderIdempotencyKey carries a request's identity, from callers and to plain
+// services.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// Dispatch sends a call to a runner, unless the right to has ended.
+// Dispatch sends a call to a runner, unless the permission to send it has expired.
 func (c *Client) Dispatch(ctx context.Context, d core.Dispatch, call Call) core.DispatchEnded {
 	ended := core.DispatchEnded{Conn: d.Conn, ID: d.ID, Target: d.Target, Result: core.ResultRefused}
 	if clock.Sampled().After(d.NotAfter) {
@@ -213,7 +214,7 @@
 	if err != nil {
 		return ended
 	}
-	// Without a body to rewind, the transport never sends a request twice.
+	// Without GetBody the transport can't rewind a body, so it sends no body twice.
 	request.GetBody = nil
 	request.Header.Set(HeaderIdempotencyKey, string(d.ID))
 	if call.ContentType != "" {
@@ -229,15 +230,15 @@
 		return ended
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, replyLimit))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
 		return ended
 	}
 	ended.Limit.PerSecond, ended.Limit.Limited, err = RateLimit(response.Header.Values(HeaderLimit))
-	if err == nil || ended.Limit.Limited { // what can't be read says neither that there is a limit nor that there is none
+	if err == nil || ended.Limit.Limited { // an unreadable header says nothing about a limit
 		ended.Limit.SentAt, ended.Limit.HeardAt = sentAt, clock.Now()
 	}
-	ended.BackoffUntil, _ = BackoffUntil(response.StatusCode, response.Header, clock.Now()) // what can't be read asks for no backoff
+	ended.BackoffUntil, _ = BackoffUntil(response.StatusCode, response.Header, clock.Now()) // an unreadable header requests no backoff
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(HeaderNotRun) != "" {
 		ended.Result = core.ResultRefused
 		return ended
@@ -247,6 +248,6 @@
 	return ended
 }
 
-// HeaderNotRun is how a plain service says, with status 503, that it did not
-// run a call.
+// HeaderNotRun is the header with which a plain service declares, together with
+// status 503, that it did not run a call.
 const HeaderNotRun = "Spoolbank-Not-Run"
--- a/internal/target/client_test.go
+++ b/internal/target/client_test.go
@@ -15,11 +15,11 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// engine serves runs with a function.
+// engine starts an engine that serves runs with a function.
 func engine(t *testing.T, run func(context.Context, target.RunOrder) target.RunReply) *httptest.Server {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { target.ServeRuns(w, r, run) }))
 	t.Cleanup(func() {
-		// A link is a request that never ends by itself.
+		// A link is a request that does not end by itself.
 		require.NoError(t, server.Config.Close())
 		server.Close()
 	})
@@ -32,12 +32,12 @@
 		Silence: now.Add(silence), NotAfter: now.Add(time.Minute)}
 }
 
-func TestRunsShareALinkAndCross(t *testing.T) {
+func TestRunsShareLinkWithRepliesInAnyOrder(t *testing.T) {
 	var arrived sync.WaitGroup
 	const runs = 50
 	arrived.Add(runs)
 	server := engine(t, func(_ context.Context, o target.RunOrder) target.RunReply {
-		// No reply leaves before all orders are here, and then in any order.
+		// No reply is sent before all orders have arrived; the order of replies is then arbitrary.
 		arrived.Done()
 		arrived.Wait()
 		return target.RunReply{Result: core.ResultDone, Next: o.Position + 1}
@@ -54,7 +54,7 @@
 	wait.Wait()
 }
 
-func TestSilentEngineIsBrokenAndItsLateReplyDropped(t *testing.T) {
+func TestRunTimesOutAndLateReplyIsDropped(t *testing.T) {
 	release := make(chan struct{})
 	server := engine(t, func(_ context.Context, o target.RunOrder) target.RunReply {
 		if o.Position == 0 {
@@ -70,7 +70,7 @@
 	require.Equal(t, 2, client.Run(t.Context(), order(server, 1, time.Minute)).Next)
 }
 
-func TestBrokenLinkFailsItsRunsAndIsMadeAnew(t *testing.T) {
+func TestBrokenLinkFailsItsRunsAndIsReplaced(t *testing.T) {
 	begun := make(chan struct{}, 1)
 	server := engine(t, func(ctx context.Context, o target.RunOrder) target.RunReply {
 		if o.Position == 0 {
@@ -90,7 +90,7 @@
 	}, time.Minute, 10*time.Millisecond)
 }
 
-func TestNothingIsSentAfterItsRightHasEnded(t *testing.T) {
+func TestExpiredOrdersAreNotSent(t *testing.T) {
 	called := false
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { called = true }))
 	defer server.Close()
@@ -105,14 +105,14 @@
 	require.False(t, called)
 }
 
-func TestDispatchTellsNotRunFromUnknown(t *testing.T) {
+func TestDispatchDistinguishesNotRunFromUnknown(t *testing.T) {
 	tests := []struct {
 		name    string
 		handler http.HandlerFunc
 		want    core.RunResult
 	}{
 		{"answered", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) }, core.ResultDone},
-		{"says that it did not run", func(w http.ResponseWriter, _ *http.Request) {
+		{"reports that it did not run", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(target.HeaderNotRun, "no room")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, core.ResultRefused},
@@ -139,5 +139,5 @@
 	server.Close()
 	soon := time.Now().Add(time.Minute)
 	ended := target.NewClient().Dispatch(t.Context(), core.Dispatch{Address: address, Deadline: soon, NotAfter: soon}, target.Call{Method: "POST", Path: "/"})
-	require.Equal(t, core.ResultRefused, ended.Result, "nobody listens, so nothing was sent")
+	require.Equal(t, core.ResultRefused, ended.Result, "nothing listens on the address, so nothing was sent")
 }
--- a/internal/target/drop_test.go
+++ b/internal/target/drop_test.go
@@ -8,10 +8,10 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// A connection to what runs no more is not used for what runs in its place.
-func TestDroppedConnectionsAreNotUsedAgain(t *testing.T) {
-	s := newScripted(t, answerTo("1", "ok"))
-	other := newScripted(t, answerTo("1", "ok"))
+// After Drop, a target that restarts on the address gets a new connection.
+func TestDroppedConnectionsAreNotReused(t *testing.T) {
+	s := newScriptedTarget(t, answerTo("1", "ok"))
+	other := newScriptedTarget(t, answerTo("1", "ok"))
 	x := target.NewExchanger(func() {})
 	for range 2 {
 		for _, address := range []string{s.address, other.address} {
--- a/internal/target/exchange.go
+++ b/internal/target/exchange.go
@@ -20,66 +20,66 @@
 
 // This file sends whole requests to targets over HTTP/1.1 and reads the answers.
 //
-// net/http's own client is not used for them: it sends a request again by itself
-// when a kept connection breaks, and it can't tell a surplus answer on a kept
-// connection from the one that is due. Both would break promises about requests
-// that may run once. Here a request is written once, on a connection that is
-// known to be quiet, and everything else is the caller's decision.
+// It does not use net/http's client, which repeats a request by itself when a
+// reused connection breaks, and can't tell a surplus answer on a reused
+// connection from the expected one. Both would break the guarantee that some
+// requests run at most once. Here a request is written once, on a connection
+// with nothing left to read, and the caller decides about everything else.
 //
 // Invariants: a connection is kept only after a whole answer was read to its
-// framed end; a connection with unexpected bytes is closed and never read on.
+// framed end; a connection with unexpected bytes is closed, and no more is read from it.
 
-// ErrNotSent is the kind of errors for requests of which no byte was sent.
+// ErrNotSent is wrapped by errors of requests of which no byte was sent.
 var ErrNotSent = errors.New("not sent")
 
-// ErrStale is the kind of errors for requests on a kept connection that broke before
-// a byte of the answer: targets forget idle connections without notice, and the next
-// thing sent on one is reset.
-var ErrStale = errors.New("kept connection is gone")
+// ErrStale is wrapped by errors of requests on a reused connection that broke before the
+// first byte of the answer: targets close idle connections without notice, and the next
+// request on one is answered with a reset.
+var ErrStale = errors.New("reused connection was closed")
 
-// ErrSilent is the kind of errors for answers that were given up in a pause.
+// ErrSilent is wrapped by errors of answers that were abandoned during a pause.
 var ErrSilent = errors.New("target is silent")
 
 const (
-	// dialLimit bounds the wait for a connection. Nothing has been sent then, and another
-	// target can still answer within the 0.5 s that a first event may take; targets are
-	// 20 ms away at the most. The kernel sends a lost opening packet again after a second.
-	dialLimit = 200 * time.Millisecond
-	// unackedLimit is how long sent bytes may stay unacknowledged before the
-	// kernel breaks a connection: behind a cut nothing else would end it.
-	unackedLimit = 2 * time.Second
-	// idleDefault is how long a connection is kept where the target does not say.
+	// dialTimeout bounds a dial. No byte of the request has been sent by then, and another target
+	// can still answer within the 0.5 s limit for the first event; targets are at most 20 ms
+	// away. The kernel retransmits a lost SYN after one second.
+	dialTimeout = 200 * time.Millisecond
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the kernel breaks a
+	// connection: behind a network partition nothing else would end it.
+	unackedTimeout = 2 * time.Second
+	// defaultIdleTime is how long a connection is kept idle if the target names no timeout.
 	// The users' targets close idle ones after some seconds.
-	idleDefault = 2 * time.Second
-	// idleShare is the part of a target's own idle time that is used.
-	idleShare = 0.6
-	// idleMost bounds the kept connections to one address.
-	idleMost = 64
-	// bufferSize holds the usual head and a few events.
-	bufferSize = 4 << 10
-	// InlineBody is the size of bodies that are written before the answer is
-	// read; they fit the kernel's buffers. Longer ones are written beside it, for a
-	// target may answer early and not read on.
+	defaultIdleTime = 2 * time.Second
+	// idleTimeFraction is the part of a target's own idle timeout that is used.
+	idleTimeFraction = 0.6
+	// maxIdlePerAddress bounds the idle connections to one address.
+	maxIdlePerAddress = 64
+	// readBufferBytes holds the usual response head and a few events.
+	readBufferBytes = 4 << 10
+	// InlineBody is the largest body that is written before the answer is read; it
+	// fits the kernel's buffers. Longer ones are written concurrently, because a
+	// target may answer early and stop reading.
 	InlineBody = 16 << 10
 )
 
-// Exchanger sends requests to targets and keeps connections.
+// Exchanger sends requests to targets and pools idle connections.
 type Exchanger struct {
 	dialer net.Dialer
 	mu     sync.Mutex
 	idle   map[string][]*link
-	// Dialled is called for each new connection.
-	Dialled func()
-	redials chan struct{}
+	// Dialled is called after each new connection.
+	Dialled     func()
+	redialSlots chan struct{}
 }
 
 // NewExchanger returns an Exchanger without connections.
 func NewExchanger(dialled func()) *Exchanger {
 	return &Exchanger{
-		dialer:  net.Dialer{Timeout: dialLimit, Control: wire.Unacked(unackedLimit), KeepAlive: -1},
-		idle:    make(map[string][]*link),
-		Dialled: dialled,
-		redials: make(chan struct{}, redialsAtOnce),
+		dialer:      net.Dialer{Timeout: dialTimeout, Control: wire.Unacked(unackedTimeout), KeepAlive: -1},
+		idle:        make(map[string][]*link),
+		Dialled:     dialled,
+		redialSlots: make(chan struct{}, maxConcurrentRedials),
 	}
 }
 
@@ -91,64 +91,64 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a new connection: a kept one may have been closed by the
-	// other end, and then nobody could say whether the request ran.
+	// Fresh requests a new connection: the target may have closed an idle one,
+	// and then it would be unknown whether the request ran.
 	Fresh bool
-	// Matches reports whether an answer belongs to this request. Others on the
-	// same connection are surplus and skipped.
+	// Matches reports whether an answer belongs to this request. Other answers
+	// on the same connection are surplus and skipped.
 	Matches func(http.Header) bool
-	// Patience is the longest pause in the answer before Silent is asked whether
-	// to wait on. Zero waits without end.
+	// Patience is the longest pause in the answer before Silent is called, which
+	// reports whether to keep waiting. Zero waits without limit.
 	Patience time.Duration
 	Silent   func() bool
-	// Kept bounds the wait for the first byte on a kept connection.
+	// Kept bounds the wait for the first byte on a reused connection.
 	Kept KeptWait
-	// Again says that the request takes the place of one on a silent connection.
+	// Again says that the request replaces one on a silent connection.
 	Again bool
-	// Admit is asked once a connection is there, at the last moment before anything is sent.
-	// The request is not sent where it returns an error; nil lets all pass.
+	// Admit is called on an open connection, just before the first byte is sent. If it
+	// returns an error, the request is not sent; a nil Admit admits every request.
 	Admit func() error
 }
 
-// Answer is the head of an answer, with its body still to be read. Close ends it.
+// Answer is the head of an answer, whose body is still to be read. Close ends the exchange.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, or -1 where its end is not announced.
+	// Length is that of the body, or -1 if it is not announced.
 	Length int64
-	// Framed says that a cut body can be told from a whole one.
-	Framed bool
-	link   *link
-	body   io.ReadCloser
-	whole  bool
-	keep   bool
-	ended  func() bool
+	// Framed says that a truncated body can be told from a whole one.
+	Framed    bool
+	link      *link
+	body      io.ReadCloser
+	complete  bool
+	keepAlive bool
+	stop      func() bool
 }
 
-// link is one connection.
+// link is one connection to a target.
 type link struct {
 	net.Conn
-	reader  *bufio.Reader
-	address string
-	pool    *Exchanger
-	until   time.Time
-	request *Request
-	reused  bool
-	// answered says that bytes came since the request was sent.
+	reader    *bufio.Reader
+	address   string
+	pool      *Exchanger
+	expiresAt time.Time
+	request   *Request
+	reused    bool
+	// answered says that bytes were received since the request was sent.
 	answered bool
 	written  chan error
-	// sentAt is when the request was sent, heardAt when the last byte of the one before came.
-	sentAt, heardAt time.Time
-	// unread says that the target was found not to read the request.
-	unread atomic.Bool
+	// sentAt is when the request was sent, lastUsedAt when the previous exchange was closed.
+	sentAt, lastUsedAt time.Time
+	// unread says that the target does not read the request.
+	notReading atomic.Bool
 }
 
-// Read waits for bytes; in each pause it asks whether to go on.
+// Read reads bytes of the answer. After each pause of Patience it calls Silent.
 func (l *link) Read(p []byte) (int, error) {
 	for {
 		r := l.request
-		if l.waitsKept() {
-			return l.readKept(p)
+		if l.boundsFirstByte() {
+			return l.readFirstBytes(p)
 		}
 		if r == nil || r.Patience <= 0 {
 			n, err := l.Conn.Read(p)
@@ -160,8 +160,8 @@
 		}
 		n, err := l.Conn.Read(p)
 		l.answered = l.answered || n > 0
-		var late net.Error
-		if n > 0 || !errors.As(err, &late) || !late.Timeout() {
+		var netErr net.Error
+		if n > 0 || !errors.As(err, &netErr) || !netErr.Timeout() {
 			return n, err
 		}
 		if !r.Silent() {
@@ -170,14 +170,14 @@
 	}
 }
 
-// Do sends a request to an address and reads the head of its answer. When ctx
-// ends, the connection is closed.
+// Do sends a request to an address and reads the head of its answer. The
+// connection is closed when ctx ends.
 func (x *Exchanger) Do(ctx context.Context, address string, r *Request) (*Answer, error) {
-	l, err := x.takeFor(ctx, address, r)
+	l, err := x.acquireFor(ctx, address, r)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	if err := r.admitted(); err != nil {
+	if err := r.admit(); err != nil {
 		x.push(l)
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
@@ -189,7 +189,7 @@
 	if err != nil {
 		stop()
 		l.Conn.Close()
-		if l.unread.Load() {
+		if l.notReading.Load() {
 			return nil, fmt.Errorf("target %s: %w", l.address, ErrNotReading)
 		}
 		if l.reused && !l.answered && !errors.Is(err, ErrSilent) {
@@ -197,24 +197,24 @@
 		}
 		return nil, err
 	}
-	answer.ended = stop
+	answer.stop = stop
 	return answer, nil
 }
 
-// admitted asks Admit.
-func (r *Request) admitted() error {
+// admit calls Admit, if it is set.
+func (r *Request) admit() error {
 	if r.Admit == nil {
 		return nil
 	}
 	return r.Admit()
 }
 
-// exchange writes the request and reads the head of the answer that is due.
+// exchange writes the request and reads the head of its answer.
 func (l *link) exchange(r *Request) (*Answer, error) {
 	if err := l.write(r); err != nil {
 		return nil, fmt.Errorf("target %s: send: %w", l.address, err)
 	}
-	for surplus := 0; surplus <= surplusMost; surplus++ {
+	for surplus := 0; surplus <= maxSurplusAnswers; surplus++ {
 		answer, err := l.readHead(r)
 		if err != nil {
 			return nil, fmt.Errorf("target %s: answer: %w", l.address, err)
@@ -232,8 +232,8 @@
 	return nil, fmt.Errorf("target %s: the answer belongs to another request", l.address)
 }
 
-// surplusMost bounds the answers to other requests that are skipped.
-const surplusMost = 2
+// maxSurplusAnswers bounds the answers to other requests that are skipped.
+const maxSurplusAnswers = 2
 
 func (l *link) write(r *Request) error {
 	var head bytes.Buffer
@@ -271,13 +271,13 @@
 		}
 		chunked := len(response.TransferEncoding) > 0
 		return &Answer{
-			Status: response.StatusCode,
-			Header: response.Header,
-			Length: response.ContentLength,
-			Framed: chunked || response.ContentLength >= 0,
-			link:   l,
-			body:   response.Body,
-			keep:   !response.Close,
+			Status:    response.StatusCode,
+			Header:    response.Header,
+			Length:    response.ContentLength,
+			Framed:    chunked || response.ContentLength >= 0,
+			link:      l,
+			body:      response.Body,
+			keepAlive: !response.Close,
 		}, nil
 	}
 }
@@ -286,17 +286,17 @@
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 	}
-	return n, a.link.orUnread(err)
+	return n, a.link.orNotReading(err)
 }
 
-// Close ends the exchange. The connection is kept where the answer was read
-// whole and nothing of the request is left to be written.
+// Close ends the exchange. The connection is kept if the answer was read whole
+// and the request was written whole.
 func (a *Answer) Close() {
-	stopped := a.ended()
+	notCanceled := a.stop()
 	l := a.link
-	if !stopped || !a.whole || !a.keep || !a.Framed || !l.allWritten() || l.reader.Buffered() > 0 {
+	if !notCanceled || !a.complete || !a.keepAlive || !a.Framed || !l.allWritten() || l.reader.Buffered() > 0 {
 		l.Conn.Close()
 		return
 	}
@@ -305,8 +305,8 @@
 		l.Conn.Close()
 		return
 	}
-	l.heardAt = clock.Now()
-	l.until = l.heardAt.Add(idleTime(a.Header))
+	l.lastUsedAt = clock.Now()
+	l.expiresAt = l.lastUsedAt.Add(idleTime(a.Header))
 	l.pool.push(l)
 }
 
--- a/internal/target/exchange_test.go
+++ b/internal/target/exchange_test.go
@@ -16,19 +16,19 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// scripted is a target that answers each request with the next of its texts. An
-// empty text closes the connection; "reset" resets it; "silence" says nothing.
-type scripted struct {
+// scriptedTarget is a target that answers each request with the next of its texts. An empty text
+// closes the connection, "reset" resets it, and "silence" sends no answer.
+type scriptedTarget struct {
 	address string
 	conns   atomic.Int32
 }
 
-func newScripted(t *testing.T, texts ...string) *scripted {
+func newScriptedTarget(t *testing.T, texts ...string) *scriptedTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	s := &scripted{address: l.Addr().String()}
+	s := &scriptedTarget{address: l.Addr().String()}
 	var next atomic.Int32
 	go func() {
 		for {
@@ -37,13 +37,13 @@
 				return
 			}
 			s.conns.Add(1)
-			go serveScript(conn, texts, &next)
+			go serveScripted(conn, texts, &next)
 		}
 	}()
 	return s
 }
 
-func serveScript(conn net.Conn, texts []string, next *atomic.Int32) {
+func serveScripted(conn net.Conn, texts []string, next *atomic.Int32) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -89,8 +89,8 @@
 	return string(body), err
 }
 
-func TestAnswersAreReadAndConnectionsKept(t *testing.T) {
-	s := newScripted(t, answerTo("1", "ok"))
+func TestConnectionIsReusedAfterWholeAnswer(t *testing.T) {
+	s := newScriptedTarget(t, answerTo("1", "ok"))
 	x := target.NewExchanger(func() {})
 	for range 3 {
 		body, err := exchange(t, x, s.address, false)
@@ -103,16 +103,16 @@
 	require.Equal(t, int32(2), s.conns.Load())
 }
 
-// An answer to another request must never be taken for the one that is due.
+// An answer to another request must never be returned for this one.
 func TestSurplusAnswersAreSkipped(t *testing.T) {
-	s := newScripted(t, answerTo("9", "old")+answerTo("1", "new"))
+	s := newScriptedTarget(t, answerTo("9", "old")+answerTo("1", "new"))
 	body, err := exchange(t, target.NewExchanger(func() {}), s.address, false)
 	require.NoError(t, err)
 	require.Equal(t, "new", body)
 }
 
-func TestConnectionsWithSurplusBytesAreNotUsedAgain(t *testing.T) {
-	s := newScripted(t, answerTo("1", "ok")+answerTo("1", "ok"))
+func TestConnectionsWithSurplusBytesAreNotReused(t *testing.T) {
+	s := newScriptedTarget(t, answerTo("1", "ok")+answerTo("1", "ok"))
 	x := target.NewExchanger(func() {})
 	for range 2 {
 		body, err := exchange(t, x, s.address, false)
@@ -122,7 +122,7 @@
 	require.Equal(t, int32(2), s.conns.Load())
 }
 
-func TestBrokenExchangesNeverLookWhole(t *testing.T) {
+func TestBrokenExchangesReturnErrors(t *testing.T) {
 	for name, text := range map[string]string{
 		"cut body":    "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\ncut",
 		"cut chunk":   "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
@@ -133,7 +133,7 @@
 		"silence":     "silence",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScripted(t, text, "")
+			s := newScriptedTarget(t, text, "")
 			_, err := exchange(t, target.NewExchanger(func() {}), s.address, false)
 			require.Error(t, err)
 			require.False(t, errors.Is(err, target.ErrNotSent))
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -160,7 +160,7 @@
 	require.Equal(t, "all of it", body)
 }
 
-func TestWhatWasNotSentIsSaidSo(t *testing.T) {
+func TestFailedDialReturnsErrNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := l.Addr().String()
@@ -169,16 +169,16 @@
 	require.ErrorIs(t, err, target.ErrNotSent)
 }
 
-func TestSilenceIsAskedAbout(t *testing.T) {
-	s := newScripted(t, "silence")
+func TestSilentTargetReturnsErrSilent(t *testing.T) {
+	s := newScriptedTarget(t, "silence")
 	_, err := exchange(t, target.NewExchanger(func() {}), s.address, false)
 	require.ErrorIs(t, err, target.ErrSilent)
 }
 
-// On a grown day streams were given up because a target had forgotten the kept
-// connection that they were resumed on.
-func TestForgottenConnectionsAreToldApart(t *testing.T) {
-	s := newScripted(t, answerTo("1", "ok"), "reset", answerTo("1", "ok"))
+// Streams were abandoned because the target had closed the idle connection on which they were
+// resumed, which was not told apart from a failed target.
+func TestResetReusedConnectionReturnsErrStale(t *testing.T) {
+	s := newScriptedTarget(t, answerTo("1", "ok"), "reset", answerTo("1", "ok"))
 	x := target.NewExchanger(func() {})
 	_, err := exchange(t, x, s.address, false)
 	require.NoError(t, err)
--- a/internal/target/export_test.go
+++ b/internal/target/export_test.go
@@ -1,4 +1,4 @@
 package target
 
-// RedialsAtOnce is looked at by the tests of this package, which are external.
-const RedialsAtOnce = redialsAtOnce
+// MaxConcurrentRedials exports maxConcurrentRedials to the external tests of this package.
+const MaxConcurrentRedials = maxConcurrentRedials
--- a/internal/target/kept.go
+++ b/internal/target/kept.go
@@ -9,45 +9,45 @@
 	"github.com/spoolbank/spoolbank/internal/clock"
 )
 
-// This file leaves connections to targets that have fallen silent.
+// This file detects reused connections to targets that have fallen silent.
 //
-// A kept connection is the one in doubt: it has rested, and nothing says that bytes still
-// pass. A request on it that has had no byte for longer than answers take is asked again on
-// a new connection, where it may be; the target itself is not at fault until that one is
-// silent too.
+// A connection that was idle is suspect: nothing shows that bytes still pass. A request on it
+// that has received no byte for longer than answers usually take is sent again on a new
+// connection, if it may be repeated. The target itself counts as failed only if the new
+// connection is silent too.
 
-// ErrKeptSilent is the kind of errors for requests on a kept connection that brought no
-// byte in time. It comes with ErrStale.
-var ErrKeptSilent = errors.New("kept connection is silent")
+// ErrKeptSilent is wrapped by errors of requests that received no byte in time on a reused
+// connection. Do returns it together with ErrStale.
+var ErrKeptSilent = errors.New("reused connection is silent")
 
-// redialsAtOnce bounds the connections that are made at once in the place of silent ones: a
-// VM has some 100 exchanges open, which are all found within one or two pauses, and a new
-// connection takes a few milliseconds.
-const redialsAtOnce = 16
+// maxConcurrentRedials bounds concurrent dials that replace silent connections: a VM has some 100
+// exchanges open, which are all found silent within one or two waits, and a dial takes a few
+// milliseconds.
+const maxConcurrentRedials = 16
 
-// KeptWait bounds the wait for the first byte on a kept connection.
+// KeptWait bounds the wait for the first byte on a reused connection.
 type KeptWait struct {
-	// For is how long is waited before Leave is asked, once; zero waits without end.
+	// For is the wait before Leave is called, once; zero waits without limit.
 	For time.Duration
-	// Leave reports whether to give the connection up: the request may be sent again.
+	// Leave reports whether to abandon the connection because the request may be sent again.
 	Leave func() bool
 }
 
-// waitsKept reports whether the first byte on a kept connection is waited for with a bound.
-func (l *link) waitsKept() bool {
+// boundsFirstByte reports whether the wait for the first byte is bounded by KeptWait.
+func (l *link) boundsFirstByte() bool {
 	return l.reused && !l.answered && l.request != nil && l.request.Kept.For > 0
 }
 
-// readKept reads the first bytes on a kept connection.
-func (l *link) readKept(p []byte) (int, error) {
+// readFirstBytes reads the first bytes of an answer on a reused connection.
+func (l *link) readFirstBytes(p []byte) (int, error) {
 	wait := l.request.Kept
 	if err := l.Conn.SetReadDeadline(clock.Socket(l.sentAt.Add(wait.For))); err != nil {
 		return 0, err
 	}
 	n, err := l.Conn.Read(p)
 	l.answered = n > 0
-	var late net.Error
-	timedOut := errors.As(err, &late) && late.Timeout()
+	var netErr net.Error
+	timedOut := errors.As(err, &netErr) && netErr.Timeout()
 	if timedOut && wait.Leave() {
 		return 0, ErrKeptSilent
 	}
@@ -61,39 +61,39 @@
 	return n, err
 }
 
-// takeFor returns a connection for a request. Those that take the place of silent ones are
-// made a few at once.
-func (x *Exchanger) takeFor(ctx context.Context, address string, r *Request) (*link, error) {
+// acquireFor returns a connection for a request. Concurrent dials that replace silent connections
+// are limited to maxConcurrentRedials.
+func (x *Exchanger) acquireFor(ctx context.Context, address string, r *Request) (*link, error) {
 	if !r.Again {
-		return x.take(ctx, address, r.Fresh)
+		return x.acquire(ctx, address, r.Fresh)
 	}
 	select {
-	case x.redials <- struct{}{}:
-		defer func() { <-x.redials }()
+	case x.redialSlots <- struct{}{}:
+		defer func() { <-x.redialSlots }()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	return x.take(ctx, address, r.Fresh)
+	return x.acquire(ctx, address, r.Fresh)
 }
 
-// Void closes the kept connections to an address that have had no byte since a time: one
-// of their age was found silent. It returns how many those were.
+// Void closes the idle connections to an address that have received no byte since a time,
+// because one that was idle as long was found silent. It returns how many it closed.
 func (x *Exchanger) Void(address string, since time.Time) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	kept := x.idle[address]
-	live := kept[:0]
-	for _, l := range kept {
-		if l.heardAt.Before(since) {
+	conns := x.idle[address]
+	live := conns[:0]
+	for _, l := range conns {
+		if l.lastUsedAt.Before(since) {
 			l.Conn.Close()
 			continue
 		}
 		live = append(live, l)
 	}
-	voided := len(kept) - len(live)
+	closed := len(conns) - len(live)
 	x.idle[address] = live
 	if len(live) == 0 {
 		delete(x.idle, address)
 	}
-	return voided
+	return closed
 }
--- a/internal/target/kept_test.go
+++ b/internal/target/kept_test.go
@@ -17,16 +17,17 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// keptWait is short: nothing in these tests is slow.
-const keptWait = 50 * time.Millisecond
+// firstByteWait is short because the targets of these tests answer at once, but where one is slowed.
+const firstByteWait = 50 * time.Millisecond
 
-// relayedTarget is a target behind a relay that answers everything, and the Exchanger.
-func relayedTarget(t *testing.T) (*fake.Relay, *target.Exchanger, *atomic.Int64) {
+// newRelayedTarget returns a relay in front of a target that answers every request, an Exchanger,
+// and its number of dials.
+func newRelayedTarget(t *testing.T) (*fake.Relay, *target.Exchanger, *atomic.Int64) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Keep-Alive", "timeout=600")
 		w.Header().Set("Id", "1")
-		_, _ = io.WriteString(w, "ok") // a caller that has left needs none
+		_, _ = io.WriteString(w, "ok") // the caller may have closed the connection
 	}))
 	relay, err := fake.NewRelay("127.0.0.1:0", server.Listener.Addr().String())
 	require.NoError(t, err)
@@ -39,7 +40,7 @@
 	return relay, target.NewExchanger(func() { dialled.Add(1) }), dialled
 }
 
-func askKept(x *target.Exchanger, address string, wait target.KeptWait) error {
+func requestReused(x *target.Exchanger, address string, wait target.KeptWait) error {
 	answer, err := x.Do(context.Background(), address, &target.Request{
 		Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Body: []byte("ask"), Kept: wait,
 		Matches: func(h http.Header) bool { return h.Get("Id") == "1" },
@@ -54,34 +55,34 @@
 
 func always() bool { return true }
 
-// A request on a kept connection that had fallen silent waited for as long as its caller.
-func TestASilentKeptConnectionIsLeft(t *testing.T) {
-	relay, x, dialled := relayedTarget(t)
-	wait := target.KeptWait{For: keptWait, Leave: always}
-	require.NoError(t, askKept(x, relay.Address(), wait))
-	require.NoError(t, askKept(x, relay.Address(), wait))
+// A request on a reused connection that had fallen silent waited until its caller's deadline.
+func TestSilentReusedConnectionIsAbandoned(t *testing.T) {
+	relay, x, dialled := newRelayedTarget(t)
+	wait := target.KeptWait{For: firstByteWait, Leave: always}
+	require.NoError(t, requestReused(x, relay.Address(), wait))
+	require.NoError(t, requestReused(x, relay.Address(), wait))
 	require.Equal(t, int64(1), dialled.Load())
 	relay.Silence()
-	err := askKept(x, relay.Address(), wait)
+	err := requestReused(x, relay.Address(), wait)
 	require.ErrorIs(t, err, target.ErrKeptSilent)
 	require.ErrorIs(t, err, target.ErrStale)
-	require.NoError(t, askKept(x, relay.Address(), wait))
+	require.NoError(t, requestReused(x, relay.Address(), wait))
 	require.Equal(t, int64(2), dialled.Load())
 }
 
-// Where the request may not be sent again, its answer is waited for to the end.
-func TestASlowAnswerIsWaitedForWhereNothingElseMayBeDone(t *testing.T) {
-	relay, x, _ := relayedTarget(t)
-	require.NoError(t, askKept(x, relay.Address(), target.KeptWait{}))
-	relay.Slow(2 * keptWait)
-	asked := 0
-	require.NoError(t, askKept(x, relay.Address(), target.KeptWait{For: keptWait, Leave: func() bool { asked++; return false }}))
-	require.Equal(t, 1, asked)
+// Where the request may not be repeated, its answer is awaited to the end.
+func TestSlowAnswerIsAwaitedIfRequestIsNotRepeatable(t *testing.T) {
+	relay, x, _ := newRelayedTarget(t)
+	require.NoError(t, requestReused(x, relay.Address(), target.KeptWait{}))
+	relay.Slow(2 * firstByteWait)
+	calls := 0
+	require.NoError(t, requestReused(x, relay.Address(), target.KeptWait{For: firstByteWait, Leave: func() bool { calls++; return false }}))
+	require.Equal(t, 1, calls)
 }
 
-// One silent connection tells of all those that have rested as long.
-func TestOneSilentConnectionVoidsTheOlderOnes(t *testing.T) {
-	relay, x, _ := relayedTarget(t)
+// One silent connection makes all those suspect that have been idle as long.
+func TestVoidClosesConnectionsIdleSince(t *testing.T) {
+	relay, x, _ := newRelayedTarget(t)
 	const kept = 5
 	fill := func(n int) {
 		var open []*target.Answer
@@ -100,15 +101,15 @@
 		}
 	}
 	fill(kept)
-	proof := time.Now()
+	cutoff := time.Now()
 	fill(1)
-	require.Equal(t, kept, x.Void(relay.Address(), proof))
+	require.Equal(t, kept, x.Void(relay.Address(), cutoff))
 	require.Equal(t, 1, x.Void(relay.Address(), time.Now()))
 	require.Zero(t, x.Void(relay.Address(), time.Now()))
 }
 
-// When all connections fall silent together, few are made at once in their place.
-func TestFewConnectionsAreMadeAtOnceInThePlaceOfSilentOnes(t *testing.T) {
+// When all connections fall silent together, only a few replacements are dialled at once.
+func TestConcurrentRedialsAreLimited(t *testing.T) {
 	var now, most atomic.Int64
 	release := make(chan struct{})
 	x := target.NewExchanger(func() {
@@ -126,15 +127,15 @@
 	var all sync.WaitGroup
 	for range requests {
 		all.Go(func() {
-			_, _ = x.Do(ctx, l.Addr().String(), &target.Request{ // nobody answers
+			_, _ = x.Do(ctx, l.Addr().String(), &target.Request{ // nothing answers
 				Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, Fresh: true, Again: true,
 				Matches: func(http.Header) bool { return true },
 			})
 		})
 	}
-	require.Eventually(t, func() bool { return now.Load() == target.RedialsAtOnce }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return now.Load() == target.MaxConcurrentRedials }, time.Minute, time.Millisecond)
 	cancel()
 	close(release)
 	all.Wait()
-	require.Equal(t, int64(target.RedialsAtOnce), most.Load())
+	require.Equal(t, int64(target.MaxConcurrentRedials), most.Load())
 }
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -14,16 +14,16 @@
 	"github.com/spoolbank/spoolbank/internal/clock"
 )
 
-// This file keeps connections to targets that have rested quietly, and makes new ones.
+// This file keeps idle connections to targets for reuse, and dials new ones.
 
-// take returns a quiet kept connection, or a new one.
-func (x *Exchanger) take(ctx context.Context, address string, fresh bool) (*link, error) {
+// acquire returns an idle connection with nothing to read, or a new one.
+func (x *Exchanger) acquire(ctx context.Context, address string, fresh bool) (*link, error) {
 	for !fresh {
 		l := x.pop(address)
 		if l == nil {
 			break
 		}
-		if l.quiet() {
+		if l.reusable() {
 			l.reused = true
 			return l, nil
 		}
@@ -34,20 +34,20 @@
 		return nil, err
 	}
 	x.Dialled()
-	l := &link{Conn: conn, address: address, pool: x, until: clock.Now().Add(idleDefault)}
-	l.reader = bufio.NewReaderSize(l, bufferSize)
+	l := &link{Conn: conn, address: address, pool: x, expiresAt: clock.Now().Add(defaultIdleTime)}
+	l.reader = bufio.NewReaderSize(l, readBufferBytes)
 	return l, nil
 }
 
 func (x *Exchanger) pop(address string) *link {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	kept := x.idle[address]
-	for len(kept) > 0 {
-		l := kept[len(kept)-1]
-		kept = kept[:len(kept)-1]
-		x.idle[address] = kept
-		if clock.Now().Before(l.until) {
+	conns := x.idle[address]
+	for len(conns) > 0 {
+		l := conns[len(conns)-1]
+		conns = conns[:len(conns)-1]
+		x.idle[address] = conns
+		if clock.Now().Before(l.expiresAt) {
 			return l
 		}
 		l.Conn.Close()
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// quiet reports whether a kept connection is open and has nothing to read.
-func (l *link) quiet() bool {
+// reusable reports whether an idle connection is open and has nothing to read.
+func (l *link) reusable() bool {
 	if l.reader.Buffered() > 0 {
 		return false
 	}
@@ -69,45 +69,45 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	var one [1]byte
 	err = raw.Read(func(fd uintptr) bool {
 		_, _, peek := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(peek, syscall.EAGAIN)
+		empty = errors.Is(peek, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
 func (x *Exchanger) push(l *link) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if len(x.idle[l.address]) >= idleMost {
+	if len(x.idle[l.address]) >= maxIdlePerAddress {
 		l.Conn.Close()
 		return
 	}
 	x.idle[l.address] = append(x.idle[l.address], l)
 }
 
-// Drop closes the kept connections to an address: what they led to runs no more.
+// Drop closes the idle connections to an address whose target no longer runs.
 func (x *Exchanger) Drop(address string) {
 	x.mu.Lock()
-	kept := x.idle[address]
+	conns := x.idle[address]
 	delete(x.idle, address)
 	x.mu.Unlock()
-	for _, l := range kept {
+	for _, l := range conns {
 		l.Conn.Close()
 	}
 }
 
-// Sweep closes the connections whose time is over.
+// Sweep closes the idle connections that have expired.
 func (x *Exchanger) Sweep(now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for address, kept := range x.idle {
-		live := kept[:0]
-		for _, l := range kept {
-			if now.Before(l.until) {
+	for address, conns := range x.idle {
+		live := conns[:0]
+		for _, l := range conns {
+			if now.Before(l.expiresAt) {
 				live = append(live, l)
 			} else {
 				l.Conn.Close()
@@ -120,16 +120,16 @@
 	}
 }
 
-// idleTime is how long a connection may be kept after this answer.
+// idleTime returns how long a connection may be kept idle after this answer.
 func idleTime(h http.Header) time.Duration {
 	_, text, found := strings.Cut(h.Get("Keep-Alive"), "timeout=")
 	if !found {
-		return idleDefault
+		return defaultIdleTime
 	}
 	text, _, _ = strings.Cut(text, ",")
 	seconds, err := strconv.Atoi(strings.TrimSpace(text))
 	if err != nil || seconds <= 0 {
-		return idleDefault
+		return defaultIdleTime
 	}
-	return time.Duration(idleShare * float64(seconds) * float64(time.Second))
+	return time.Duration(idleTimeFraction * float64(seconds) * float64(time.Second))
 }
--- a/internal/target/protocol.go
+++ b/internal/target/protocol.go
@@ -1,5 +1,5 @@
-// Package target is the protocol of the targets, as docs/TARGETS.md fixes
-// it: JSON over HTTP. It holds the messages and the client that a daemon uses.
+// Package target implements the protocol of the targets that docs/TARGETS.md
+// specifies, JSON over HTTP: the messages and the client of the daemon.
 package target
 
 import (
@@ -7,29 +7,29 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// The paths of a model engine.
+// The HTTP paths of a model engine.
 const (
 	PathRuns     = "/v1/runs"
 	PathRebuild  = "/v1/rebuild"
 	PathBoundary = "/v1/boundary"
 	PathRelease  = "/v1/release"
 	PathOrder    = "/v1/order"
-	// PathLoad is also that of a plain service.
+	// PathLoad is served by plain services, too.
 	PathLoad = "/v1/load"
 )
 
-// PathVMs is the path of the platform's list.
+// PathVMs is the path of the platform's list of VMs.
 const PathVMs = "/v1/vms"
 
-// RunOrder is a line of a POST to PathRuns. It asks the first stage of Chain to run positions of a
-// stream and to hand its activations on to the next one.
+// RunOrder is a line of a POST to PathRuns. It orders the first stage of Chain to run positions
+// of a stream and to forward its activations to the next stage.
 type RunOrder struct {
 	Stream   core.RequestID `json:"stream"`
 	Epoch    core.Epoch     `json:"epoch"`
 	Position int            `json:"position"`
 	Model    core.ModelRef  `json:"model"`
 	// Prompt or Token is the input of the first stage, Activations that of a
-	// later one.
+	// later stage.
 	Prompt      string       `json:"prompt,omitempty"`
 	Token       *core.Token  `json:"token,omitempty"`
 	Activations []uint64     `json:"activations,omitempty"`
@@ -42,16 +42,16 @@
 // RunReply answers a RunOrder.
 type RunReply struct {
 	Result core.RunResult `json:"result"`
-	// Target is the stage that the result speaks of, unless it is done.
+	// Target is the stage that Result refers to, unless it is ResultDone.
 	Target string     `json:"target,omitempty"`
 	Next   int        `json:"next,omitempty"`
 	Token  core.Token `json:"token"`
 	Finish string     `json:"finish,omitempty"`
-	// Load is that of the fullest stage, in thousandths of its slots.
+	// Load is that of the most loaded stage, in thousandths of its slots.
 	Load int `json:"load"`
 }
 
-// RebuildOrder asks an engine to make the KV cache of a range anew, for the
+// RebuildOrder orders an engine to rebuild the KV cache of a layer range for the
 // positions before Position.
 type RebuildOrder struct {
 	Stream        core.RequestID `json:"stream"`
@@ -71,7 +71,7 @@
 	Target string         `json:"target"`
 }
 
-// BoundaryOrder asks an engine for the activations that it has kept.
+// BoundaryOrder requests the activations that an engine has kept.
 type BoundaryOrder struct {
 	Stream core.RequestID `json:"stream"`
 	Epoch  core.Epoch     `json:"epoch"`
@@ -85,32 +85,32 @@
 	Activations []uint64       `json:"activations,omitempty"`
 }
 
-// ReleaseOrder tells an engine that a stream has ended there.
+// ReleaseOrder notifies an engine that a stream has ended.
 type ReleaseOrder struct {
 	Stream core.RequestID `json:"stream"`
 	Epoch  core.Epoch     `json:"epoch"`
 }
 
-// PlaceOrder tells an engine what to hold.
+// PlaceOrder orders an engine to hold layers of a model.
 type PlaceOrder struct {
 	Fence    core.Fence   `json:"fence"`
 	Model    string       `json:"model"`
 	Version  string       `json:"version"`
 	Adapters []string     `json:"adapters,omitempty"`
 	Layers   config.Range `json:"layers"`
-	// LifeMillis is how long the order may still be begun.
+	// LifeMillis is how long the engine may still begin to execute the order.
 	LifeMillis int64 `json:"life_millis"`
 }
 
-// OrderResult is what became of a PlaceOrder.
+// OrderResult is the outcome of a PlaceOrder.
 type OrderResult string
 
 // The results of a PlaceOrder.
 const (
 	OrderDone OrderResult = "done"
-	// OrderStale: the engine has carried out a later one.
+	// OrderStale: the engine has executed a later order.
 	OrderStale OrderResult = "stale"
-	// OrderBusy: streams still need what it holds now.
+	// OrderBusy: streams still need the layers that the engine holds.
 	OrderBusy OrderResult = "busy"
 )
 
@@ -119,25 +119,25 @@
 	Result OrderResult `json:"result"`
 }
 
-// LoadReport is what a target says of itself. It may lag.
+// LoadReport is the load that a target reports. It may lag.
 type LoadReport struct {
 	Busy    int  `json:"busy"`
 	Slots   int  `json:"slots"`
 	Leaving bool `json:"leaving"`
-	// Holding is the sequence of the order that was carried out last.
+	// Holding is the sequence number of the order that was executed last.
 	Holding uint64 `json:"holding"`
 }
 
-// VMState is what the platform says of one VM.
+// VMState is the state of one VM in the platform's list.
 type VMState struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
 }
 
-// VMLeaving is the state of a VM that goes away.
+// VMLeaving is the state of a VM that is being shut down.
 const VMLeaving = "leaving"
 
-// VMList is the platform's list.
+// VMList is the platform's list of VMs.
 type VMList struct {
 	VMs []VMState `json:"vms"`
 }
--- a/internal/target/rate_limit.go
+++ b/internal/target/rate_limit.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// HeaderLimit is how a plain service names, with any answer, the calls a second that it takes from
-// all VMs together; one without it takes as many as come.
+// HeaderLimit is the header in which a plain service names, with any answer, the calls a second
+// that it accepts from all VMs together. Without it there is no limit.
 const HeaderLimit = "Spoolbank-Limit"
 
-// ErrUnreadableLimit is the kind of errors for limits that can't be read.
+// ErrUnreadableLimit is returned for rate limits that can't be parsed.
 var ErrUnreadableLimit = errors.New("send requests a second, of 0 or above")
 
-// RateLimit reads the requests a second that a target takes, and whether it names any. Of several
-// numbers the lowest counts; the error says that one can't be read.
+// RateLimit parses the requests a second that a target accepts, and reports whether it names a
+// limit. The lowest of several values counts; an error says that at least one can't be parsed.
 func RateLimit(values []string) (perSecond float64, named bool, err error) {
 	for _, text := range values {
 		limit, unreadable := strconv.ParseFloat(strings.TrimSpace(text), 64)
--- a/internal/target/runlink.go
+++ b/internal/target/runlink.go
@@ -12,57 +12,57 @@
 	"time"
 )
 
-// This file carries runs to engines: one request that never ends for each
-// engine, whose body is a line for each order and whose answer a line for each
-// reply, in any order. A request for each token was measured first: it cost
-// more processor time than all else that an entry VM does for the token.
+// This file carries runs to engines: one long-lived request per engine, whose
+// body has a line for each order and whose answer has a line for each reply, in
+// any order. One request per token cost more processor time than everything
+// else that an entry VM does for the token.
 //
-// Lines gather while the last write is under way, so that a burst costs few
-// writes. A link that breaks fails all its open runs; the next run makes a new
-// one. A run whose caller stops waiting stays open at the engine, and its late
-// reply is dropped.
+// Lines are batched while the previous write is in progress, so that a burst
+// takes few writes. A link that breaks fails all its open runs; the next run
+// dials a new one. A run whose caller stops waiting stays open at the engine,
+// and its late reply is dropped.
 
-// RunLine is one order on a link.
+// RunLine is one order on a link, with its number.
 type RunLine struct {
 	Number uint64   `json:"number"`
 	Order  RunOrder `json:"order"`
 }
 
-// ReplyLine is the reply to the RunLine of the same number.
+// ReplyLine is the reply to the RunLine with the same number.
 type ReplyLine struct {
 	Number uint64   `json:"number"`
 	Reply  RunReply `json:"reply"`
 }
 
-// errLinkBroken is why the open runs of a broken link fail.
+// errLinkBroken is the error of the open runs of a broken link.
 var errLinkBroken = errors.New("target: the link to the engine broke")
 
 // runLinks holds one link for each engine's address.
 type runLinks struct {
-	mu     sync.Mutex
-	client *http.Client
-	links  map[string]*runLink
-	terms  silenceTerms
+	mu        sync.Mutex
+	client    *http.Client
+	links     map[string]*runLink
+	detection silenceDetection
 }
 
-func newRunLinks(client *http.Client, terms silenceTerms) *runLinks {
-	return &runLinks{client: client, links: make(map[string]*runLink), terms: terms}
+func newRunLinks(client *http.Client, detection silenceDetection) *runLinks {
+	return &runLinks{client: client, links: make(map[string]*runLink), detection: detection}
 }
 
 // runLink is the link to one engine.
 type runLink struct {
-	writer *LineWriter
-	body   io.Closer
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	number uint64
-	open   map[uint64]chan RunReply
-	broken bool
-	runWatch
+	writer     *LineWriter
+	body       io.Closer
+	cancel     context.CancelFunc
+	mu         sync.Mutex
+	lastNumber uint64
+	pending    map[uint64]chan RunReply
+	broken     bool
+	linkMonitor
 }
 
-// Run sends an order and waits for its reply. Over a new link it is sent once more where the
-// first was silent: an engine repeats what it has run already.
+// Run sends an order and waits for its reply. If the link is found silent, the order is sent
+// once more over a new one: an engine repeats its reply to an order that it has run already.
 func (l *runLinks) Run(ctx context.Context, address string, order RunOrder) (RunReply, error) {
 	reply, err := l.runOnce(ctx, address, order)
 	if errors.Is(err, errLinkSilent) && ctx.Err() == nil {
@@ -73,18 +73,18 @@
 
 func (l *runLinks) runOnce(ctx context.Context, address string, order RunOrder) (RunReply, error) {
 	link := l.link(address)
-	number, reply, ok := link.begin()
+	number, reply, ok := link.register()
 	if !ok {
 		return RunReply{}, errLinkBroken
 	}
-	defer link.end(number)
+	defer link.unregister(number)
 	if err := link.writer.Write(RunLine{Number: number, Order: order}); err != nil {
 		return RunReply{}, err
 	}
 	select {
 	case r, ok := <-reply:
 		if !ok {
-			return RunReply{}, link.whyBroken()
+			return RunReply{}, link.brokenErr()
 		}
 		return r, nil
 	case <-ctx.Done():
@@ -92,7 +92,7 @@
 	}
 }
 
-// link returns the link to an address, and makes it where there is none.
+// link returns the link to an address, and creates it if there is none or it is broken.
 func (l *runLinks) link(address string) *runLink {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	reader, writer := io.Pipe()
-	link := &runLink{writer: NewLineWriter(writer, nil), body: writer, cancel: cancel, open: make(map[uint64]chan RunReply), runWatch: newRunWatch(address, l.terms)}
+	link := &runLink{writer: NewLineWriter(writer, nil), body: writer, cancel: cancel, pending: make(map[uint64]chan RunReply), linkMonitor: newLinkMonitor(address, l.detection)}
 	l.links[address] = link
 	go link.serve(ctx, l.client, address, reader)
 	return link
@@ -113,26 +113,26 @@
 	return l.broken
 }
 
-func (l *runLink) begin() (uint64, chan RunReply, bool) {
+func (l *runLink) register() (uint64, chan RunReply, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.broken {
 		return 0, nil, false
 	}
-	l.number++
+	l.lastNumber++
 	reply := make(chan RunReply, 1)
-	l.open[l.number] = reply
-	l.sentLine(time.Now())
-	return l.number, reply, true
+	l.pending[l.lastNumber] = reply
+	l.recordSent(time.Now())
+	return l.lastNumber, reply, true
 }
 
-func (l *runLink) end(number uint64) {
+func (l *runLink) unregister(number uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.open, number)
+	delete(l.pending, number)
 }
 
-// serve makes the request and reads replies until the link breaks.
+// serve sends the request and reads replies until the link breaks.
 func (l *runLink) serve(ctx context.Context, client *http.Client, address string, body io.ReadCloser) {
 	defer l.breakAll()
 	defer body.Close()
@@ -163,19 +163,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.state = l.state.Heard(time.Now())
-	if reply, ok := l.open[line.Number]; ok {
-		delete(l.open, line.Number)
+	if reply, ok := l.pending[line.Number]; ok {
+		delete(l.pending, line.Number)
 		reply <- line.Reply
 	}
 }
 
-// breakAll fails the open runs.
+// breakAll fails the open runs and closes the link.
 func (l *runLink) breakAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.broken = true
-	for number, reply := range l.open {
-		delete(l.open, number)
+	for number, reply := range l.pending {
+		delete(l.pending, number)
 		close(reply)
 	}
 	l.cancel()
@@ -183,8 +183,8 @@
 	l.writer.Close()
 }
 
-// LineWriter writes JSON lines. Lines that come while a write is under way
-// gather and go out together.
+// LineWriter writes JSON lines. Lines that are added while a write is in
+// progress are batched into the next write.
 type LineWriter struct {
 	flush  func() error
 	mu     sync.Mutex
@@ -194,11 +194,11 @@
 	done   chan struct{}
 }
 
-// errWriterClosed is the error of a write after Close.
+// errWriterClosed is returned by a Write after Close.
 var errWriterClosed = errors.New("target: the writer is closed")
 
 // NewLineWriter returns a LineWriter that writes to w and then calls flush,
-// which may be nil. Close ends its goroutine.
+// which may be nil. Close stops its goroutine.
 func NewLineWriter(w io.Writer, flush func() error) *LineWriter {
 	l := &LineWriter{flush: flush, done: make(chan struct{})}
 	l.wake = sync.NewCond(&l.mu)
@@ -206,7 +206,7 @@
 	return l
 }
 
-// Write adds a line. An error says that an earlier write has failed.
+// Write adds a line. It returns the error of an earlier write that failed.
 func (l *LineWriter) Write(value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -222,13 +222,13 @@
 	return nil
 }
 
-// CloseAndWait ends the writer and waits until it no longer writes.
+// CloseAndWait closes the writer and waits until its goroutine has returned.
 func (l *LineWriter) CloseAndWait() {
 	l.Close()
 	<-l.done
 }
 
-// Close ends the writer; what has not been written is dropped.
+// Close closes the writer; lines that have not been written are dropped.
 func (l *LineWriter) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -258,7 +258,7 @@
 	}
 }
 
-// next waits for lines and returns them; spare becomes the next buffer.
+// next waits for lines and returns them as one batch; spare becomes the next buffer.
 func (l *LineWriter) next(spare []byte) ([]byte, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -281,7 +281,7 @@
 	}
 }
 
-// ServeRuns serves the other end of a link: it hands each order to run, each
+// ServeRuns serves the engine's end of a link: it calls run for each order, each
 // in a goroutine of its own, until the link ends.
 func ServeRuns(w http.ResponseWriter, r *http.Request, run func(context.Context, RunOrder) RunReply) {
 	control := http.NewResponseController(w)
@@ -307,8 +307,8 @@
 		if err := lines.Decode(&line); err != nil {
 			return
 		}
-		if line.Number == numberAlive {
-			_ = writer.Write(ReplyLine{}) // a link that has ended needs no answer
+		if line.Number == probeNumber {
+			_ = writer.Write(ReplyLine{}) // a link that has ended needs no reply
 			continue
 		}
 		open.Go(func() {
--- a/internal/target/silence.go
+++ b/internal/target/silence.go
@@ -9,66 +9,66 @@
 	"github.com/spoolbank/spoolbank/internal/silence"
 )
 
-// This file leaves the connections of a Client that have fallen silent: run links, which
-// package silence decides about, and kept ones that a look at a target goes over.
+// This file closes the connections of a Client that have fallen silent: the links that carry
+// runs, which package silence judges, and the idle HTTP connections that watch requests reuse.
 
-// Found is told of each connection that is left for its silence: its kind, the address, how
-// long it said nothing, and the wait that was over.
-type Found func(kind, address string, age, bound time.Duration)
+// SilentFunc is called for each connection that is closed for its silence, with its kind, the
+// address, how long it was silent, and the time limit that it exceeded.
+type SilentFunc func(kind, address string, age, bound time.Duration)
 
-// silenceTerms says within which time silent connections are left, and who is told.
-type silenceTerms struct {
-	bound time.Duration
-	found Found
+// silenceDetection holds the time limit for silent connections and the callback for closed ones.
+type silenceDetection struct {
+	bound    time.Duration
+	onSilent SilentFunc
 }
 
-// The kinds of connections of a Client that fall silent.
+// The kinds of connections of a Client that can fall silent.
 const (
-	silentRuns  = "runs"
-	silentWatch = "watch"
+	kindRuns  = "runs"
+	kindWatch = "watch"
 )
 
-// errLinkSilent is why the open runs of a link fail that nothing comes back from.
+// errLinkSilent is the error of the open runs of a link that was found silent.
 var errLinkSilent = errors.New("target: the link to the engine is silent")
 
-// numberAlive is that of a line which asks whether the link lives. It bears no order, and
-// is answered at once.
-const numberAlive = 0
+// probeNumber is the number of a line that probes whether the link is alive. It carries no
+// order and is answered at once.
+const probeNumber = 0
 
-// WithSilence returns a Client with connections of its own that leaves silent ones within a
-// bound, and tells found; zero leaves them to the kernel.
-func (c *Client) WithSilence(bound time.Duration, found Found) *Client {
+// WithSilence returns a Client with run links of its own. It closes silent connections within
+// bound and reports them to onSilent; a bound of zero leaves them to the kernel.
+func (c *Client) WithSilence(bound time.Duration, onSilent SilentFunc) *Client {
 	next := *c
-	next.silence = silenceTerms{bound: bound, found: found}
+	next.silence = silenceDetection{bound: bound, onSilent: onSilent}
 	next.runs = newRunLinks(c.http, next.silence)
 	return &next
 }
 
-// get asks with GET, and once more on a new connection where no answer comes within half
-// the bound: the target is not at fault until that is silent too.
+// get sends a GET request, and repeats it on a new connection if no answer comes within half
+// the bound: the target counts as failed only if the new connection is silent too.
 func get[Reply any](ctx context.Context, c *Client, url string) (Reply, error) {
 	began := time.Now()
 	if c.silence.bound <= 0 {
-		return getOn[Reply](ctx, c, url)
+		return getOnce[Reply](ctx, c, url)
 	}
 	wait := c.silence.bound / 2
 	first, cancel := context.WithTimeout(ctx, wait)
-	reply, err := getOn[Reply](first, c, url)
+	reply, err := getOnce[Reply](first, c, url)
 	late := first.Err() != nil && ctx.Err() == nil
 	cancel()
 	if err == nil || !late {
 		return reply, err
 	}
-	reply, err = getOn[Reply](ctx, &Client{http: c.fresh}, url)
+	reply, err = getOnce[Reply](ctx, &Client{http: c.fresh}, url)
 	if err == nil {
-		// Others that have rested as long are in doubt too.
+		// Other connections that have been idle as long are suspect, too.
 		c.http.CloseIdleConnections()
-		c.silence.found(silentWatch, url, time.Since(began), wait)
+		c.silence.onSilent(kindWatch, url, time.Since(began), wait)
 	}
 	return reply, err
 }
 
-func getOn[Reply any](ctx context.Context, c *Client, url string) (Reply, error) {
+func getOnce[Reply any](ctx context.Context, c *Client, url string) (Reply, error) {
 	var none Reply
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -77,61 +77,61 @@
 	return roundTrip[Reply](c, request)
 }
 
-// runWatch looks after the link to one engine. The link's mutex guards it.
-type runWatch struct {
-	address string
-	terms   silenceTerms
-	state   silence.Link
-	// armed says that a look is due, silent that the link was left.
+// linkMonitor monitors the link to one engine. The link's mutex guards it.
+type linkMonitor struct {
+	address   string
+	detection silenceDetection
+	state     silence.Link
+	// armed says that a check is scheduled, silent that the link was closed as silent.
 	armed, silent bool
 }
 
-func newRunWatch(address string, terms silenceTerms) runWatch {
-	return runWatch{address: address, terms: terms, state: silence.NewLink(terms.bound)}
+func newLinkMonitor(address string, detection silenceDetection) linkMonitor {
+	return linkMonitor{address: address, detection: detection, state: silence.NewLink(detection.bound)}
 }
 
-// sentLine notes a line that is sent.
-func (l *runLink) sentLine(now time.Time) {
+// recordSent records that a line was sent.
+func (l *runLink) recordSent(now time.Time) {
 	l.state, _ = l.state.Sent(now)
 	l.arm(now)
 }
 
-// arm has the link looked at when that is due.
+// arm schedules the next check of the link, if one is due.
 func (l *runLink) arm(now time.Time) {
 	due, any := l.state.Due()
 	if !any || l.armed || l.broken {
 		return
 	}
 	l.armed = true
-	time.AfterFunc(due.Sub(now), l.look)
+	time.AfterFunc(due.Sub(now), l.check)
 }
 
-// look asks over a link that nothing has come back from, and breaks it where the answer is
-// missing.
-func (l *runLink) look() {
+// check inspects a link on which replies are outstanding. It sends a probe, or breaks the link
+// if the probe has not been answered in time.
+func (l *runLink) check() {
 	now := time.Now()
 	l.mu.Lock()
 	l.armed = false
-	age, patience := l.state.OpenFor(now), l.state.Patience()
+	age, timeout := l.state.OpenFor(now), l.state.Patience()
 	state, action := l.state.Look(now)
 	l.state = state
 	if action == silence.Ask {
 		l.state = state.Asked(now)
-		_ = l.writer.Write(RunLine{Number: numberAlive}) // one that can't be sent stays without an answer
+		_ = l.writer.Write(RunLine{Number: probeNumber}) // a probe that can't be sent remains unanswered
 	}
-	// The next look may be due before the link is broken.
-	left := action == silence.Void && !l.broken && !l.silent
-	l.silent = l.silent || left
+	// The next check may become due before the link is broken.
+	expired := action == silence.Void && !l.broken && !l.silent
+	l.silent = l.silent || expired
 	l.arm(now)
 	l.mu.Unlock()
-	if left {
+	if expired {
 		l.breakAll()
-		l.terms.found(silentRuns, l.address, age, patience)
+		l.detection.onSilent(kindRuns, l.address, age, timeout)
 	}
 }
 
-// whyBroken returns why the open runs of a link failed.
-func (l *runLink) whyBroken() error {
+// brokenErr returns the error for the open runs of a broken link.
+func (l *runLink) brokenErr() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.silent {
--- a/internal/target/silence_test.go
+++ b/internal/target/silence_test.go
@@ -17,11 +17,11 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// silenceBound is short: the engines of these tests answer at once.
+// silenceBound is short because the engines of these tests answer at once, but where one is slow.
 const silenceBound = 800 * time.Millisecond
 
-// behindRelay returns a relay before a server, which ends with the test.
-func behindRelay(t *testing.T, server *httptest.Server) *fake.Relay {
+// newRelayFor starts a relay in front of a server; it is closed at the end of the test.
+func newRelayFor(t *testing.T, server *httptest.Server) *fake.Relay {
 	t.Helper()
 	relay, err := fake.NewRelay("127.0.0.1:0", server.Listener.Addr().String())
 	require.NoError(t, err)
@@ -29,35 +29,35 @@
 	return relay
 }
 
-// foundKinds counts what a Client tells of.
-type foundKinds struct {
-	mu    sync.Mutex
-	kinds map[string]int
+// silentCounts counts the silent connections that a Client reports, by kind.
+type silentCounts struct {
+	mu     sync.Mutex
+	counts map[string]int
 }
 
-func (f *foundKinds) take(kind, _ string, _, _ time.Duration) {
+func (f *silentCounts) record(kind, _ string, _, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.kinds == nil {
-		f.kinds = make(map[string]int)
+	if f.counts == nil {
+		f.counts = make(map[string]int)
 	}
-	f.kinds[kind]++
+	f.counts[kind]++
 }
 
-func (f *foundKinds) of(kind string) int {
+func (f *silentCounts) count(kind string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.kinds[kind]
+	return f.counts[kind]
 }
 
-// All runs over a link that had fallen silent waited until their engine counted as dead.
-func TestASilentRunLinkIsLeftAndItsRunsGoOn(t *testing.T) {
+// All runs on a link that had fallen silent waited until their engine was declared dead.
+func TestSilentRunLinkIsReplacedAndRunsRepeated(t *testing.T) {
 	server := engine(t, func(_ context.Context, o target.RunOrder) target.RunReply {
 		return target.RunReply{Result: core.ResultDone, Next: o.Position + 1}
 	})
-	relay := behindRelay(t, server)
-	var found foundKinds
-	client := target.NewClient().WithSilence(silenceBound, found.take)
+	relay := newRelayFor(t, server)
+	var found silentCounts
+	client := target.NewClient().WithSilence(silenceBound, found.record)
 	run := func(position int) core.RunEnded {
 		now := time.Now()
 		return client.Run(t.Context(), core.Run{
@@ -73,12 +73,12 @@
 		all.Go(func() { require.Equal(t, core.ResultDone, run(i+1).Result) })
 	}
 	all.Wait()
-	require.Equal(t, 1, found.of("runs"))
+	require.Equal(t, 1, found.count("runs"))
 	require.Equal(t, 2, relay.Joined())
 }
 
-// An engine that takes long over an order answers the question on its link.
-func TestASlowRunKeepsItsLink(t *testing.T) {
+// An engine that takes long to run an order still answers probes on its link.
+func TestSlowRunKeepsItsLink(t *testing.T) {
 	release := make(chan struct{})
 	server := engine(t, func(ctx context.Context, o target.RunOrder) target.RunReply {
 		if o.Position > 0 {
@@ -86,9 +86,9 @@
 		}
 		return target.RunReply{Result: core.ResultDone}
 	})
-	relay := behindRelay(t, server)
-	var found foundKinds
-	client := target.NewClient().WithSilence(silenceBound, found.take)
+	relay := newRelayFor(t, server)
+	var found silentCounts
+	client := target.NewClient().WithSilence(silenceBound, found.record)
 	order := target.RunOrder{Stream: "s"}
 	_, err := client.RunOrder(t.Context(), relay.Address(), order)
 	require.NoError(t, err)
@@ -96,30 +96,30 @@
 	order.Position = 1
 	_, err = client.RunOrder(t.Context(), relay.Address(), order)
 	require.NoError(t, err)
-	require.Zero(t, found.of("runs"))
+	require.Zero(t, found.count("runs"))
 	require.Equal(t, 1, relay.Joined())
 }
 
-// A target whose kept connection had fallen silent counted as not reached.
-func TestALookOverASilentConnectionIsRepeatedOnANewOne(t *testing.T) {
-	var looks atomic.Int64
+// A target whose reused connection had fallen silent was counted as unreachable.
+func TestWatchOverSilentConnectionIsRepeatedOnNewOne(t *testing.T) {
+	var answered atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		looks.Add(1)
-		_, _ = io.WriteString(w, "{}") // a client that has left needs none
+		answered.Add(1)
+		_, _ = io.WriteString(w, "{}") // the client may have closed the connection
 	}))
 	t.Cleanup(func() {
 		require.NoError(t, server.Config.Close())
 		server.Close()
 	})
-	relay := behindRelay(t, server)
-	var found foundKinds
-	client := target.NewClient().WithSilence(silenceBound, found.take)
+	relay := newRelayFor(t, server)
+	var found silentCounts
+	client := target.NewClient().WithSilence(silenceBound, found.record)
 	watch := core.Watch{Target: "t", Address: relay.Address()}
 	require.True(t, client.Watch(t.Context(), watch).Report.Reached)
 	relay.Silence()
 	require.True(t, client.Watch(t.Context(), watch).Report.Reached)
-	require.Equal(t, 1, found.of("watch"))
+	require.Equal(t, 1, found.count("watch"))
 	require.True(t, client.Watch(t.Context(), watch).Report.Reached)
-	require.Equal(t, 1, found.of("watch"))
-	require.Equal(t, int64(3), looks.Load())
+	require.Equal(t, 1, found.count("watch"))
+	require.Equal(t, int64(3), answered.Load())
 }
