--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,22 +1,24 @@
-// Package clock tells the time by which promises to others are kept.
+// Package clock provides a monotonic clock that includes the time for which the VM was suspended.
 //
-// A VM may be suspended for seconds. The kernel's steady clock, which Go's times and timers go
-// by, stands meanwhile; everybody else's goes on. By it a leader that wakes up would still hold
-// a lease that has run out, an entry VM would route by a configuration that was replaced, and a
-// target would be given time that its caller no longer has. So every lease, fence and deadline
-// that others count too is told by the times of this package: the steady clock, and the time
-// that the VM was suspended since the process began.
+// A VM may be suspended for seconds. CLOCK_MONOTONIC, on which Go's times and timers are based,
+// stops meanwhile, while the clocks of other VMs go on. By that clock, a leader that resumes would
+// still hold a lease that has expired, an entry VM would route by a configuration that was
+// replaced, and a target would be given time that its caller no longer has. So every lease, fence
+// and deadline that other processes rely on uses the times of this package: the monotonic time
+// plus the time that the VM was suspended since the process started.
 //
-// Whoever is about to act on a promise calls Sampled, which asks the kernel. Now adds what was
-// sampled last, and costs no system call: the daemon samples with each event, of which there
-// are some tens a second, and with each request that it takes.
+// Code that is about to act under a lease, fence or deadline calls Sampled, which reads the
+// kernel's clocks. Now adds the suspensions that were sampled last, and makes no system call for
+// them: the daemon samples with each event, some tens a second, and with each request that it
+// accepts.
 //
-// Waits go by Go's timers and sockets, which stand too: until is turned into one with Until,
-// Socket or WithDeadline, and whoever wakes from it looks at the time again. Times of this
-// package are compared with each other only. Their wall clock part is ahead by the suspensions.
+// Go's timers and sockets stop during a suspension, too. Until, Socket and WithDeadline convert a
+// time of this package for them, and code that wakes up from such a wait must check the time again.
+// Times of this package may only be compared with each other; their wall clock part is ahead by
+// the suspensions.
 //
-// Limits: what is decided just before a suspension is done just after it; a target's own
-// deadline, which came with the request, bounds that.
+// Limits: an action that was decided just before a suspension is carried out just after it. The
+// target's own deadline, which is sent with the request, bounds its effect.
 package clock
 
 import (
@@ -28,49 +30,49 @@
 	"golang.org/x/sys/unix"
 )
 
-// Source reads the kernel's clocks: the steady one, which stands while the VM is suspended, and
-// the one that goes on.
-type Source func() (steady, boot time.Duration, err error)
+// Source reads the kernel's clocks: the monotonic one, which stops while the VM is suspended, and
+// the boot-time clock, which does not.
+type Source func() (monotonic, boot time.Duration, err error)
 
-// Kernel is the Source of this machine.
-func Kernel() (steady, boot time.Duration, err error) {
+// KernelClocks is the Source that reads this VM's clocks.
+func KernelClocks() (monotonic, boot time.Duration, err error) {
 	var s, b unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &s); err != nil {
-		return 0, 0, fmt.Errorf("steady clock: %w", err)
+		return 0, 0, fmt.Errorf("monotonic clock: %w", err)
 	}
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &b); err != nil {
-		return 0, 0, fmt.Errorf("clock that counts suspensions: %w; suspensions are not noticed", err)
+		return 0, 0, fmt.Errorf("boot-time clock: %w; suspensions are not detected", err)
 	}
 	return time.Duration(s.Nano()), time.Duration(b.Nano()), nil
 }
 
-// shortest is the shortest suspension that counts. Two clocks are read one after the other, and
-// this thread may wait between; leases have a margin for drift that is far larger.
-const shortest = 10 * time.Millisecond
+// minSuspension is the shortest suspension that is counted. The two clocks are read one after the
+// other, and the thread may be preempted in between; the drift margin of leases is far larger.
+const minSuspension = 10 * time.Millisecond
 
-// Suspensions adds up the time for which a VM was suspended. Use NewSuspensions. It is safe for
-// use by several goroutines at once.
+// Suspensions sums up the time for which a VM was suspended. Create it with NewSuspensions. It is
+// safe for concurrent use.
 type Suspensions struct {
 	source Source
-	// ahead is how far the clock that goes on was ahead at the beginning.
-	ahead time.Duration
-	total atomic.Int64
+	// initialOffset is how far the boot-time clock was ahead of the monotonic one at the start.
+	initialOffset time.Duration
+	total         atomic.Int64
 }
 
-// NewSuspensions begins to count. Where the source can't be read, nothing is ever counted: the
-// error says why.
+// NewSuspensions starts counting. It returns the error if the source can't be read; nothing is
+// counted while that lasts.
 func NewSuspensions(source Source) (*Suspensions, error) {
 	s := &Suspensions{source: source}
-	ahead, err := s.read()
-	s.ahead = ahead
+	offset, err := s.read()
+	s.initialOffset = offset
 	return s, err
 }
 
-// read returns how far the clock that goes on is ahead of the steady one. Where this thread had
-// to wait between the two, it reads again.
+// read returns how far the boot-time clock is ahead of the monotonic one. It reads again if the
+// thread was preempted between the two clocks.
 func (s *Suspensions) read() (time.Duration, error) {
 	const tries = 3
-	least := time.Duration(0)
+	smallest := time.Duration(0)
 	for i := range tries {
 		before, boot, err := s.source()
 		if err != nil {
@@ -80,28 +82,28 @@
 		if err != nil {
 			return 0, err
 		}
-		ahead := boot - before
-		if i == 0 || ahead < least {
-			least = ahead
+		offset := boot - before
+		if i == 0 || offset < smallest {
+			smallest = offset
 		}
-		if after-before < shortest/10 {
+		if after-before < minSuspension/10 {
 			break
 		}
 	}
-	return least, nil
+	return smallest, nil
 }
 
-// Sample looks whether the VM was suspended, and returns the whole time that it was. What
-// can't be read now was not.
+// Sample checks whether the VM was suspended since the last call, and returns the total time of
+// suspension. If the clocks can't be read, it returns the total as sampled last.
 func (s *Suspensions) Sample() time.Duration {
-	ahead, err := s.read()
+	offset, err := s.read()
 	if err != nil {
 		return s.Total()
 	}
 	for {
 		known := s.total.Load()
-		found := int64(ahead - s.ahead)
-		if found < known+int64(shortest) {
+		found := int64(offset - s.initialOffset)
+		if found < known+int64(minSuspension) {
 			return time.Duration(known)
 		}
 		if s.total.CompareAndSwap(known, found) {
@@ -110,48 +112,48 @@
 	}
 }
 
-// Total returns the whole time that the VM was suspended, as sampled last.
+// Total returns the total time of suspension, as sampled last.
 func (s *Suspensions) Total() time.Duration { return time.Duration(s.total.Load()) }
 
-// process counts for this process.
-var process atomic.Pointer[Suspensions]
+// processSuspensions counts the suspensions of this process.
+var processSuspensions atomic.Pointer[Suspensions]
 
-// processErr is why suspensions are not counted, nil where they are.
-var processErr error
+// detectionErr is why suspensions can't be counted, or nil.
+var detectionErr error
 
 func init() {
-	s, err := NewSuspensions(Kernel)
-	process.Store(s)
-	processErr = err
+	s, err := NewSuspensions(KernelClocks)
+	processSuspensions.Store(s)
+	detectionErr = err
 }
 
-// Err returns why suspensions of this VM are not noticed, or nil.
-func Err() error { return processErr }
+// Err returns why suspensions of this VM can't be detected, or nil.
+func Err() error { return detectionErr }
 
-// Use has this process count by other clocks until restore, for tests.
+// Use makes this process read other clocks until restore is called, for tests.
 func Use(source Source) (restore func(), err error) {
 	s, err := NewSuspensions(source)
-	before := process.Swap(s)
-	return func() { process.Store(before) }, err
+	before := processSuspensions.Swap(s)
+	return func() { processSuspensions.Store(before) }, err
 }
 
-// Now returns the time, by the suspensions that were sampled last.
-func Now() time.Time { return time.Now().Add(process.Load().Total()) }
+// Now returns the time, including the suspensions that were sampled last.
+func Now() time.Time { return time.Now().Add(processSuspensions.Load().Total()) }
 
-// Sampled returns the time, and looks whether the VM was suspended.
-func Sampled() time.Time { return time.Now().Add(process.Load().Sample()) }
+// Sampled returns the time, after it has checked whether the VM was suspended.
+func Sampled() time.Time { return time.Now().Add(processSuspensions.Load().Sample()) }
 
-// Suspended returns the whole time that this VM was suspended since the process began, as
+// Suspended returns the total time that this VM was suspended since the process started, as
 // sampled last.
-func Suspended() time.Duration { return process.Load().Total() }
+func Suspended() time.Duration { return processSuspensions.Load().Total() }
 
-// Since returns the time since a time of this package.
+// Since returns the time elapsed since t, a time of this package.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until a time of this package.
+// Until returns the duration until t, a time of this package.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Socket returns a time of this package as sockets and timers of this process count.
+// Socket converts a time of this package to a deadline for Go's sockets and timers.
 func Socket(t time.Time) time.Time {
 	if t.IsZero() {
 		return t
@@ -159,8 +161,8 @@
 	return time.Now().Add(Until(t))
 }
 
-// WithDeadline returns a context that ends at a time of this package, or later by a suspension
-// that begins after this.
+// WithDeadline returns a context that ends at a time of this package, or later by the length of
+// any suspension that begins after this call.
 func WithDeadline(ctx context.Context, until time.Time) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(ctx, Socket(until))
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,28 +10,28 @@
 	"github.com/spoolbank/spoolbank/internal/clock"
 )
 
-// machine is a VM whose clocks a test sets.
-type machine struct {
-	steady, boot time.Duration
-	// wait is how long the thread waits between the two clocks at the next reading.
-	wait time.Duration
-	err  error
+// fakeClocks simulates the clocks of a VM.
+type fakeClocks struct {
+	monotonic, boot time.Duration
+	// preempted is how long the thread is preempted between the two clocks at the next reading.
+	preempted time.Duration
+	err       error
 }
 
-func (m *machine) read() (steady, boot time.Duration, err error) {
-	steady = m.steady
-	m.steady += m.wait
-	m.boot += m.wait
-	m.wait = 0
-	return steady, m.boot, m.err
+func (m *fakeClocks) read() (monotonic, boot time.Duration, err error) {
+	monotonic = m.monotonic
+	m.monotonic += m.preempted
+	m.boot += m.preempted
+	m.preempted = 0
+	return monotonic, m.boot, m.err
 }
 
 func TestSuspensionsAddUp(t *testing.T) {
-	m := &machine{steady: time.Hour, boot: 3 * time.Hour}
+	m := &fakeClocks{monotonic: time.Hour, boot: 3 * time.Hour}
 	s, err := clock.NewSuspensions(m.read)
 	require.NoError(t, err)
-	require.Zero(t, s.Sample(), "what was before the process counts for nothing")
-	m.steady += time.Minute
+	require.Zero(t, s.Sample(), "suspensions before the process started are not counted")
+	m.monotonic += time.Minute
 	m.boot += time.Minute
 	require.Zero(t, s.Sample())
 	m.boot += 5 * time.Second
@@ -43,26 +43,26 @@
 	require.Equal(t, 7*time.Second, s.Sample(), "too short to count")
 }
 
-func TestAThreadThatWaitsBetweenTheClocksIsNotSuspended(t *testing.T) {
-	m := &machine{}
+func TestPreemptionBetweenClocksIsNoSuspension(t *testing.T) {
+	m := &fakeClocks{}
 	s, err := clock.NewSuspensions(m.read)
 	require.NoError(t, err)
-	m.wait = 300 * time.Millisecond
+	m.preempted = 300 * time.Millisecond
 	require.Zero(t, s.Sample())
 }
 
-func TestClocksThatCannotBeReadCountNothing(t *testing.T) {
-	m := &machine{err: errors.New("none")}
+func TestUnreadableClocksCountNothing(t *testing.T) {
+	m := &fakeClocks{err: errors.New("none")}
 	s, err := clock.NewSuspensions(m.read)
 	require.Error(t, err)
 	m.boot += time.Hour
 	require.Zero(t, s.Sample())
 }
 
-// A lease that ran out during a suspension has run out for the VM that wakes up, although Go's
-// clock stood still.
-func TestALeaseRunsOutDuringASuspension(t *testing.T) {
-	m := &machine{}
+// A lease that expires during a suspension has expired for the resumed VM, although Go's
+// monotonic clock was stopped.
+func TestLeaseExpiresDuringSuspension(t *testing.T) {
+	m := &fakeClocks{}
 	restore, err := clock.Use(m.read)
 	require.NoError(t, err)
 	defer restore()
@@ -70,7 +70,7 @@
 	require.True(t, clock.Now().Before(until))
 	m.boot += 4 * time.Second
 	require.False(t, clock.Sampled().Before(until))
-	require.False(t, clock.Now().Before(until), "and for all who look after that")
+	require.False(t, clock.Now().Before(until), "Now must include the suspension that Sampled found")
 	require.Negative(t, clock.Until(until))
 	require.False(t, clock.Socket(until).After(time.Now()))
 	ctx, cancel := clock.WithDeadline(t.Context(), until)
@@ -78,6 +78,6 @@
 	require.Error(t, ctx.Err())
 }
 
-func TestThisMachineHasBothClocks(t *testing.T) {
+func TestVMHasBothClocks(t *testing.T) {
 	require.NoError(t, clock.Err())
 }
--- a/internal/silence/link.go
+++ b/internal/silence/link.go
@@ -1,204 +1,205 @@
-// Package silence decides when a connection has fallen silent: bytes go in, none comes out,
-// and no error ever says so. It reads no clock and opens nothing.
+// Package silence detects connections that have fallen silent: bytes are sent, none is received,
+// and no error is ever reported. It reads no clock and opens no connection.
 //
-// Problem: the kernel can't tell. What stands between two ends may acknowledge bytes that it
-// drops, and an end that waits to read sends nothing that could go unacknowledged.
+// Problem: the kernel can't detect this. A middlebox may acknowledge bytes that it drops, and an
+// end that waits to read sends nothing that could remain unacknowledged.
 //
-// Algorithm: each message bears a number, and what the other end says next bears the last
-// number that it has seen, on whichever connection it answers. While numbers come back,
-// nothing is sent for this alone. When none has come back for longer than they usually take,
-// one question is sent that the other end answers at once on the same connection; without
-// that answer the connection is silent. A link that is voided so is made anew, with more
-// patience each time, up to the bound.
+// Algorithm: each message carries a sequence number, and the other end's next message carries the
+// last number that it has received, on whichever connection it is sent. While acknowledgements
+// arrive, nothing is sent for this purpose alone. When none has arrived for longer than usual, one
+// probe is sent, which the other end answers at once on the same connection; if no answer arrives
+// in time, the connection is silent. It is then replaced, and the wait for an answer doubles with
+// each connection that was silent, up to half the bound.
 //
-// Invariants: an idle link is never silent, and costs nothing; the wait from the first
-// message that is lost to the verdict is no longer than the bound.
+// Invariants: an idle link is never found silent and costs nothing; a connection is found silent
+// within the bound after the first message that was lost on it.
 package silence
 
 import "time"
 
 const (
-	// askLeast is the shortest wait before a question is sent, and answerLeast that for its
-	// answer: a process that shares its cores with others wakes up some 50 ms late at times.
-	// Both together are less than the 0.5 s after which a follower stands for election.
-	askLeast    = 100 * time.Millisecond
-	answerLeast = 200 * time.Millisecond
-	// tripWeight and spreadWeight are the weights of the newest round trip, those of TCP.
-	tripWeight   = 1.0 / 8
-	spreadWeight = 1.0 / 4
-	// spreads is how many mean deviations above the mean a round trip may take.
-	spreads = 4
-	// askGrowth is what a question that was answered lengthens the wait for the next by:
-	// the other end has something to say less often than that. askDecay is the part that it
-	// shrinks by with each proof that came in less than half of it.
-	askGrowth = 2
-	askDecay  = 16
-	// lateWake is how much later than due a process may look and still say what was silent
-	// meanwhile: after that the answer may wait unread. A process that has nothing to do
-	// looks each 100 ms.
-	lateWake = 150 * time.Millisecond
-	// lateMost bounds how often that is allowed for in a row.
-	lateMost = 2
+	// minProbeDelay is the shortest wait before a probe is sent, and minProbeTimeout the
+	// shortest wait for its answer: a process that shares its cores may wake up some 50 ms
+	// late. Their sum is less than the 0.5 s after which a follower starts an election.
+	minProbeDelay   = 100 * time.Millisecond
+	minProbeTimeout = 200 * time.Millisecond
+	// meanGain and deviationGain are the weights of the newest round trip, as in TCP (RFC 6298).
+	meanGain      = 1.0 / 8
+	deviationGain = 1.0 / 4
+	// deviationFactor is how many mean deviations above the mean a round trip may take.
+	deviationFactor = 4
+	// probeDelayGrowth is the factor by which an answered probe lengthens the wait before the next:
+	// the other end sends less often than that. An acknowledgement within less than half of
+	// the wait shortens it by 1/probeDelayDecay.
+	probeDelayGrowth = 2
+	probeDelayDecay  = 16
+	// maxCheckDelay is how late a check may run and still conclude that the connection is silent:
+	// after that the answer may be received but not yet read. An idle process checks every
+	// 100 ms.
+	maxCheckDelay = 150 * time.Millisecond
+	// maxLateChecks bounds how many late checks in a row are excused.
+	maxLateChecks = 2
 )
 
-// Trips estimates round trips. The zero value knows none.
-type Trips struct{ mean, spread float64 }
+// Trips estimates round-trip times. The zero value has no samples.
+type Trips struct{ mean, deviation float64 }
 
-// With returns the estimate after a round trip.
+// With returns the estimate updated with a round trip.
 func (t Trips) With(trip time.Duration) Trips {
 	value := float64(trip)
 	if t.mean == 0 {
-		return Trips{mean: value, spread: value / 2}
+		return Trips{mean: value, deviation: value / 2}
 	}
 	deviation := max(value-t.mean, t.mean-value)
-	return Trips{mean: t.mean + tripWeight*(value-t.mean), spread: t.spread + spreadWeight*(deviation-t.spread)}
+	return Trips{mean: t.mean + meanGain*(value-t.mean), deviation: t.deviation + deviationGain*(deviation-t.deviation)}
 }
 
-// Usual returns the time within which nearly all round trips are over, between two bounds.
+// Usual returns the time within which nearly all round trips end, clamped to two bounds.
 func (t Trips) Usual(least, most time.Duration) time.Duration {
-	return min(max(time.Duration(t.mean+spreads*t.spread), least), most)
+	return min(max(time.Duration(t.mean+deviationFactor*t.deviation), least), most)
 }
 
-// Action is what is to be done about a link.
+// Action is what the caller must do about a link.
 type Action int
 
 const (
-	// Nothing says that the link is well so far.
+	// Nothing says that the link needs no action.
 	Nothing Action = iota
-	// Ask says that a question is to be sent, which is answered at once.
+	// Ask says that a probe must be sent, which the other end answers at once.
 	Ask
-	// Void says that the link is silent.
+	// Void says that the connection is silent.
 	Void
 )
 
-// Link is the sending end of a link, over all the connections that it has had.
+// Link is the sending end of a link, across all its successive connections.
 type Link struct {
 	bound time.Duration
-	// trips are those of questions.
-	trips Trips
-	// askWait is how long a message may be without proof before a question is sent.
-	askWait time.Duration
-	// sent is the last number, proved the last one that came back.
-	sent, proved uint64
-	// openSince is when the first message was sent that is not proved; zero while all are.
-	openSince time.Time
-	// askedAt is when the question was sent, if one is open.
-	askedAt time.Time
-	// late counts the looks that came too late to say anything.
-	late int
-	// voided counts the connections found silent since the last proof.
-	voided int
-	// answers says that the other end has answered at least once: one that never does is
-	// not judged.
-	answers bool
+	// roundTrips estimates the round trips of probes.
+	roundTrips Trips
+	// probeDelay is how long a message may be unacknowledged before a probe is sent.
+	probeDelay time.Duration
+	// sent is the last number sent, acked the last one that was acknowledged.
+	sent, acked uint64
+	// unackedSince is since when a message has been unacknowledged; zero if none is.
+	unackedSince time.Time
+	// probedAt is when the outstanding probe was sent; zero if there is none.
+	probedAt time.Time
+	// lateChecks counts the checks in a row that ran too late to conclude anything.
+	lateChecks int
+	// silentConns counts the connections found silent since the last acknowledgement.
+	silentConns int
+	// acknowledges says that the other end has sent an acknowledgement at least once: one that
+	// never does is not judged.
+	acknowledges bool
 }
 
-// NewLink returns a link whose silence is noticed within a bound, or never for zero.
+// NewLink returns a link whose silence is detected within a bound, or never if bound is zero.
 func NewLink(bound time.Duration) Link {
-	return Link{bound: bound, askWait: min(askLeast, bound/2)}
+	return Link{bound: bound, probeDelay: min(minProbeDelay, bound/2)}
 }
 
-// Sent returns the link after a message was sent, and the number that the message bears.
+// Sent returns the link after a message was sent, and the number for that message.
 func (l Link) Sent(now time.Time) (Link, uint64) {
 	l.sent++
-	if l.openSince.IsZero() {
-		l.openSince = now
+	if l.unackedSince.IsZero() {
+		l.unackedSince = now
 	}
 	return l, l.sent
 }
 
-// Asked returns the link after the question was sent, which bears the last number too.
+// Asked returns the link after a probe was sent, which carries the last number, too.
 func (l Link) Asked(now time.Time) Link {
-	l.askedAt = now
+	l.probedAt = now
 	return l
 }
 
-// Proved returns the link after a number came back. What was sent later stays open from now
-// on. Numbers that were never sent here prove nothing: they are of a former process.
+// Proved returns the link after a number was acknowledged. Later messages count as
+// unacknowledged from now on. Numbers that were never sent are ignored: they are from a former
+// process.
 func (l Link) Proved(number uint64, now time.Time) Link {
-	if number > l.sent || number <= l.proved {
+	if number > l.sent || number <= l.acked {
 		return l
 	}
 	switch {
-	case !l.askedAt.IsZero():
-		l.trips = l.trips.With(now.Sub(l.askedAt))
-		l.askWait = min(askGrowth*l.askWait, l.bound/2)
-	case now.Sub(l.openSince) < l.askWait/2:
-		l.askWait = max(l.askWait-l.askWait/askDecay, min(askLeast, l.bound/2))
+	case !l.probedAt.IsZero():
+		l.roundTrips = l.roundTrips.With(now.Sub(l.probedAt))
+		l.probeDelay = min(probeDelayGrowth*l.probeDelay, l.bound/2)
+	case now.Sub(l.unackedSince) < l.probeDelay/2:
+		l.probeDelay = max(l.probeDelay-l.probeDelay/probeDelayDecay, min(minProbeDelay, l.bound/2))
 	}
-	l.proved, l.answers = number, true
-	l.voided, l.late = 0, 0
-	l.openSince, l.askedAt = time.Time{}, time.Time{}
+	l.acked, l.acknowledges = number, true
+	l.silentConns, l.lateChecks = 0, 0
+	l.unackedSince, l.probedAt = time.Time{}, time.Time{}
 	if number < l.sent {
-		l.openSince = now
+		l.unackedSince = now
 	}
 	return l
 }
 
-// Heard returns the link after the other end has said something that bears no number, on the
-// same connection.
+// Heard returns the link after the other end has sent a message without a number on the same
+// connection. It acknowledges everything.
 func (l Link) Heard(now time.Time) Link { return l.Proved(l.sent, now) }
 
-// Speaks returns the link after the other end has borne a number of its own: it answers.
+// Speaks returns the link after the other end has sent a number of its own, so that it is judged.
 func (l Link) Speaks() Link {
-	l.answers = true
+	l.acknowledges = true
 	return l
 }
 
-// Renewed returns the link for a new connection: what was open is lost.
+// Renewed returns the link for a new connection: unacknowledged messages are lost.
 func (l Link) Renewed() Link {
-	l.openSince, l.askedAt, l.late = time.Time{}, time.Time{}, 0
+	l.unackedSince, l.probedAt, l.lateChecks = time.Time{}, time.Time{}, 0
 	return l
 }
 
 // Voided returns the link after its connection was found silent.
 func (l Link) Voided() Link {
 	l = l.Renewed()
-	l.voided++
+	l.silentConns++
 	return l
 }
 
-// OpenFor returns how long the oldest message has been without proof.
+// OpenFor returns how long messages have been unacknowledged.
 func (l Link) OpenFor(now time.Time) time.Duration {
-	if l.openSince.IsZero() {
+	if l.unackedSince.IsZero() {
 		return 0
 	}
-	return now.Sub(l.openSince)
+	return now.Sub(l.unackedSince)
 }
 
-// Patience returns how long the answer to a question is waited for. It doubles with each
-// connection that was silent in vain: the other end may stand still as a whole.
+// Patience returns how long to wait for the answer to a probe. It doubles with each connection
+// found silent since the last acknowledgement: the other end may be stalled as a whole.
 func (l Link) Patience() time.Duration {
-	wait := l.trips.Usual(answerLeast, l.bound/2)
-	for range l.voided {
+	wait := l.roundTrips.Usual(minProbeTimeout, l.bound/2)
+	for range l.silentConns {
 		wait = min(2*wait, l.bound/2)
 	}
 	return wait
 }
 
-// Due returns when the link is to be looked at next, and whether it is.
+// Due returns when the next check is due, and whether one is.
 func (l Link) Due() (time.Time, bool) {
 	switch {
-	case l.bound <= 0, l.openSince.IsZero():
+	case l.bound <= 0, l.unackedSince.IsZero():
 		return time.Time{}, false
-	case l.askedAt.IsZero():
-		return l.openSince.Add(l.askWait), true
+	case l.probedAt.IsZero():
+		return l.unackedSince.Add(l.probeDelay), true
 	}
-	return l.askedAt.Add(l.Patience()), true
+	return l.probedAt.Add(l.Patience()), true
 }
 
-// Look returns what is to be done at a time, and the link that has taken note of it.
+// Look checks the link. It returns the updated link and the action to take.
 func (l Link) Look(now time.Time) (Link, Action) {
 	due, any := l.Due()
 	switch {
 	case !any || now.Before(due):
 		return l, Nothing
-	case l.askedAt.IsZero():
+	case l.probedAt.IsZero():
 		return l, Ask
-	case !l.answers:
+	case !l.acknowledges:
 		return l.Renewed(), Nothing
-	case now.Sub(due) > lateWake && l.late < lateMost:
-		l.late++
+	case now.Sub(due) > maxCheckDelay && l.lateChecks < maxLateChecks:
+		l.lateChecks++
 		return l, Ask
 	}
 	return l, Void
--- a/internal/silence/link_test.go
+++ b/internal/silence/link_test.go
@@ -16,9 +16,9 @@
 
 var start = time.Unix(1000, 0)
 
-// play looks at a link whenever it is due until it is void, and returns when that is; or
-// zero where nothing more is due.
-func play(l silence.Link, asked func(l silence.Link, at time.Time) silence.Link) time.Duration {
+// checkUntilSilent checks a link whenever it is due. It returns the time from start until the
+// link is found silent, or zero if no further check is due.
+func checkUntilSilent(l silence.Link, onProbe func(l silence.Link, at time.Time) silence.Link) time.Duration {
 	for {
 		at, due := l.Due()
 		if !due {
@@ -30,15 +30,15 @@
 		case silence.Void:
 			return at.Sub(start)
 		case silence.Ask:
-			l = asked(l.Asked(at), at)
+			l = onProbe(l.Asked(at), at)
 		}
 	}
 }
 
 func unanswered(l silence.Link, _ time.Time) silence.Link { return l }
 
-// used returns a link whose round trips took some time.
-func used(trip time.Duration) silence.Link {
+// newUsedLink returns a link whose probes had a given round-trip time.
+func newUsedLink(trip time.Duration) silence.Link {
 	l := silence.NewLink(bound)
 	at := start.Add(-10 * time.Minute)
 	for range 50 {
@@ -56,69 +56,69 @@
 	return l
 }
 
-func TestASilentLinkIsVoidWithinTheBound(t *testing.T) {
+func TestSilentLinkIsVoidWithinBound(t *testing.T) {
 	for _, trip := range []time.Duration{ms, 40 * ms, 150 * ms, 2 * time.Second} {
-		l, _ := used(trip).Sent(start)
-		took := play(l, unanswered)
+		l, _ := newUsedLink(trip).Sent(start)
+		took := checkUntilSilent(l, unanswered)
 		require.Positive(t, took, trip)
 		require.LessOrEqual(t, took, bound, trip)
 	}
-	l, _ := used(ms).Sent(start)
-	require.Equal(t, 300*ms, play(l, unanswered))
+	l, _ := newUsedLink(ms).Sent(start)
+	require.Equal(t, 300*ms, checkUntilSilent(l, unanswered))
 }
 
-func TestAnIdleLinkIsNeverDue(t *testing.T) {
-	_, due := used(ms).Due()
+func TestIdleLinkIsNeverDue(t *testing.T) {
+	_, due := newUsedLink(ms).Due()
 	require.False(t, due)
 	_, due = silence.NewLink(bound).Due()
 	require.False(t, due)
 }
 
-// Traffic that flows one way only is proved by answers to questions.
-func TestAnAnsweredQuestionProvesALink(t *testing.T) {
-	l, n := used(ms).Sent(start)
-	questions := 0
-	took := play(l, func(l silence.Link, at time.Time) silence.Link {
-		questions++
+// Where traffic flows one way only, the answers to probes are the only acknowledgements.
+func TestAnsweredProbeAcknowledgesMessages(t *testing.T) {
+	l, n := newUsedLink(ms).Sent(start)
+	probes := 0
+	took := checkUntilSilent(l, func(l silence.Link, at time.Time) silence.Link {
+		probes++
 		return l.Proved(n, at.Add(2*ms))
 	})
 	require.Zero(t, took)
-	require.Equal(t, 1, questions)
+	require.Equal(t, 1, probes)
 }
 
-// A VM that says something each 300 ms was asked after each message that it was sent: at 91
-// entry VMs that cost the control VMs half as much processor time again.
-func TestQuestionsGrowRareWhereTheOtherEndSpeaksSeldom(t *testing.T) {
-	const pause, messages = 300 * ms, 100
-	l, questions := silence.NewLink(bound).Speaks(), 0
+// A VM that sends a message every 300 ms was probed after each message sent to it, which raised
+// the processor time of the control VMs by half with 91 entry VMs.
+func TestProbesBecomeRareIfOtherEndSendsSeldom(t *testing.T) {
+	const interval, messages = 300 * ms, 100
+	l, probes := silence.NewLink(bound).Speaks(), 0
 	now := start
 	for range messages {
 		var n uint64
 		l, n = l.Sent(now)
-		spoke := now.Add(pause)
-		if at, due := l.Due(); due && at.Before(spoke) {
+		receivedAt := now.Add(interval)
+		if at, due := l.Due(); due && at.Before(receivedAt) {
 			var action silence.Action
 			l, action = l.Look(at)
 			require.Equal(t, silence.Ask, action)
-			questions++
+			probes++
 			l = l.Asked(at).Proved(n, at.Add(ms))
 		}
-		l = l.Proved(n, spoke)
-		now = spoke
+		l = l.Proved(n, receivedAt)
+		now = receivedAt
 	}
-	require.LessOrEqual(t, questions, 3)
+	require.LessOrEqual(t, probes, 3)
 }
 
-func TestAnEndThatNeverAnsweredIsNotJudged(t *testing.T) {
+func TestEndThatNeverAcknowledgedIsNotJudged(t *testing.T) {
 	l, _ := silence.NewLink(bound).Sent(start)
-	require.Zero(t, play(l, unanswered))
+	require.Zero(t, checkUntilSilent(l, unanswered))
 	l, _ = silence.NewLink(bound).Speaks().Sent(start)
-	require.Positive(t, play(l, unanswered))
+	require.Positive(t, checkUntilSilent(l, unanswered))
 }
 
-// An end that stands still as a whole is not dialled again and again at the first pace.
-func TestPatienceGrowsWithEachVoidConnection(t *testing.T) {
-	l := used(ms)
+// If the other end is stalled as a whole, it must not be redialled at the initial rate.
+func TestProbeTimeoutGrowsWithEachSilentConnection(t *testing.T) {
+	l := newUsedLink(ms)
 	last := l.Patience()
 	for range 3 {
 		l = l.Voided()
@@ -128,15 +128,15 @@
 	require.Equal(t, bound/2, last)
 }
 
-func TestNumbersOfAFormerProcessProveNothing(t *testing.T) {
+func TestNumbersOfFormerProcessAreIgnored(t *testing.T) {
 	l, n := silence.NewLink(bound).Speaks().Sent(start)
 	l = l.Proved(n+500, start)
-	require.Positive(t, play(l, unanswered))
+	require.Positive(t, checkUntilSilent(l, unanswered))
 }
 
-// A process that got no processor time may have the answer unread.
-func TestALateLookAsksAgain(t *testing.T) {
-	l, _ := used(ms).Sent(start)
+// A process that got no processor time may have the answer in its buffers, unread.
+func TestLateCheckProbesAgain(t *testing.T) {
+	l, _ := newUsedLink(ms).Sent(start)
 	at, _ := l.Due()
 	l, action := l.Look(at)
 	require.Equal(t, silence.Ask, action)
@@ -153,26 +153,26 @@
 	require.Equal(t, silence.Void, action)
 }
 
-// Whatever comes in whatever order, a link is void only after a question without an answer.
-func FuzzVerdictsFollowQuestions(f *testing.F) {
+// For any sequence of events, a link is found silent only after a probe that was not answered.
+func FuzzSilenceFollowsUnansweredProbe(f *testing.F) {
 	f.Add([]byte{0, 3, 1, 0, 2, 9, 0, 3, 3, 3})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		l, now, asked, number := silence.NewLink(bound).Speaks(), start, false, uint64(0)
+		l, now, probed, number := silence.NewLink(bound).Speaks(), start, false, uint64(0)
 		for _, s := range steps {
 			now = now.Add(time.Duration(s) * ms)
 			switch s % 4 {
 			case 0:
 				l, number = l.Sent(now)
 			case 1:
-				l, asked = l.Proved(number, now), false
+				l, probed = l.Proved(number, now), false
 			case 2:
-				l, asked = l.Voided(), false
+				l, probed = l.Voided(), false
 			case 3:
 				var action silence.Action
 				l, action = l.Look(now)
-				require.False(t, action == silence.Void && !asked)
+				require.False(t, action == silence.Void && !probed)
 				if action == silence.Ask {
-					l, asked = l.Asked(now), true
+					l, probed = l.Asked(now), true
 				}
 			}
 		}
--- a/internal/wire/dial.go
+++ b/internal/wire/dial.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	// dialTime bounds the wait for a connection, and dialEach that for one attempt. The
-	// kernel sends a lost opening packet again after a second only: after a loss of power
-	// of all VMs those that were back first had lost theirs, and waited that long for
-	// VMs that were back 0.2 s after them. VMs are 20 ms apart at the most.
-	dialTime = 1500 * time.Millisecond
-	dialEach = 250 * time.Millisecond
-	// unackedLimit is how long bytes to a peer may stay unacknowledged: one and a
-	// half elections, so that a VM that comes back from a cut is heard at once.
-	unackedLimit = 1500 * time.Millisecond
+	// dialTimeout bounds a dial with its TLS handshake, and attemptTimeout one attempt. The kernel
+	// retransmits a lost SYN only after one second: after a power loss of all VMs, those that
+	// restarted first lost theirs, and waited that long for VMs that restarted 0.2 s later. VMs
+	// are at most 20 ms apart.
+	dialTimeout    = 1500 * time.Millisecond
+	attemptTimeout = 250 * time.Millisecond
+	// unackedTimeout is how long bytes to a peer may stay unacknowledged: one and a half election
+	// timeouts, so that messages reach a VM soon after a partition heals.
+	unackedTimeout = 1500 * time.Millisecond
 )
 
-// Keys are the certificate and authority of mutual TLS. The zero value is
+// Keys are the certificate and authority for mutual TLS. The zero value means
 // plain text.
 type Keys struct{ config *tls.Config }
 
-// LoadKeys reads PEM files.
+// LoadKeys reads a certificate, its key and the authority from PEM files.
 func LoadKeys(certificate, key, authority string) (Keys, error) {
 	pair, err := tls.LoadX509KeyPair(certificate, key)
 	if err != nil {
@@ -54,7 +54,7 @@
 	}}, nil
 }
 
-// Listener wraps l so that only holders of a certificate get through.
+// Listener wraps l so that it accepts only peers with a valid certificate.
 func (k Keys) Listener(l net.Listener) net.Listener {
 	if k.config == nil {
 		return l
@@ -62,8 +62,8 @@
 	return tls.NewListener(l, k.config)
 }
 
-// PeerName returns the name in the certificate of the other end of a call, and
-// whether there is one: in plain text there is not.
+// PeerName returns the common name in the peer's certificate, and whether there is one; in
+// plain text there is none.
 func PeerName(ctx context.Context) (string, bool) {
 	transport, ok := drpcctx.Transport(ctx)
 	if !ok {
@@ -76,31 +76,31 @@
 	return secure.ConnectionState().PeerCertificates[0].Subject.CommonName, true
 }
 
-// ManagerOptions returns the limits of both ends of a connection.
+// ManagerOptions returns the drpc limits for both ends of a connection.
 func ManagerOptions() drpcmanager.Options {
 	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: MessageLimit}}
 }
 
-// Redial dials until there is a connection, an error other than a late answer, or the end
-// of ctx. Each attempt has no longer than each.
-func Redial(ctx context.Context, each time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
+// DialWithRetry dials until it succeeds, fails with an error other than a timeout of the
+// attempt, or ctx ends. Each attempt takes at most timeout.
+func DialWithRetry(ctx context.Context, timeout time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	for {
-		attempt, cancel := context.WithTimeout(ctx, each)
+		attempt, cancel := context.WithTimeout(ctx, timeout)
 		conn, err := dial(attempt)
-		late := attempt.Err() != nil
+		timedOut := attempt.Err() != nil
 		cancel()
-		if err == nil || !late || ctx.Err() != nil {
+		if err == nil || !timedOut || ctx.Err() != nil {
 			return conn, err
 		}
 	}
 }
 
-// Dial connects to a daemon's address for peers.
+// Dial connects to the peer address of a daemon.
 func (k Keys) Dial(ctx context.Context, address string) (*drpcconn.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialTime)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	dialer := net.Dialer{Control: Unacked(unackedLimit)}
-	raw, err := Redial(ctx, dialEach, func(ctx context.Context) (net.Conn, error) {
+	dialer := net.Dialer{Control: Unacked(unackedTimeout)}
+	raw, err := DialWithRetry(ctx, attemptTimeout, func(ctx context.Context) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	})
 	if err != nil {
--- a/internal/wire/socket.go
+++ b/internal/wire/socket.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 18
 
-// Unacked returns a net.Dialer's Control that bounds how long sent bytes may stay
-// unacknowledged before the kernel breaks a connection. Behind a cut nothing else
-// would end it.
+// Unacked returns a Control function for a net.Dialer that bounds how long sent bytes may
+// stay unacknowledged before the kernel breaks the connection. Behind a network partition
+// nothing else would end it.
 func Unacked(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire is the protocol between the processes of spoolbank: drpc
-// streams that carry CBOR. CBOR is read by reflection, so that nothing has to
-// be generated; docs/DESIGN.md weighs it against Protocol Buffers.
+// Package wire implements the protocol between spoolbank processes: drpc
+// streams that carry CBOR. CBOR is encoded by reflection, so there is no
+// generated code; docs/DESIGN.md compares it with Protocol Buffers.
 package wire
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// MessageLimit bounds one message on the wire, in bytes.
+// MessageLimit bounds the size of one message, in bytes.
 const MessageLimit = 64 << 20
 
-// The limits of what is decoded: a peer that speaks garbage costs no more.
+// Decoding limits bound the cost of malformed messages from a peer.
 const (
 	maxElements = 1 << 20
 	maxNesting  = 32
@@ -51,13 +51,13 @@
 	return mode
 }
 
-// Marshal returns the encoding of v.
+// Marshal returns the CBOR encoding of v.
 func Marshal(v any) ([]byte, error) { return encMode.Marshal(v) }
 
-// Unmarshal decodes data into v.
+// Unmarshal decodes CBOR data into v.
 func Unmarshal(data []byte, v any) error {
 	if err := decMode.Unmarshal(data, v); err != nil {
-		return fmt.Errorf("wire: undecodable message, which is dropped: %w", err)
+		return fmt.Errorf("wire: malformed message dropped: %w", err)
 	}
 	return nil
 }
@@ -71,32 +71,32 @@
 // Unmarshal implements drpc.Encoding.
 func (Encoding) Unmarshal(buf []byte, msg drpc.Message) error { return Unmarshal(buf, msg) }
 
-// The names of the calls.
+// The drpc method names.
 const (
 	RPCLink    = "/spoolbank.Peer/Link"
 	RPCOperate = "/spoolbank.Operator/Operate"
 	RPCDump    = "/spoolbank.Operator/Dump"
 )
 
-// OperateRequest carries an operator's statement.
+// OperateRequest carries an operator's command.
 type OperateRequest struct {
 	Text     string          `cbor:"text"`
 	Operator string          `cbor:"operator"`
 	Number   uint64          `cbor:"number"`
 	Expect   config.Revision `cbor:"expect"`
-	// WaitMillis asks for the answer only once the change is in force, or
-	// after so many milliseconds. 0 asks for no wait.
+	// WaitMillis delays the reply until the change is in force, for at most so
+	// many milliseconds. 0 means no wait.
 	WaitMillis int `cbor:"wait_millis"`
 }
 
 // OperateReply answers an OperateRequest.
 type OperateReply struct {
 	Result core.Result `cbor:"result"`
-	// Leader is the peers' address of the VM to ask instead, if it is known.
+	// Leader is the peer address of the VM to send the request to, if it is known.
 	Leader string `cbor:"leader,omitempty"`
 }
 
-// DumpRequest asks for the whole state of one process.
+// DumpRequest requests the whole state of one process.
 type DumpRequest struct{}
 
 // DumpReply holds the state as JSON.
@@ -104,15 +104,15 @@
 	JSON []byte `cbor:"json"`
 }
 
-// Server is what a daemon offers to its peers and to operators.
+// Server is the interface that a daemon serves to its peers and to operators.
 type Server interface {
-	// Link takes messages of one peer until the stream ends.
+	// Link receives messages of one peer until the stream ends.
 	Link(stream drpc.Stream) error
 	Operate(ctx context.Context, request *OperateRequest) (*OperateReply, error)
 	Dump(ctx context.Context, request *DumpRequest) (*DumpReply, error)
 }
 
-// Description describes Server to drpc.
+// Description is the drpc description of Server.
 type Description struct{}
 
 // NumMethods implements drpc.Description.
@@ -143,14 +143,14 @@
 	return srv.(Server).Dump(ctx, in1.(*DumpRequest))
 }
 
-// Operate asks the daemon at the other end of conn.
+// Operate sends an operator's command to the daemon at the other end of conn.
 func Operate(ctx context.Context, conn drpc.Conn, request OperateRequest) (OperateReply, error) {
 	var reply OperateReply
 	err := conn.Invoke(ctx, RPCOperate, Encoding{}, &request, &reply)
 	return reply, err
 }
 
-// Dump asks the daemon at the other end of conn for its state.
+// Dump requests the state of the daemon at the other end of conn.
 func Dump(ctx context.Context, conn drpc.Conn) (DumpReply, error) {
 	var reply DumpReply
 	err := conn.Invoke(ctx, RPCDump, Encoding{}, &DumpRequest{}, &reply)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -27,7 +27,7 @@
 	require.Equal(t, envelope(), back)
 }
 
-// FuzzUnmarshal feeds a Node what a peer that speaks garbage could send.
+// FuzzUnmarshal feeds a Node arbitrary messages, as a faulty peer could send them.
 func FuzzUnmarshal(f *testing.F) {
 	text, err := wire.Marshal(envelope())
 	require.NoError(f, err)
@@ -45,13 +45,13 @@
 	})
 }
 
-// The kernel sends a lost opening packet again after a second: leases came a second later
-// than the VMs.
-func TestALostOpeningIsSentAgain(t *testing.T) {
+// The kernel retransmits a lost SYN only after one second, which delayed the first leases by a
+// second after a restart of all VMs.
+func TestDialIsRetriedAfterTimeout(t *testing.T) {
 	attempts := 0
 	here, there := net.Pipe()
 	defer there.Close()
-	conn, err := wire.Redial(context.Background(), time.Millisecond, func(ctx context.Context) (net.Conn, error) {
+	conn, err := wire.DialWithRetry(context.Background(), time.Millisecond, func(ctx context.Context) (net.Conn, error) {
 		attempts++
 		if attempts < 3 {
 			<-ctx.Done()
@@ -64,9 +64,9 @@
 	require.Equal(t, 3, attempts)
 }
 
-func TestARefusedConnectionIsNotTriedAgain(t *testing.T) {
+func TestRefusedDialIsNotRetried(t *testing.T) {
 	attempts := 0
-	_, err := wire.Redial(context.Background(), time.Minute, func(context.Context) (net.Conn, error) {
+	_, err := wire.DialWithRetry(context.Background(), time.Minute, func(context.Context) (net.Conn, error) {
 		attempts++
 		return nil, syscall.ECONNREFUSED
 	})
