--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -12,7 +12,7 @@
 // them: the daemon samples with each event, some tens a second, and with each request that it
 // accepts.
 //
-// Go's timers and sockets stop during a suspension, too. Until, Socket and WithDeadline convert a
+// Go's timers and sockets stop during a suspension, too. Until, ToRuntime and WithDeadline convert a
 // time of this package for them, and code that wakes up from such a wait must check the time again.
 // Times of this package may only be compared with each other; their wall clock part is ahead by
 // the suspensions.
@@ -153,8 +153,8 @@
 // Until returns the duration until t, a time of this package.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Socket converts a time of this package to a deadline for Go's sockets and timers.
-func Socket(t time.Time) time.Time {
+// ToRuntime converts a time of this package to a deadline for Go's sockets and timers.
+func ToRuntime(t time.Time) time.Time {
 	if t.IsZero() {
 		return t
 	}
@@ -164,5 +164,5 @@
 // WithDeadline returns a context that ends at a time of this package, or later by the length of
 // any suspension that begins after this call.
 func WithDeadline(ctx context.Context, until time.Time) (context.Context, context.CancelFunc) {
-	return context.WithDeadline(ctx, Socket(until))
+	return context.WithDeadline(ctx, ToRuntime(until))
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -72,7 +72,7 @@
 	require.False(t, clock.Sampled().Before(until))
 	require.False(t, clock.Now().Before(until), "Now must include the suspension that Sampled found")
 	require.Negative(t, clock.Until(until))
-	require.False(t, clock.Socket(until).After(time.Now()))
+	require.False(t, clock.ToRuntime(until).After(time.Now()))
 	ctx, cancel := clock.WithDeadline(t.Context(), until)
 	defer cancel()
 	require.Error(t, ctx.Err())
--- a/internal/silence/link.go
+++ b/internal/silence/link.go
@@ -63,8 +63,8 @@
 type Action int
 
 const (
-	// Nothing says that the link needs no action.
-	Nothing Action = iota
+	// NoAction says that the link needs no action.
+	NoAction Action = iota
 	// Ask says that a probe must be sent, which the other end answers at once.
 	Ask
 	// Void says that the connection is silent.
@@ -136,9 +136,9 @@
 	return l
 }
 
-// Heard returns the link after the other end has sent a message without a number on the same
+// AckedAll returns the link after the other end has sent a message without a number on the same
 // connection. It acknowledges everything.
-func (l Link) Heard(now time.Time) Link { return l.Proved(l.sent, now) }
+func (l Link) AckedAll(now time.Time) Link { return l.Proved(l.sent, now) }
 
 // Speaks returns the link after the other end has sent a number of its own, so that it is judged.
 func (l Link) Speaks() Link {
@@ -177,8 +177,8 @@
 	return wait
 }
 
-// Due returns when the next check is due, and whether one is.
-func (l Link) Due() (time.Time, bool) {
+// NextCheck returns when the next check is due, and whether one is.
+func (l Link) NextCheck() (time.Time, bool) {
 	switch {
 	case l.bound <= 0, l.unackedSince.IsZero():
 		return time.Time{}, false
@@ -190,14 +190,14 @@
 
 // Look checks the link. It returns the updated link and the action to take.
 func (l Link) Look(now time.Time) (Link, Action) {
-	due, any := l.Due()
+	due, any := l.NextCheck()
 	switch {
 	case !any || now.Before(due):
-		return l, Nothing
+		return l, NoAction
 	case l.probedAt.IsZero():
 		return l, Ask
 	case !l.acknowledges:
-		return l.Renewed(), Nothing
+		return l.Renewed(), NoAction
 	case now.Sub(due) > maxCheckDelay && l.lateChecks < maxLateChecks:
 		l.lateChecks++
 		return l, Ask
--- a/internal/silence/link_test.go
+++ b/internal/silence/link_test.go
@@ -20,7 +20,7 @@
 // link is found silent, or zero if no further check is due.
 func checkUntilSilent(l silence.Link, onProbe func(l silence.Link, at time.Time) silence.Link) time.Duration {
 	for {
-		at, due := l.Due()
+		at, due := l.NextCheck()
 		if !due {
 			return 0
 		}
@@ -68,9 +68,9 @@
 }
 
 func TestIdleLinkIsNeverDue(t *testing.T) {
-	_, due := newUsedLink(ms).Due()
+	_, due := newUsedLink(ms).NextCheck()
 	require.False(t, due)
-	_, due = silence.NewLink(bound).Due()
+	_, due = silence.NewLink(bound).NextCheck()
 	require.False(t, due)
 }
 
@@ -96,7 +96,7 @@
 		var n uint64
 		l, n = l.Sent(now)
 		receivedAt := now.Add(interval)
-		if at, due := l.Due(); due && at.Before(receivedAt) {
+		if at, due := l.NextCheck(); due && at.Before(receivedAt) {
 			var action silence.Action
 			l, action = l.Look(at)
 			require.Equal(t, silence.Ask, action)
@@ -137,18 +137,18 @@
 // A process that got no processor time may have the answer in its buffers, unread.
 func TestLateCheckProbesAgain(t *testing.T) {
 	l, _ := newUsedLink(ms).Sent(start)
-	at, _ := l.Due()
+	at, _ := l.NextCheck()
 	l, action := l.Look(at)
 	require.Equal(t, silence.Ask, action)
 	l = l.Asked(at)
 	for range 2 {
-		at, _ = l.Due()
+		at, _ = l.NextCheck()
 		at = at.Add(time.Second)
 		l, action = l.Look(at)
 		require.Equal(t, silence.Ask, action)
 		l = l.Asked(at)
 	}
-	at, _ = l.Due()
+	at, _ = l.NextCheck()
 	_, action = l.Look(at.Add(time.Second))
 	require.Equal(t, silence.Void, action)
 }
--- a/internal/target/body.go
+++ b/internal/target/body.go
@@ -11,7 +11,7 @@
 
 // This file writes request bodies to targets that may not read them.
 //
-// The kernel's counters tell a target that does not read from one that is lost: a lost target
+// The kernel's counters distinguish a target that does not read from a lost one: a lost target
 // leaves bytes unacknowledged; one that does not read has acknowledged all bytes that were
 // sent, and its receive window is closed to the rest.
 
--- a/internal/target/exchange.go
+++ b/internal/target/exchange.go
@@ -139,7 +139,7 @@
 	written  chan error
 	// sentAt is when the request was sent, lastUsedAt when the previous exchange was closed.
 	sentAt, lastUsedAt time.Time
-	// unread says that the target does not read the request.
+	// notReading says that the target does not read the request.
 	notReading atomic.Bool
 }
 
--- a/internal/target/exchange_test.go
+++ b/internal/target/exchange_test.go
@@ -176,7 +176,7 @@
 }
 
 // Streams were abandoned because the target had closed the idle connection on which they were
-// resumed, which was not told apart from a failed target.
+// resumed, since that was not distinguished from a failed target.
 func TestResetReusedConnectionReturnsErrStale(t *testing.T) {
 	s := newScriptedTarget(t, answerTo("1", "ok"), "reset", answerTo("1", "ok"))
 	x := target.NewExchanger(func() {})
--- a/internal/target/kept.go
+++ b/internal/target/kept.go
@@ -41,7 +41,7 @@
 // readFirstBytes reads the first bytes of an answer on a reused connection.
 func (l *link) readFirstBytes(p []byte) (int, error) {
 	wait := l.request.Kept
-	if err := l.Conn.SetReadDeadline(clock.Socket(l.sentAt.Add(wait.For))); err != nil {
+	if err := l.Conn.SetReadDeadline(clock.ToRuntime(l.sentAt.Add(wait.For))); err != nil {
 		return 0, err
 	}
 	n, err := l.Conn.Read(p)
--- a/internal/target/kept_test.go
+++ b/internal/target/kept_test.go
@@ -17,7 +17,7 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// firstByteWait is short because the targets of these tests answer at once, but where one is slowed.
+// firstByteWait is short because the targets of these tests answer at once, except a slowed one.
 const firstByteWait = 50 * time.Millisecond
 
 // newRelayedTarget returns a relay in front of a target that answers every request, an Exchanger,
--- a/internal/target/runlink.go
+++ b/internal/target/runlink.go
@@ -162,7 +162,7 @@
 func (l *runLink) deliver(line ReplyLine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.state = l.state.Heard(time.Now())
+	l.state = l.state.AckedAll(time.Now())
 	if reply, ok := l.pending[line.Number]; ok {
 		delete(l.pending, line.Number)
 		reply <- line.Reply
--- a/internal/target/silence.go
+++ b/internal/target/silence.go
@@ -98,7 +98,7 @@
 
 // arm schedules the next check of the link, if one is due.
 func (l *runLink) arm(now time.Time) {
-	due, any := l.state.Due()
+	due, any := l.state.NextCheck()
 	if !any || l.armed || l.broken {
 		return
 	}
--- a/internal/target/silence_test.go
+++ b/internal/target/silence_test.go
@@ -17,7 +17,7 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// silenceBound is short because the engines of these tests answer at once, but where one is slow.
+// silenceBound is short because the engines of these tests answer at once, except a slow one.
 const silenceBound = 800 * time.Millisecond
 
 // newRelayFor starts a relay in front of a server; it is closed at the end of the test.
