--- a/internal/target/exchange.go
+++ b/internal/target/exchange.go
@@ -35,7 +35,7 @@
 // ErrStale is wrapped by errors of requests on a reused connection that broke before the
 // first byte of the answer: targets close idle connections without notice, and the next
 // request on one is answered with a reset.
-var ErrStale = errors.New("reused connection was closed")
+var ErrStale = errors.New("kept connection is gone")
 
 // ErrSilent is wrapped by errors of answers that were abandoned during a pause.
 var ErrSilent = errors.New("target is silent")
--- a/internal/target/kept.go
+++ b/internal/target/kept.go
@@ -18,7 +18,7 @@
 
 // ErrKeptSilent is wrapped by errors of requests that received no byte in time on a reused
 // connection. Do returns it together with ErrStale.
-var ErrKeptSilent = errors.New("reused connection is silent")
+var ErrKeptSilent = errors.New("kept connection is silent")
 
 // maxConcurrentRedials bounds concurrent dials that replace silent connections: a VM has some 100
 // exchanges open, which are all found silent within one or two waits, and a dial takes a few
