--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,9 @@
-// Package daemon runs a core.Node as a process: it turns sockets, timers and
-// the disk into events and carries the effects out.
+// Package daemon runs a core.Node as a process: it turns input from sockets, timers and
+// the disk into events, and executes the effects that the Node returns.
 //
-// The files: loop steps the Node; disk keeps the control state; peers speaks
-// to other VMs and to operators; callers and openai serve callers; effects
-// hands the Node's effects to whoever carries them out; metrics counts.
+// The files: loop steps the Node; disk stores the control state; peers serves
+// other VMs and operators; callers and openai serve callers; effects
+// dispatches the Node's effects; metrics exports counters and gauges.
 package daemon
 
 import (
@@ -30,15 +30,15 @@
 )
 
 const (
-	// tickEvery is the interval between two core.Tick events.
-	tickEvery = 20 * time.Millisecond
-	// settledTickEvery is that of an entry VM on a platform while it has its lease: what
-	// it waits for is some hundred ms away, and each tick wakes the process.
-	settledTickEvery = 100 * time.Millisecond
+	// tickInterval is the interval between two core.Tick events.
+	tickInterval = 20 * time.Millisecond
+	// leasedTickInterval is the tick interval of an entry VM on a platform while it holds its
+	// lease: its next timeout is some hundred ms away, and each tick wakes the process.
+	leasedTickInterval = 100 * time.Millisecond
 )
 
-// eventQueue bounds the events that wait for the loop.
-const eventQueue = 8192
+// eventQueueSize bounds the events queued for the loop.
+const eventQueueSize = 8192
 
 // Daemon is one running process.
 type Daemon struct {
@@ -49,7 +49,7 @@
 	node     *core.Node
 	self     core.ReplicaID
 	events   chan core.Event
-	// inspect carries functions that the loop runs between events.
+	// inspect carries functions that the loop runs on the Node between events.
 	inspect chan func(*core.Node)
 	disk    chan core.Effect
 	hints   hints
@@ -59,27 +59,27 @@
 	callers *callers
 	metrics *metrics
 	outbox  *outbox
-	// platform and gateway are set where an adapter runs this daemon.
+	// platform and gateway are set if an adapter runs this daemon.
 	platform *Platform
 	gateway  *Gateway
-	// context ends when the daemon does, and with it all that is under way.
+	// context is canceled when the daemon ends, which cancels all work in progress.
 	context context.Context
 	cancel  context.CancelFunc
 	lastID  atomic.Uint64
-	// silentLine is when the last line on a silent connection was logged, in Unix ns.
-	silentLine atomic.Int64
-	answers    sync.Map
+	// lastSilentLog is the time of the last log line about a silent connection, in Unix ns.
+	lastSilentLog atomic.Int64
+	answers       sync.Map
 
 	callerListener net.Listener
 	peerListener   net.Listener
 	metricListener net.Listener
 }
 
-// New opens the data folder and the listeners. Run starts the work.
+// New opens the data folder and the listeners. Run starts serving.
 func New(s settings.Settings, log logr.Logger) (*Daemon, error) { return newDaemon(s, log, nil) }
 
-// NewOnPlatform returns a daemon that an adapter runs, and the gateway by which
-// the adapter hands it what comes from the platform.
+// NewOnPlatform returns a daemon run by an adapter, and the gateway through which
+// the adapter passes in requests and events of the platform.
 func NewOnPlatform(s settings.Settings, log logr.Logger, p Platform) (*Daemon, *Gateway, error) {
 	d, err := newDaemon(s, log, &p)
 	if err != nil {
@@ -88,15 +88,15 @@
 	return d, d.gateway, nil
 }
 
-// heapShare is the part of the memory limit that the runtime keeps within; the rest is
-// for what it does not count, the kernel's buffers above all.
-const heapShare = 0.8
+// heapFraction is the fraction of the memory limit that is set as the limit of the Go runtime.
+// The rest is for memory that the runtime doesn't count, mostly kernel buffers.
+const heapFraction = 0.8
 
-// limitMemory has the runtime collect garbage more often as it nears its limit, rather
-// than be ended above it.
-func limitMemory(megabytes int) {
+// setMemoryLimit makes the runtime collect garbage more often near the memory limit, so
+// that the process is not killed for exceeding it.
+func setMemoryLimit(megabytes int) {
 	if megabytes > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(megabytes) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapFraction * float64(megabytes) * (1 << 20)))
 	}
 }
 
@@ -104,16 +104,16 @@
 	d := &Daemon{
 		settings: s,
 		log:      log,
-		events:   make(chan core.Event, eventQueue),
+		events:   make(chan core.Event, eventQueueSize),
 		inspect:  make(chan func(*core.Node)),
-		disk:     make(chan core.Effect, eventQueue),
+		disk:     make(chan core.Effect, eventQueueSize),
 		hints:    newHints(),
 		client:   target.NewClient(),
 		platform: p,
 		outbox:   newOutbox(s.Limits, log),
 	}
-	d.client = d.client.WithSilence(time.Duration(s.Timing.Silence), d.foundSilent)
-	limitMemory(s.Limits.MemoryMB)
+	d.client = d.client.WithSilence(time.Duration(s.Timing.Silence), d.recordSilentConnection)
+	setMemoryLimit(s.Limits.MemoryMB)
 	d.context, d.cancel = context.WithCancel(context.Background())
 	if err := d.loadKeys(); err != nil {
 		return nil, err
@@ -156,7 +156,7 @@
 	return err
 }
 
-// isVolatile reports whether a control VM keeps its state in memory only.
+// isVolatile reports whether this is a control VM that keeps its state in memory only.
 func (d *Daemon) isVolatile() bool {
 	return d.platform != nil && d.settings.HasRole(settings.RoleControl) && d.settings.Data == ""
 }
@@ -167,8 +167,8 @@
 		return core.Recovered{}, nil
 	}
 	f, recovered, err := openFolder(d.settings.Data)
-	if err == nil && f.badHints != nil {
-		d.log.Info("hints of targets are not all used", "error", f.badHints.Error())
+	if err == nil && f.hintsErr != nil {
+		d.log.Info("hints of targets are not all used", "error", f.hintsErr.Error())
 	}
 	d.folder = f
 	return recovered, err
@@ -268,7 +268,7 @@
 	return t
 }
 
-// Run serves until a planned stop is complete or something fails for good.
+// Run serves until a planned stop is complete or an unrecoverable error occurs.
 func (d *Daemon) Run() error {
 	d.tomb.Go(d.start)
 	err := d.tomb.Wait()
@@ -280,7 +280,7 @@
 	return err
 }
 
-// errStopped ends the tomb after a planned stop.
+// errStopped is the reason with which the tomb ends after a planned stop.
 var errStopped = errors.New("stopped as planned")
 
 func (d *Daemon) start() error {
@@ -309,7 +309,7 @@
 	return nil
 }
 
-// Stop asks for a planned stop: what is in progress ends first.
+// Stop starts a planned stop: requests in progress end first.
 func (d *Daemon) Stop() {
 	if d.gateway != nil {
 		d.gateway.stop()
@@ -317,8 +317,8 @@
 	d.post(core.Stopping{})
 }
 
-// Go runs a part of an adapter as a part of the daemon: the daemon ends with its
-// error, and dying is closed when it is to end.
+// Go runs a function of an adapter as part of the daemon. The daemon ends when the function
+// returns an error; dying is closed when the function is to return.
 func (d *Daemon) Go(part func(dying <-chan struct{}) error) {
 	d.tomb.Go(func() error { return part(d.tomb.Dying()) })
 }
@@ -333,26 +333,26 @@
 	return nil
 }
 
-// Kill ends the process's work at once.
+// Kill ends the daemon at once, without a planned stop.
 func (d *Daemon) Kill() { d.tomb.Kill(nil) }
 
-// newConn draws an identity for a connection.
+// newConn returns a new connection ID.
 func (d *Daemon) newConn() core.ConnID { return core.ConnID(d.lastID.Add(1)) }
 
 const (
-	// shutdownTime bounds the wait for connections when the process ends.
-	shutdownTime = 2 * time.Second
-	// shutdownTimeOnPlatform is that where the grace time is used up by then: what
-	// is left are looks at readiness and the directory.
-	shutdownTimeOnPlatform = 100 * time.Millisecond
+	// shutdownTimeout bounds the wait for open connections when the process ends.
+	shutdownTimeout = 2 * time.Second
+	// platformShutdownTimeout is the bound on a platform, where the grace period is used up
+	// by then: only readiness checks and directory requests remain.
+	platformShutdownTimeout = 100 * time.Millisecond
 )
 
 func (d *Daemon) serveHTTP(server *http.Server, l net.Listener) error {
 	d.tomb.Go(func() error {
 		<-d.tomb.Dying()
-		limit := shutdownTime
+		limit := shutdownTimeout
 		if d.platform != nil {
-			limit = shutdownTimeOnPlatform
+			limit = platformShutdownTimeout
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
--- a/internal/daemon/deployment_test.go
+++ b/internal/daemon/deployment_test.go
@@ -119,7 +119,7 @@
 		d.start(p)
 	}
 	t.Cleanup(d.close)
-	d.declare(speed)
+	d.declareTargets(speed)
 	return d
 }
 
@@ -246,7 +246,7 @@
 	return result
 }
 
-func (d *deployment) next() uint64 {
+func (d *deployment) nextNumber() uint64 {
 	d.number++
 	return d.number
 }
@@ -279,7 +279,7 @@
 }
 
 // declare starts fakes and declares them, and waits until they serve.
-func (d *deployment) declare(speed float64) {
+func (d *deployment) declareTargets(speed float64) {
 	statements := []string{
 		`declare service sign class=0 repeatable=["GET /"]`,
 		fmt.Sprintf("declare model m layers=%d versions=[v1]", testLayers),
@@ -300,7 +300,7 @@
 		statements = append(statements, fmt.Sprintf("declare target s%d address=%q hall=hall service=sign slots=64", i+1, server.Listener.Addr()))
 	}
 	for _, s := range statements {
-		r := d.must(s, "setup", d.next())
+		r := d.must(s, "setup", d.nextNumber())
 		require.Equal(d.t, core.ResultAccepted, r.Kind, "%s: %s", s, r.Message)
 	}
 	d.until("chains and leases", func() bool {
@@ -308,19 +308,19 @@
 	})
 	d.until("every VM knows the others", func() bool {
 		for _, p := range d.vms {
-			if d.entries(p) != len(d.vms) {
+			if d.entryCount(p) != len(d.vms) {
 				return false
 			}
 		}
 		return true
 	})
 	d.until("three voters", func() bool {
-		return d.rows("show replicas where vote = true and settled = true") == min(3, d.controls())
+		return d.rows("show replicas where vote = true and settled = true") == min(3, d.controlCount())
 	})
 }
 
 // entries counts the addresses that a VM gives to callers.
-func (d *deployment) entries(p *process) int {
+func (d *deployment) entryCount(p *process) int {
 	response, err := http.Get("http://" + p.callers + "/v1/entries")
 	if err != nil {
 		return 0
@@ -333,7 +333,7 @@
 	return len(list.Entries)
 }
 
-func (d *deployment) controls() int {
+func (d *deployment) controlCount() int {
 	count := 0
 	for _, p := range d.vms {
 		if p.control {
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -21,25 +21,25 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// This file keeps the control state on disk.
+// This file stores the control state on disk.
 //
 // The data folder has four files. identity: the cluster and the incarnation,
-// written once, so that a folder that was lost comes back as another replica.
-// log: records of what core.Persist orders, each with its length and checksum.
-// snapshot: one record that replaces the log's beginning. lock: held while a
+// written once, so that a VM whose folder was lost returns as another replica.
+// log: the records that core.Persist orders, each with its length and checksum.
+// snapshot: one record that replaces the beginning of the log. lock: locked while a
 // process uses the folder.
 //
 // Invariants: nothing is reported as persisted before it is synced; a failed
-// write or sync ends the process, since what the disk then holds is not known.
+// write or sync ends the process, since the content of the disk is then unknown.
 //
-// A crash can leave the last record torn: it was never acknowledged and is cut
-// off. A record that is damaged while others follow it was acknowledged, and
-// the log is refused, for without it the replica could break its promise.
+// A crash can leave the last record torn. It was never acknowledged and is
+// truncated. A damaged record that others follow was acknowledged: the log is
+// refused, since without that record the replica could break its promises.
 
-// ErrDamaged is the kind of errors for folders that must not be used.
+// ErrDamaged is wrapped by errors about folders that must not be used.
 var ErrDamaged = errors.New("damaged data folder")
 
-// ErrInUse is the kind of errors for folders that belong to a cluster already.
+// ErrInUse is wrapped by errors about folders that already belong to a cluster.
 var ErrInUse = errors.New("data folder in use")
 
 const (
@@ -49,12 +49,12 @@
 	fileLock     = "lock"
 	// fileTargets holds hints; see core.SaveTargets.
 	fileTargets = "targets"
-	// frameHeader is the length and the checksum before each record.
-	frameHeader = 8
-	// recordLimit bounds a record, in bytes.
-	recordLimit = 1 << 30
-	folderMode  = 0o750
-	fileMode    = 0o640
+	// frameHeaderBytes is the size of the length and checksum before each record.
+	frameHeaderBytes = 8
+	// maxRecordBytes bounds the size of a record.
+	maxRecordBytes = 1 << 30
+	folderMode     = 0o750
+	fileMode       = 0o640
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -78,11 +78,11 @@
 	lock     *os.File
 	log      *os.File
 	identity identity
-	// badHints says what was wrong with the hints, if anything was.
-	badHints error
+	// hintsErr says which hints could not be read; nil if all could.
+	hintsErr error
 }
 
-// openFolder opens a data folder, makes it where there is none, and reads it.
+// openFolder opens a data folder, creates it if it doesn't exist, and reads it.
 func openFolder(path string) (*folder, core.Recovered, error) {
 	f, err := lockFolder(path)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return &folder{path: path, lock: lock}, nil
 }
 
-// close lets the folder go.
+// close closes the log and releases the lock.
 func (f *folder) close() {
 	if f.log != nil {
 		f.log.Close()
@@ -119,18 +119,18 @@
 	f.lock.Close()
 }
 
-func (f *folder) file(name string) string { return filepath.Join(f.path, name) }
+func (f *folder) filePath(name string) string { return filepath.Join(f.path, name) }
 
-// Bootstrap makes an empty data folder that of the first and only voter of a
-// new cluster. It is done once in the life of a deployment.
+// Bootstrap initializes an empty data folder for the first and only voter of a
+// new cluster. It is run once in the lifetime of a deployment.
 func Bootstrap(path string, vm core.VMName) error {
 	f, err := lockFolder(path)
 	if err != nil {
 		return err
 	}
 	defer f.close()
-	if _, err := os.Stat(f.file(fileIdentity)); err == nil {
-		return fmt.Errorf("%w: %s belongs to a cluster already; bootstrap is done once, on one VM with an empty folder", ErrInUse, path)
+	if _, err := os.Stat(f.filePath(fileIdentity)); err == nil {
+		return fmt.Errorf("%w: %s already belongs to a cluster; bootstrap runs once, on one VM with an empty folder", ErrInUse, path)
 	}
 	cluster := make([]byte, 8)
 	if _, err := rand.Read(cluster); err != nil {
@@ -158,12 +158,12 @@
 	if err != nil {
 		return err
 	}
-	return f.replace(fileIdentity, frame(data))
+	return f.replaceFile(fileIdentity, frame(data))
 }
 
-// replace writes a whole file anew: it is there as a whole or not at all.
-func (f *folder) replace(name string, data []byte) error {
-	if err := renameio.WriteFile(f.file(name), data, fileMode); err != nil {
+// replaceFile replaces a file atomically and syncs the folder.
+func (f *folder) replaceFile(name string, data []byte) error {
+	if err := renameio.WriteFile(f.filePath(name), data, fileMode); err != nil {
 		return fmt.Errorf("data folder: %w; free space or mend the disk, then start again", err)
 	}
 	return f.syncFolder()
@@ -179,20 +179,20 @@
 }
 
 func frame(data []byte) []byte {
-	framed := make([]byte, frameHeader, frameHeader+len(data))
+	framed := make([]byte, frameHeaderBytes, frameHeaderBytes+len(data))
 	binary.LittleEndian.PutUint32(framed, uint32(len(data)))
 	binary.LittleEndian.PutUint32(framed[4:], crc32.Checksum(data, castagnoli))
 	return append(framed, data...)
 }
 
-// read takes in the whole folder and opens its log for appending.
+// read reads the whole folder and opens its log for appending.
 func (f *folder) read() (core.Recovered, error) {
 	if err := f.readIdentity(); err != nil {
 		return core.Recovered{}, err
 	}
 	var recovered core.Recovered
-	// There is no snapshot before the first one was due.
-	if _, err := f.readWhole(fileSnapshot, &recovered.Snapshot); err != nil {
+	// The file does not exist before the first snapshot.
+	if _, err := f.readRecordFile(fileSnapshot, &recovered.Snapshot); err != nil {
 		return core.Recovered{}, err
 	}
 	if err := f.readLog(&recovered); err != nil {
@@ -202,32 +202,32 @@
 	return recovered, nil
 }
 
-// readTargets returns the hints that can be used. Targets that it does without are heard
-// anew.
+// readTargets returns the hints that can be used. Targets whose hints can't be used are learned
+// again from their heartbeats.
 func (f *folder) readTargets() []relay.Target {
 	var entries []cbor.RawMessage
-	if _, err := f.readWhole(fileTargets, &entries); err != nil {
-		f.badHints = err
+	if _, err := f.readRecordFile(fileTargets, &entries); err != nil {
+		f.hintsErr = err
 		return nil
 	}
 	targets, bad := decodeHints(entries)
 	if bad > 0 {
-		f.badHints = fmt.Errorf("%d of %d hints can't be decoded, the others are kept", bad, len(entries))
+		f.hintsErr = fmt.Errorf("%d of %d hints can't be decoded, the others are kept", bad, len(entries))
 	}
 	return targets
 }
 
-// saveTargets keeps hints: they are synced, since they are for a loss of power.
+// saveTargets stores hints. They are synced because they are for recovery from a power loss.
 func (f *folder) saveTargets(targets []relay.Target) error {
 	data, err := wire.Marshal(targets)
 	if err != nil {
 		return err
 	}
-	return f.replace(fileTargets, frame(data))
+	return f.replaceFile(fileTargets, frame(data))
 }
 
 func (f *folder) readIdentity() error {
-	found, err := f.readWhole(fileIdentity, &f.identity)
+	found, err := f.readRecordFile(fileIdentity, &f.identity)
 	if err != nil || found {
 		return err
 	}
@@ -235,9 +235,9 @@
 	return f.writeIdentity()
 }
 
-// readWhole reads a file of one record, and reports whether it is there.
-func (f *folder) readWhole(name string, into any) (bool, error) {
-	data, err := os.ReadFile(f.file(name))
+// readRecordFile reads a file that holds one record, and reports whether the file exists.
+func (f *folder) readRecordFile(name string, into any) (bool, error) {
+	data, err := os.ReadFile(f.filePath(name))
 	if errors.Is(err, os.ErrNotExist) {
 		return false, nil
 	}
@@ -246,35 +246,35 @@
 	}
 	body, _, ok := unframe(data)
 	if !ok {
-		return false, f.damaged(name, 0)
+		return false, f.damagedError(name, 0)
 	}
 	if err := wire.Unmarshal(body, into); err != nil {
-		return false, f.damaged(name, 0)
+		return false, f.damagedError(name, 0)
 	}
 	return true, nil
 }
 
-func (f *folder) damaged(name string, offset int64) error {
-	return fmt.Errorf("%w: %s is damaged at byte %d; move the folder away and start again: this VM then joins anew, under another identity and without a vote until it has caught up", ErrDamaged, f.file(name), offset)
+func (f *folder) damagedError(name string, offset int64) error {
+	return fmt.Errorf("%w: %s is damaged at byte %d; move the folder away and start again: this VM then joins again, under another identity and without a vote until it has caught up", ErrDamaged, f.filePath(name), offset)
 }
 
-// unframe returns the first record of data and what follows it.
+// unframe returns the body of the first record in data and the bytes after it.
 func unframe(data []byte) (body, rest []byte, ok bool) {
-	if len(data) < frameHeader {
+	if len(data) < frameHeaderBytes {
 		return nil, nil, false
 	}
 	length := binary.LittleEndian.Uint32(data)
-	// No record is empty; zeros at the end are what a crash can leave.
-	if length == 0 || uint64(length) > uint64(len(data)-frameHeader) {
+	// No record is empty; a crash can leave zeros at the end.
+	if length == 0 || uint64(length) > uint64(len(data)-frameHeaderBytes) {
 		return nil, nil, false
 	}
-	body = data[frameHeader : frameHeader+length]
+	body = data[frameHeaderBytes : frameHeaderBytes+length]
 	sum := binary.LittleEndian.Uint32(data[4:])
-	return body, data[frameHeader+length:], crc32.Checksum(body, castagnoli) == sum
+	return body, data[frameHeaderBytes+length:], crc32.Checksum(body, castagnoli) == sum
 }
 
 func (f *folder) readLog(recovered *core.Recovered) error {
-	log, err := os.OpenFile(f.file(fileLog), os.O_CREATE|os.O_RDWR, fileMode)
+	log, err := os.OpenFile(f.filePath(fileLog), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return fmt.Errorf("data folder: %w; check the rights to it", err)
 	}
@@ -299,7 +299,7 @@
 	return f.syncFolder()
 }
 
-// replay reads the records and returns the length of the good ones.
+// replay applies the records and returns the length of the intact ones.
 func (f *folder) replay(data []byte, recovered *core.Recovered) (int64, error) {
 	rest := data
 	for len(rest) > 0 {
@@ -309,31 +309,31 @@
 			if isTorn(rest) {
 				return offset, nil
 			}
-			return 0, f.damaged(fileLog, offset)
+			return 0, f.damagedError(fileLog, offset)
 		}
 		var record logRecord
 		if err := wire.Unmarshal(body, &record); err != nil {
-			return 0, f.damaged(fileLog, offset)
+			return 0, f.damagedError(fileLog, offset)
 		}
-		if err := apply(record, recovered); err != nil {
-			return 0, fmt.Errorf("%w: %w", f.damaged(fileLog, offset), err)
+		if err := applyRecord(record, recovered); err != nil {
+			return 0, fmt.Errorf("%w: %w", f.damagedError(fileLog, offset), err)
 		}
 		rest = next
 	}
 	return int64(len(data)), nil
 }
 
-// isTorn reports whether a bad record can be one that a crash cut short: it is
-// the last one, as far as its length tells, or nothing but zeros follow.
+// isTorn reports whether a crash can have cut a bad record short: by its length
+// it is the last record, or only zeros follow it.
 func isTorn(rest []byte) bool {
-	if len(rest) < frameHeader {
+	if len(rest) < frameHeaderBytes {
 		return true
 	}
 	length := uint64(binary.LittleEndian.Uint32(rest))
-	if length >= uint64(len(rest)-frameHeader) {
+	if length >= uint64(len(rest)-frameHeaderBytes) {
 		return !hasRecordAfter(rest)
 	}
-	for _, b := range rest[frameHeader:] {
+	for _, b := range rest[frameHeaderBytes:] {
 		if b != 0 {
 			return false
 		}
@@ -341,12 +341,12 @@
 	return true
 }
 
-// hasRecordAfter looks for a whole record behind a bad one whose length points
-// past the end: then it is the length that was damaged, and not the tail.
+// hasRecordAfter reports whether an intact record follows a bad one whose length points
+// past the end. If so, the length was damaged rather than the tail.
 func hasRecordAfter(rest []byte) bool {
-	for at := frameHeader; at+frameHeader < len(rest); at++ {
+	for at := frameHeaderBytes; at+frameHeaderBytes < len(rest); at++ {
 		length := binary.LittleEndian.Uint32(rest[at:])
-		if length == 0 || uint64(length) > uint64(len(rest)-at-frameHeader) {
+		if length == 0 || uint64(length) > uint64(len(rest)-at-frameHeaderBytes) {
 			continue
 		}
 		if _, _, ok := unframe(rest[at:]); ok {
@@ -356,7 +356,7 @@
 	return false
 }
 
-func apply(record logRecord, recovered *core.Recovered) error {
+func applyRecord(record logRecord, recovered *core.Recovered) error {
 	if record.Hard != nil {
 		recovered.Hard = *record.Hard
 	}
@@ -382,8 +382,8 @@
 	if err != nil {
 		return err
 	}
-	if len(data) > recordLimit {
-		return fmt.Errorf("data folder: a record of %d bytes is over the limit of %d; report it with a dump", len(data), recordLimit)
+	if len(data) > maxRecordBytes {
+		return fmt.Errorf("data folder: a record of %d bytes is over the limit of %d; report it with a dump", len(data), maxRecordBytes)
 	}
 	if _, err := f.log.Write(frame(data)); err != nil {
 		return fmt.Errorf("data folder: %w; free space or mend the disk, then start again", err)
@@ -403,11 +403,11 @@
 	if err != nil {
 		return err
 	}
-	return f.replace(fileSnapshot, frame(data))
+	return f.replaceFile(fileSnapshot, frame(data))
 }
 
-// saveSnapshot puts a snapshot and then a new log in place. A crash between
-// the two leaves the old log, whose beginning the snapshot covers.
+// saveSnapshot replaces the snapshot, then the log. A crash between the two
+// leaves the old log, whose beginning the snapshot covers.
 func (f *folder) saveSnapshot(s core.SaveSnapshot) error {
 	if err := f.writeSnapshot(s.Snapshot); err != nil {
 		return err
@@ -417,10 +417,10 @@
 	if err != nil {
 		return err
 	}
-	if err := f.replace(fileLog, frame(data)); err != nil {
+	if err := f.replaceFile(fileLog, frame(data)); err != nil {
 		return err
 	}
-	log, err := os.OpenFile(f.file(fileLog), os.O_RDWR|os.O_APPEND, fileMode)
+	log, err := os.OpenFile(f.filePath(fileLog), os.O_RDWR|os.O_APPEND, fileMode)
 	if err != nil {
 		return fmt.Errorf("data folder: %w; check the rights to it", err)
 	}
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -19,7 +19,7 @@
 )
 
 // alone are the settings of a deployment of one control VM.
-func alone(t *testing.T, data string) settings.Settings {
+func singleVMSettings(t *testing.T, data string) settings.Settings {
 	s := settings.Default()
 	address := freeAddress(t)
 	s.Name, s.Hall, s.Data = "vm-1", "hall", data
@@ -44,8 +44,8 @@
 }
 
 // command runs a daemon on a folder, has it accept one command and kills it.
-func command(t *testing.T, data, text string, number uint64) core.Result {
-	s := alone(t, data)
+func runCommand(t *testing.T, data, text string, number uint64) core.Result {
+	s := singleVMSettings(t, data)
 	defer run(t, s)()
 	var result core.Result
 	require.Eventually(t, func() bool {
@@ -64,14 +64,14 @@
 func TestTornTailIsCutAndDamageIsRefused(t *testing.T) {
 	data := filepath.Join(t.TempDir(), "data")
 	require.NoError(t, daemon.Bootstrap(data, "vm-1"))
-	command(t, data, "declare model m layers=4 versions=[v1]", 1)
+	runCommand(t, data, "declare model m layers=4 versions=[v1]", 1)
 	log := filepath.Join(data, "log")
 	whole, err := os.ReadFile(log)
 	require.NoError(t, err)
 
 	for _, tail := range [][]byte{{1}, {200, 0, 0, 0, 1, 2, 3, 4, 5, 6}, make([]byte, 64)} {
 		require.NoError(t, os.WriteFile(log, append(append([]byte{}, whole...), tail...), 0o600))
-		again := command(t, data, "declare model m layers=4 versions=[v1]", 1)
+		again := runCommand(t, data, "declare model m layers=4 versions=[v1]", 1)
 		require.EqualValues(t, 1, again.Revision, "the command before the torn tail is kept")
 	}
 
@@ -83,7 +83,7 @@
 		damaged := append([]byte{}, whole...)
 		damaged[at] ^= 0x10
 		require.NoError(t, os.WriteFile(log, damaged, 0o600))
-		_, err = daemon.New(alone(t, data), logr.Discard())
+		_, err = daemon.New(singleVMSettings(t, data), logr.Discard())
 		require.ErrorIs(t, err, daemon.ErrDamaged, "byte %d", at)
 		require.ErrorContains(t, err, "move the folder away and start again")
 	}
@@ -91,16 +91,16 @@
 	require.NoError(t, os.WriteFile(log, whole, 0o600))
 	identity := filepath.Join(data, "identity")
 	require.NoError(t, os.WriteFile(identity, []byte("rubbish"), 0o600))
-	_, err = daemon.New(alone(t, data), logr.Discard())
+	_, err = daemon.New(singleVMSettings(t, data), logr.Discard())
 	require.ErrorIs(t, err, daemon.ErrDamaged)
 }
 
 func TestFolderIsUsedByOneProcess(t *testing.T) {
 	data := filepath.Join(t.TempDir(), "data")
 	require.NoError(t, daemon.Bootstrap(data, "vm-1"))
-	d, err := daemon.New(alone(t, data), logr.Discard())
+	d, err := daemon.New(singleVMSettings(t, data), logr.Discard())
 	require.NoError(t, err)
-	_, err = daemon.New(alone(t, data), logr.Discard())
+	_, err = daemon.New(singleVMSettings(t, data), logr.Discard())
 	require.ErrorContains(t, err, "in use by another process")
 	go d.Kill()
 	require.NoError(t, d.Run())
@@ -111,7 +111,7 @@
 func TestFullDiskLosesNothingAccepted(t *testing.T) {
 	path, err := binary()
 	require.NoError(t, err)
-	s := alone(t, filepath.Join(t.TempDir(), "data"))
+	s := singleVMSettings(t, filepath.Join(t.TempDir(), "data"))
 	file := filepath.Join(t.TempDir(), "settings.jsonc")
 	text := fmt.Sprintf(`{"name": "vm-1", "hall": "hall", "roles": ["control"], "data": %q, "listen": {"peers": %q},
 		"control": {"vms": {"vm-1": %q}, "voters": 1, "snapshot_every": 100000}, "tls": {"plain_text": true}}`, s.Data, s.Listen.Peers, s.Listen.Peers)
@@ -124,7 +124,7 @@
 
 	accepted := 0
 	for number := 1; ; number++ {
-		result, gone := askUntil(t, s.Listen.Peers, fmt.Sprintf("declare model m layers=%d versions=[v1]", number), uint64(number), ended)
+		result, gone := operateUntilEnded(t, s.Listen.Peers, fmt.Sprintf("declare model m layers=%d versions=[v1]", number), uint64(number), ended)
 		if gone {
 			break
 		}
@@ -132,12 +132,12 @@
 		accepted = number
 	}
 	require.Positive(t, accepted)
-	again := command(t, s.Data, fmt.Sprintf("declare model m layers=%d versions=[v1]", accepted), uint64(accepted))
+	again := runCommand(t, s.Data, fmt.Sprintf("declare model m layers=%d versions=[v1]", accepted), uint64(accepted))
 	require.EqualValues(t, accepted, again.Revision, "the last accepted command is still there")
 }
 
 // askUntil sends a command until it is answered or the process has ended.
-func askUntil(t *testing.T, address, text string, number uint64, ended chan error) (core.Result, bool) {
+func operateUntilEnded(t *testing.T, address, text string, number uint64, ended chan error) (core.Result, bool) {
 	for {
 		select {
 		case err := <-ended:
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -4,16 +4,16 @@
 	"github.com/spoolbank/spoolbank/internal/core"
 )
 
-// carryOut hands an effect to whoever carries it out. It never waits for a
-// network: what can take long runs beside the loop and comes back as an event.
-func (d *Daemon) carryOut(effect core.Effect) {
+// execute dispatches an effect. It never waits for the network: operations that can take
+// long run in a goroutine and return their result as an event.
+func (d *Daemon) execute(effect core.Effect) {
 	switch e := effect.(type) {
 	case core.Send:
 		d.peers.send(e.Envelope)
 	case core.PeerFound:
-		d.peers.learn(e.VM, e.Address)
+		d.peers.setAddress(e.VM, e.Address)
 	case core.Persist, core.SaveSnapshot, core.Joined:
-		d.toDisk(e)
+		d.enqueueDisk(e)
 	case core.SaveTargets:
 		d.hints.put(e.Targets)
 	case core.Answer:
@@ -45,7 +45,7 @@
 	case core.TargetHeard:
 		reply(d, e.Conn, e)
 	case core.DocumentInForce, core.TargetsLearned, core.TargetsEnded, core.FleetLearned, core.PermitsLent, core.QuarantineInForce, core.BackoffsEnded, core.OrderLayers:
-		d.gateway.carryOut(e)
+		d.gateway.execute(e)
 	case core.Note:
 		d.log.Info(e.Text, "subject", e.Subject)
 	case core.Stopped:
@@ -53,7 +53,7 @@
 	}
 }
 
-// finishStop ends the process, unless its gateway has callers to see through.
+// finishStop ends the process, unless its gateway still serves callers.
 func (d *Daemon) finishStop() {
 	if d.gateway != nil && d.gateway.front != nil {
 		return
@@ -62,9 +62,10 @@
 	d.tomb.Kill(errStopped)
 }
 
-// keepInMemory answers for a control VM without a disk, which never has a vote: what
-// it has is as durable as it will be. The loop must not wait for itself.
-func (d *Daemon) keepInMemory(effect core.Effect) {
+// acknowledgeVolatile reports state as persisted on a control VM without a disk. Such a VM never
+// has a vote, and its state can't become more durable. It posts from a goroutine because the
+// loop must not block on its own queue.
+func (d *Daemon) acknowledgeVolatile(effect core.Effect) {
 	switch e := effect.(type) {
 	case core.Persist:
 		go d.post(core.Persisted{Sequence: e.Sequence})
@@ -73,9 +74,9 @@
 	}
 }
 
-func (d *Daemon) toDisk(effect core.Effect) {
+func (d *Daemon) enqueueDisk(effect core.Effect) {
 	if d.folder == nil {
-		d.keepInMemory(effect)
+		d.acknowledgeVolatile(effect)
 		return
 	}
 	select {
@@ -90,7 +91,7 @@
 	}
 	listed, err := d.client.Platform(d.context, d.settings.Platform)
 	if err != nil {
-		d.log.V(1).Info("platform list can't be had", "error", err.Error())
+		d.log.V(1).Info("failed to get the list of the platform", "error", err.Error())
 		return
 	}
 	d.post(listed)
--- a/internal/daemon/export_test.go
+++ b/internal/daemon/export_test.go
@@ -19,15 +19,15 @@
 var DecodeHints = decodeHints
 
 // LineLimit is the limit of lines on each writer.
-type LineLimit = lineLimit
+type LogLimiter = lineLimit
 
 // Pass reports whether a line on a writer may be written, and how many were withheld.
-func (l *lineLimit) Pass(writer string, now time.Time) (bool, int) { return l.pass(writer, now) }
+func (l *lineLimit) Allow(writer string, now time.Time) (bool, int) { return l.allow(writer, now) }
 
 // NewGatewayAlone returns the gateway of an entry VM that has a lease, a document and
 // targets, and no control VM.
 func NewGatewayAlone(p Platform, document *relay.Document, targets []relay.Target) (*Gateway, error) {
-	d := &Daemon{log: logr.Discard(), platform: &p, events: make(chan core.Event, eventQueue), outbox: newOutbox(settings.Limits{}, logr.Discard())}
+	d := &Daemon{log: logr.Discard(), platform: &p, events: make(chan core.Event, eventQueueSize), outbox: newOutbox(settings.Limits{}, logr.Discard())}
 	d.context, d.cancel = context.WithCancel(context.Background())
 	var err error
 	if d.metrics, err = newMetrics(d); err != nil {
@@ -85,12 +85,12 @@
 }
 
 // Follow returns a context that ends when a life does.
-func (x *Exchanges) Follow(ctx context.Context, id relay.TargetID) (context.Context, func()) {
+func (x *Exchanges) Track(ctx context.Context, id relay.TargetID) (context.Context, func()) {
 	return x.follow(ctx, id)
 }
 
 // End ends what is under way at a life.
-func (x *Exchanges) End(id relay.TargetID) int { return x.end(id) }
+func (x *Exchanges) CancelAll(id relay.TargetID) int { return x.cancelAll(id) }
 
 // GatewayFor returns a gateway that acts by a document at once, without a cluster.
 func GatewayFor(s settings.Settings, log logr.Logger, p Platform, doc *relay.Document, targets []relay.Target) (*Gateway, error) {
@@ -110,7 +110,7 @@
 	g.router.TakeOthers(nil, true)
 	g.leaseUntil = time.Now().Add(time.Hour)
 	g.leaseHeld = true
-	g.checkInformed()
+	g.signalInformed()
 	return g, nil
 }
 
@@ -234,7 +234,7 @@
 // CarryOut has a gateway's daemon carry out an effect of its Node.
 func CarryOut(g *Gateway, effect core.Effect) {
 	g.daemon.gateway = g
-	g.daemon.carryOut(effect)
+	g.daemon.execute(effect)
 }
 
 // UnreadOf returns the names that targets have used and a gateway does not read.
--- a/internal/daemon/incarnations.go
+++ b/internal/daemon/incarnations.go
@@ -44,7 +44,7 @@
 }
 
 // end ends what is under way at an incarnation, and returns how much that was.
-func (x *exchanges) end(id relay.TargetID) int {
+func (x *exchanges) cancelAll(id relay.TargetID) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for e := range x.underWay[id] {
@@ -55,7 +55,7 @@
 
 // endTargets takes incarnations of targets that have ended: what runs there is lost and goes on
 // elsewhere, and connections to them are closed.
-func (g *Gateway) endTargets(e core.TargetsEnded) {
+func (g *Gateway) endIncarnations(e core.TargetsEnded) {
 	g.mu.Lock()
 	addresses := g.router.End(e.Ended)
 	g.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 	lost := 0
 	for _, s := range e.Ended {
-		lost += g.exchanges.end(s.Old)
+		lost += g.exchanges.cancelAll(s.Old)
 	}
 	go g.reportCrashed(g.endings.confirm(e.Ended, clock.Now())) // the loop must not wait for itself
 	g.meter.targetsEnded(len(e.Ended))
@@ -75,7 +75,7 @@
 func (g *Gateway) logEnded(e core.TargetsEnded, lost int) {
 	var old, next []string
 	var oldBorn, nextBorn []uint64
-	for _, s := range e.Ended[:min(len(e.Ended), namedTargets)] {
+	for _, s := range e.Ended[:min(len(e.Ended), maxLoggedTargets)] {
 		old, oldBorn = append(old, s.Old.Name()), append(oldBorn, s.Old.Born())
 		next, nextBorn = append(next, s.New.Name()), append(nextBorn, s.New.Born())
 	}
--- a/internal/daemon/learning.go
+++ b/internal/daemon/learning.go
@@ -9,51 +9,51 @@
 // This file takes what the Node has learned: effects that are for a gateway.
 
 // carryOut takes the effects that are for a gateway.
-func (g *Gateway) carryOut(effect core.Effect) {
+func (g *Gateway) execute(effect core.Effect) {
 	switch e := effect.(type) {
 	case core.DocumentInForce:
-		g.takeDocument(e)
+		g.applyDocument(e)
 	case core.TargetsLearned:
-		g.takeTargets(e.Targets)
+		g.applyTargets(e.Targets)
 	case core.TargetsEnded:
-		g.endTargets(e)
+		g.endIncarnations(e)
 	case core.FleetLearned:
-		g.takeFleet(e)
+		g.applyFleet(e)
 	case core.PermitsLent:
-		g.takePermits(e)
+		g.applyGrant(e)
 	case core.QuarantineInForce:
 		g.takeQuarantine(e)
 	case core.BackoffsEnded:
 		g.endBackoffs(e.Targets)
 	case core.OrderLayers:
-		go g.order(e)
+		go g.orderLayers(e)
 	}
 }
 
-func (g *Gateway) takeTargets(targets []relay.Target) {
+func (g *Gateway) applyTargets(targets []relay.Target) {
 	g.mu.Lock()
 	ended := g.router.EndedBy(targets)
 	g.mu.Unlock()
 	if len(ended) > 0 {
-		g.endTargets(core.TargetsEnded{Ended: ended})
+		g.endIncarnations(core.TargetsEnded{Ended: ended})
 	}
 	g.mu.Lock()
 	g.router.TakeTargets(targets)
 	g.mu.Unlock()
-	g.checkInformed()
-	g.logLearned(targets)
+	g.signalInformed()
+	g.logTargets(targets)
 }
 
 // namedTargets is the number of targets that one line names: each change of a target
 // reaches every VM, so that lines must not grow with them.
-const namedTargets = 4
+const maxLoggedTargets = 4
 
 // logLearned notes what targets have newly said, in one line.
-func (g *Gateway) logLearned(targets []relay.Target) {
+func (g *Gateway) logTargets(targets []relay.Target) {
 	var named []string
 	leaving, loading := 0, 0
 	for _, t := range targets {
-		if len(named) < namedTargets {
+		if len(named) < maxLoggedTargets {
 			named = append(named, string(t.ID)+t.Layers.String())
 		}
 		if !t.Takes() {
@@ -66,14 +66,14 @@
 	g.log.Info("targets learned", "targets", len(targets), "leaving", leaving, "loading", loading, "first", named)
 }
 
-func (g *Gateway) takeDocument(e core.DocumentInForce) {
+func (g *Gateway) applyDocument(e core.DocumentInForce) {
 	g.mu.Lock()
 	g.router.TakeDocument(e.Document)
 	g.mu.Unlock()
 	g.log.Info("document in force", "version", e.Document.Version, "revision", e.Revision, "routes", len(e.Document.Routes))
 }
 
-func (g *Gateway) takeFleet(e core.FleetLearned) {
+func (g *Gateway) applyFleet(e core.FleetLearned) {
 	g.mu.Lock()
 	regained := !g.leaseHeld
 	g.leaseHeld = true
@@ -86,7 +86,7 @@
 	g.router.TakeMarks(e.Marks, e.MarksWhole)
 	g.router.TakeLimited(e.Marks, e.MarksWhole, clock.Now())
 	g.mu.Unlock()
-	g.checkInformed()
+	g.signalInformed()
 	if regained {
 		g.log.Info("lease held", "until_in", clock.Until(e.LeaseUntil).String(), "entry_vms", e.VMs)
 	}
@@ -94,7 +94,7 @@
 
 // checkInformed ends the wait of calls that came before this VM knew what to do
 // with them.
-func (g *Gateway) checkInformed() {
+func (g *Gateway) signalInformed() {
 	g.mu.Lock()
 	informed := clock.Now().Before(g.leaseUntil) && g.router.Informed()
 	g.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-func (g *Gateway) order(o core.OrderLayers) {
+func (g *Gateway) orderLayers(o core.OrderLayers) {
 	outcome := core.OrderRefused
 	if clock.Sampled().Before(o.NotAfter) {
 		ctx, cancel := clock.WithDeadline(g.daemon.context, o.NotAfter)
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -12,7 +12,7 @@
 // operators of such targets. relay/permits.go and relay/limits.go decide.
 
 // takePermits takes what the leader has lent.
-func (g *Gateway) takePermits(e core.PermitsLent) {
+func (g *Gateway) applyGrant(e core.PermitsLent) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.router.TakeGrant(e.Number, e.Permits, e.Until, clock.Now())
@@ -20,16 +20,16 @@
 
 // waitForPermit notes that a request waits, and asks the leader for permits now. The wait ends with
 // the function that is returned.
-func (g *Gateway) waitForPermit(service string, urgency int) (over func()) {
+func (g *Gateway) waitForPermit(service string, urgency int) (release func()) {
 	g.mu.Lock()
-	ended := g.router.Wait(service, urgency)
+	stopWaiting := g.router.Wait(service, urgency)
 	asks := g.router.PermitAsks(clock.Now())
 	g.mu.Unlock()
 	g.daemon.post(core.PermitsWanted{Asks: asks})
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		ended()
+		stopWaiting()
 	}
 }
 
@@ -43,10 +43,10 @@
 }
 
 // limitsNamed bounds the targets that one line names.
-const limitsNamed = 8
+const maxLoggedLimits = 8
 
 // noteLimits logs and counts the targets with limits, a line where they change.
-func (g *Gateway) noteLimits(limited []relay.LimitedTarget) {
+func (g *Gateway) recordLimits(limited []relay.LimitedTarget) {
 	g.meter.limits(limited)
 	var now []loggedLimit
 	for _, l := range limited {
@@ -57,7 +57,7 @@
 	}
 	var named []relay.LimitedTarget
 	for _, l := range limited {
-		if !slices.Contains(g.limitsLogged, loggedLimit{target: l.Target, perSecond: l.PerSecond}) && len(named) < limitsNamed {
+		if !slices.Contains(g.limitsLogged, loggedLimit{target: l.Target, perSecond: l.PerSecond}) && len(named) < maxLoggedLimits {
 			named = append(named, l)
 		}
 	}
--- a/internal/daemon/links_test.go
+++ b/internal/daemon/links_test.go
@@ -17,7 +17,7 @@
 )
 
 // controlPeer stands in for a control VM: it grants each renewal, and names another VM.
-type controlPeer struct {
+type fakeControlVM struct {
 	wire.Server
 	other   string
 	granted chan struct{}
@@ -25,7 +25,7 @@
 }
 
 // Link implements wire.Server.
-func (c *controlPeer) Link(stream drpc.Stream) error {
+func (c *fakeControlVM) Link(stream drpc.Stream) error {
 	for {
 		var e core.Envelope
 		if err := stream.MsgRecv(&e, wire.Encoding{}); err != nil {
@@ -84,7 +84,7 @@
 	defer conn.Close()
 	stream, err := conn.NewStream(ctx, wire.RPCLink, wire.Encoding{})
 	require.NoError(t, err)
-	peer := &controlPeer{other: other.Addr().String(), granted: make(chan struct{}), send: func(e core.Envelope) error { return stream.MsgSend(&e, wire.Encoding{}) }}
+	peer := &fakeControlVM{other: other.Addr().String(), granted: make(chan struct{}), send: func(e core.Envelope) error { return stream.MsgSend(&e, wire.Encoding{}) }}
 	mux := drpcmux.New()
 	require.NoError(t, mux.Register(peer, wire.Description{}))
 	go func() { _ = drpcserver.New(mux).Serve(ctx, control) }() // it ends with ctx
--- a/internal/daemon/logs.go
+++ b/internal/daemon/logs.go
@@ -23,33 +23,33 @@
 const (
 	// logBuffer bounds the lines that wait to be written, in bytes: a second of
 	// a process at 500 requests a second, with two lines of 250 bytes each.
-	logBuffer = 256 << 10
+	logBufferBytes = 256 << 10
 	// logEvery is the longest time that a line waits.
-	logEvery = 100 * time.Millisecond
+	logFlushInterval = 100 * time.Millisecond
 )
 
 // logSink is a zapcore.WriteSyncer that never blocks.
 type logSink struct {
-	out     io.Writer
-	mu      sync.Mutex
-	buffer  []byte
-	writing sync.Mutex
-	armed   bool
-	dropped atomic.Int64
+	out            io.Writer
+	mu             sync.Mutex
+	buffer         []byte
+	writeMu        sync.Mutex
+	flushScheduled bool
+	dropped        atomic.Int64
 }
 
 // Write implements io.Writer.
 func (s *logSink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.buffer)+len(line) > logBuffer {
+	if len(s.buffer)+len(line) > logBufferBytes {
 		s.dropped.Add(1)
 		return len(line), nil
 	}
 	s.buffer = append(s.buffer, line...)
-	if !s.armed {
-		s.armed = true
-		time.AfterFunc(logEvery, s.flush)
+	if !s.flushScheduled {
+		s.flushScheduled = true
+		time.AfterFunc(logFlushInterval, s.flush)
 	}
 	return len(line), nil
 }
@@ -61,12 +61,12 @@
 }
 
 func (s *logSink) flush() {
-	s.writing.Lock()
-	defer s.writing.Unlock()
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
 	s.mu.Lock()
 	lines := s.buffer
 	s.buffer = nil
-	s.armed = false
+	s.flushScheduled = false
 	s.mu.Unlock()
 	if n := s.dropped.Swap(0); n > 0 {
 		lines = fmt.Appendf(lines, `{"level":"info","msg":"log lines dropped","lines":%d}`+"\n", n)
--- a/internal/daemon/logs_test.go
+++ b/internal/daemon/logs_test.go
@@ -12,19 +12,19 @@
 )
 
 // gate is a writer that blocks while it is shut.
-type gate struct {
+type blockingWriter struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *blockingWriter) Write(p []byte) (int, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.Write(p)
 }
 
 // String returns what was written so far. The log's timer may write at any time.
-func (g *gate) String() string {
+func (g *blockingWriter) String() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.String()
@@ -32,7 +32,7 @@
 
 // A reader that stops must not hold up requests, and what is lost is counted.
 func TestLogsNeverBlockAndCountWhatIsDropped(t *testing.T) {
-	out := &gate{}
+	out := &blockingWriter{}
 	out.mu.Lock()
 	log, flush := daemon.NewLogger(out)
 	line := strings.Repeat("x", 1000)
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -8,8 +8,8 @@
 	"github.com/spoolbank/spoolbank/settings"
 )
 
-// post gives the loop an event. It waits while the queue is full, which slows
-// down whoever brings events.
+// post queues an event for the loop. It blocks while the queue is full, which applies
+// backpressure to the sources of events.
 func (d *Daemon) post(event core.Event) {
 	select {
 	case d.events <- event:
@@ -17,7 +17,7 @@
 	}
 }
 
-// loop steps the Node: it alone touches it.
+// loop steps the Node. No other goroutine accesses the Node.
 func (d *Daemon) loop() error {
 	for {
 		select {
@@ -32,22 +32,22 @@
 }
 
 func (d *Daemon) step(event core.Event) {
-	began := time.Now()
+	start := time.Now()
 	effects := d.node.Step(clock.Sampled(), event)
-	d.metrics.stepped(event, time.Since(began))
+	d.metrics.recordStep(event, time.Since(start))
 	for _, effect := range effects {
-		d.carryOut(effect)
+		d.execute(effect)
 	}
 }
 
 func (d *Daemon) tickLoop() error {
-	timer := time.NewTimer(tickEvery)
+	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
 			timer.Reset(d.nextTick())
-			d.peers.lookAtLinks(time.Now())
+			d.peers.checkLinks(time.Now())
 			d.post(core.Tick{})
 		case <-d.tomb.Dying():
 			return nil
@@ -55,9 +55,9 @@
 	}
 }
 
-// outboxLoop looks after what is held for callers, where no gateway does.
+// outboxLoop maintains the data buffered for callers if no gateway does.
 func (d *Daemon) outboxLoop() error {
-	ticker := time.NewTicker(upkeepEvery)
+	ticker := time.NewTicker(upkeepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -69,16 +69,17 @@
 	}
 }
 
-// nextTick returns the wait for the next tick.
+// nextTick returns the delay until the next tick.
 func (d *Daemon) nextTick() time.Duration {
 	entryOnly := d.gateway != nil && !d.settings.HasRole(settings.RoleControl)
 	if entryOnly && d.gateway.Ready() {
-		return settledTickEvery
+		return leasedTickInterval
 	}
-	return tickEvery
+	return tickInterval
 }
 
-// look runs f on the Node between two events and waits for it.
+// look runs f on the Node between two events and waits for it. It returns false if the
+// daemon ends first.
 func (d *Daemon) look(f func(*core.Node)) bool {
 	done := make(chan struct{})
 	run := func(n *core.Node) {
@@ -94,14 +95,14 @@
 	}
 }
 
-// diskLoop writes what the Node orders persisted. It takes all that waits
+// diskLoop writes what the Node orders to be persisted. It writes all queued effects
 // before it syncs, so that a burst of records costs one sync.
 func (d *Daemon) diskLoop() error {
 	for {
 		select {
 		case effect := <-d.disk:
 			if err := d.writeBatch(effect); err != nil {
-				d.log.Error(err, "control state can't be kept, the process ends")
+				d.log.Error(err, "failed to persist the control state; the process ends")
 				return err
 			}
 		case <-d.tomb.Dying():
@@ -113,11 +114,11 @@
 func (d *Daemon) writeBatch(effect core.Effect) error {
 	var sequence uint64
 	for {
-		written, err := d.write(effect)
+		persisted, err := d.write(effect)
 		if err != nil {
 			return err
 		}
-		sequence = max(sequence, written)
+		sequence = max(sequence, persisted)
 		select {
 		case effect = <-d.disk:
 			continue
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -23,20 +23,20 @@
 	bodyFirst = 4 << 10
 	// noMemoryRetry is when a caller for whose body there was no memory is asked to try
 	// again: answers that nobody reads are ended within half of that.
-	noMemoryRetry = time.Second
+	noMemoryRetryDelay = time.Second
 	// stallBlamed is how long a caller must have held up a target's answer for a break of it
 	// to be the caller's fault: targets cut off what is left unread for some seconds.
-	stallBlamed = 500 * time.Millisecond
+	minBlamedStall = 500 * time.Millisecond
 )
 
 // readBounded reads to the end, or up to most bytes and one more. Each time its buffer
 // grows, it asks for that much memory first; length is a guess, or negative.
-func readBounded(r io.Reader, length, most int64, grow func(bytes int64) bool) ([]byte, error) {
-	size := min(max(length, 0)+1, most+1)
+func readBounded(r io.Reader, length, limit int64, reserve func(bytes int64) bool) ([]byte, error) {
+	size := min(max(length, 0)+1, limit+1)
 	if length < 0 || size > wholeLimit {
 		size = bodyFirst
 	}
-	if !grow(size) {
+	if !reserve(size) {
 		return nil, errNoMemory
 	}
 	buffer := make([]byte, 0, size)
@@ -48,13 +48,13 @@
 			return buffer, nil
 		case err != nil:
 			return buffer, err
-		case int64(len(buffer)) > most:
+		case int64(len(buffer)) > limit:
 			return buffer, nil
 		case len(buffer) < cap(buffer):
 			continue
 		}
-		size = min(2*size, most+1)
-		if !grow(size - int64(cap(buffer))) {
+		size = min(2*size, limit+1)
+		if !reserve(size - int64(cap(buffer))) {
 			return nil, errNoMemory
 		}
 		buffer = append(make([]byte, 0, size), buffer...)
@@ -64,12 +64,12 @@
 // ReadBody reads the body of a caller's request of up to most bytes. The returned function
 // gives its memory back and is called in any case. The error is a *relay.Refusal where there
 // is no memory for the request: it has not run and will not.
-func (g *Gateway) ReadBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, func(), error) {
+func (g *Gateway) ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, func(), error) {
 	held := g.daemon.outbox.open()
-	if !held.reserveKernel() || !g.daemon.outbox.hasRoom(min(r.ContentLength, most+1)) {
+	if !held.reserveKernel() || !g.daemon.outbox.hasRoom(min(r.ContentLength, limit+1)) {
 		return nil, held.close, g.noMemory()
 	}
-	body, err := readBounded(http.MaxBytesReader(w, r.Body, most), r.ContentLength, most, func(bytes int64) bool {
+	body, err := readBounded(http.MaxBytesReader(w, r.Body, limit), r.ContentLength, limit, func(bytes int64) bool {
 		return held.reserve(relay.SideTargets, bytes)
 	})
 	if errors.Is(err, errNoMemory) {
@@ -80,7 +80,7 @@
 
 func (g *Gateway) noMemory() *relay.Refusal {
 	g.meter.refused(relay.RefusedNoMemory)
-	return &relay.Refusal{Kind: relay.RefusedNoMemory, RetryAt: clock.Now().Add(noMemoryRetry), Reason: "this VM has no memory left for the request"}
+	return &relay.Refusal{Kind: relay.RefusedNoMemory, RetryAt: clock.Now().Add(noMemoryRetryDelay), Reason: "this VM has no memory left for the request"}
 }
 
 // readWhole reads the answer of a plain service, or its beginning where it is long.
@@ -112,25 +112,25 @@
 	f.heldUp += stalled
 	f.pace = relay.Pace{}
 	f.pauseExplained = true
-	f.leftUnread = stalled >= stallBlamed
+	f.leftUnread = stalled >= minBlamedStall
 }
 
 // notSent takes a target that has not read the bodies before this one. It counts as full.
 func (f *forwarding) notSent(path relay.Path) result {
 	f.last = "target " + path.First().Address + " has not read the bodies before this one"
-	f.noteFull(path)
+	f.markFull(path)
 	return resultNotSent
 }
 
 // notRead takes a target that lives and does not read the request. It counts as full, not as
 // lost; whether it runs what it has read is not known.
 func (f *forwarding) notRead(path relay.Path) result {
-	f.noteFull(path)
+	f.markFull(path)
 	return resultBroken
 }
 
 // noteFull has other targets be asked before the first one of a path.
-func (f *forwarding) noteFull(path relay.Path) {
+func (f *forwarding) markFull(path relay.Path) {
 	f.g.refusedBy(path.First().Target)
 	f.full = append(f.full, path.First().Target)
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -79,11 +79,11 @@
 	for name, value := range map[string]func(core.Status) int64{
 		"spoolbank.config.revision":     func(s core.Status) int64 { return int64(s.EntryRevision) },
 		"spoolbank.control.term":        func(s core.Status) int64 { return int64(s.Term) },
-		"spoolbank.control.leads":       func(s core.Status) int64 { return count(s.HoldsLease) },
+		"spoolbank.control.leads":       func(s core.Status) int64 { return boolToInt(s.HoldsLease) },
 		"spoolbank.control.claims":      func(s core.Status) int64 { return int64(s.Claims) },
 		"spoolbank.control.holders":     func(s core.Status) int64 { return int64(s.Holders) },
 		"spoolbank.control.grants_held": func(s core.Status) int64 { return int64(s.GrantsHeld) },
-		"spoolbank.entry.lease":         func(s core.Status) int64 { return count(s.HasLease) },
+		"spoolbank.entry.lease":         func(s core.Status) int64 { return boolToInt(s.HasLease) },
 		"spoolbank.entry.streams":       func(s core.Status) int64 { return int64(s.Streams) },
 		"spoolbank.entry.calls":         func(s core.Status) int64 { return int64(s.Calls) },
 		"spoolbank.entry.queued":        func(s core.Status) int64 { return int64(s.Queued) },
@@ -108,7 +108,7 @@
 	return err
 }
 
-func count(b bool) int64 {
+func boolToInt(b bool) int64 {
 	if b {
 		return 1
 	}
@@ -116,7 +116,7 @@
 }
 
 // stepped is called by the loop alone.
-func (m *metrics) stepped(event core.Event, took time.Duration) {
+func (m *metrics) recordStep(event core.Event, took time.Duration) {
 	name := fmt.Sprintf("%T", event)
 	option, ok := m.byEvent[name]
 	if !ok {
@@ -124,7 +124,7 @@
 		m.byEvent[name] = option
 	}
 	m.steps.Record(context.Background(), took.Seconds(), option)
-	m.traffic.stepped(event, took)
+	m.traffic.recordStep(event, took)
 }
 
 var (
@@ -133,11 +133,11 @@
 	attrDropped  = metric.WithAttributeSet(attribute.NewSet(attribute.String("way", "dropped")))
 )
 
-func (m *metrics) sent()     { m.messages.Add(context.Background(), 1, attrSent) }
-func (m *metrics) received() { m.messages.Add(context.Background(), 1, attrReceived) }
-func (m *metrics) dropped()  { m.messages.Add(context.Background(), 1, attrDropped) }
+func (m *metrics) countSent()     { m.messages.Add(context.Background(), 1, attrSent) }
+func (m *metrics) countReceived() { m.messages.Add(context.Background(), 1, attrReceived) }
+func (m *metrics) countDropped()  { m.messages.Add(context.Background(), 1, attrDropped) }
 
-func (m *metrics) foundSilent(ctx context.Context, kind string) {
+func (m *metrics) countSilent(ctx context.Context, kind string) {
 	m.silent.Add(ctx, 1, metric.WithAttributes(attribute.String("kind", kind)))
 }
 
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -22,92 +22,92 @@
 	"github.com/spoolbank/spoolbank/query"
 )
 
-// outboxLength bounds the messages that wait for one peer. More are dropped:
-// the protocols above expect loss. A control VM of 300 has a link to each of them, so
-// that room for 4,096 whole messages on each took its memory.
-const outboxLength = 1024
+// peerQueueLength bounds the messages queued for one peer. More are dropped:
+// the protocols above tolerate loss. A control VM for 300 VMs has a link to each of them;
+// room for 4,096 messages on each link exhausted its memory.
+const peerQueueLength = 1024
 
-// redialPause is the wait after a peer could not be reached.
-const redialPause = 100 * time.Millisecond
+// redialDelay is the delay before a peer that could not be reached is dialed again.
+const redialDelay = 100 * time.Millisecond
 
 // peers sends messages to other VMs, over one stream to each.
 type peers struct {
 	daemon *Daemon
 	mu     sync.Mutex
 	links  map[core.VMName]*peerLink
-	// inbound holds the connection that each VM's messages came over last.
+	// inbound holds the connection over which each VM last sent messages.
 	inbound map[core.VMName]drpc.Transport
-	// looked is when all links were last looked at.
-	looked time.Time
-	// redials bounds the connections that are made at once in the place of silent ones.
-	redials chan struct{}
+	// lastCheck is when all links were last checked.
+	lastCheck time.Time
+	// redialSlots bounds the concurrent dials that replace silent connections.
+	redialSlots chan struct{}
 }
 
 type peerLink struct {
-	outbox  chan *core.Envelope
+	queue   chan *core.Envelope
 	mu      sync.Mutex
 	address string
-	// served says that somebody sends what is in the outbox.
-	served bool
+	// serving says that a goroutine sends the messages in the queue.
+	serving bool
 	receipts
 }
 
 func newPeers(d *Daemon) *peers {
 	p := &peers{
 		daemon: d, links: make(map[core.VMName]*peerLink),
-		inbound: make(map[core.VMName]drpc.Transport), redials: make(chan struct{}, redialsAtOnce),
+		inbound: make(map[core.VMName]drpc.Transport), redialSlots: make(chan struct{}, maxConcurrentRedials),
 	}
 	for name, address := range d.settings.Control.VMs {
-		p.learn(core.VMName(name), address)
+		p.setAddress(core.VMName(name), address)
 	}
 	return p
 }
 
-// learn takes a VM's address. Nothing is dialled before there is something to send: a VM
-// is told of all others, and speaks to few of them.
-func (p *peers) learn(vm core.VMName, address string) {
+// setAddress sets the address of a VM. It dials nothing, since a VM receives the addresses of
+// all others and sends messages to few of them.
+func (p *peers) setAddress(vm core.VMName, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l, ok := p.links[vm]; ok {
-		l.set(address)
+		l.setAddress(address)
 		return
 	}
 	p.links[vm] = &peerLink{address: address, receipts: receipts{state: silence.NewLink(time.Duration(p.daemon.settings.Timing.Silence))}}
 }
 
-// open makes sure that a link is served.
-func (p *peers) open(l *peerLink) {
+// ensureServing starts the goroutine that sends over a link, unless it runs.
+func (p *peers) ensureServing(l *peerLink) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.served {
+	if l.serving {
 		return
 	}
-	l.served = true
-	l.outbox = make(chan *core.Envelope, outboxLength)
+	l.serving = true
+	l.queue = make(chan *core.Envelope, peerQueueLength)
 	p.daemon.tomb.Go(func() error {
 		p.daemon.serveLink(l)
 		return nil
 	})
 }
 
-func (l *peerLink) set(address string) {
+func (l *peerLink) setAddress(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.address = address
 }
 
-func (l *peerLink) get() string {
+func (l *peerLink) currentAddress() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.address
 }
 
-// address returns where a VM is reached, or the empty text.
+// address returns the address of a VM, or "" if it is unknown.
 func (p *peers) address(vm core.VMName) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l, ok := p.links[vm]; ok {
-		return l.get()
+		return l.currentAddress()
 	}
 	return ""
 }
@@ -117,16 +117,16 @@
 	if !ok {
 		return
 	}
-	p.open(l)
+	p.ensureServing(l)
 	select {
-	case l.outbox <- &e:
+	case l.queue <- &e:
 	default:
-		p.daemon.metrics.dropped()
+		p.daemon.metrics.countDropped()
 	}
 }
 
-// link returns the link to a VM. Where VMs are named by their addresses, one that
-// is not known yet can be reached all the same.
+// link returns the link to a VM. A VM that is not known yet can be reached if its
+// name is an address.
 func (p *peers) link(vm core.VMName) (*peerLink, bool) {
 	p.mu.Lock()
 	l, ok := p.links[vm]
@@ -137,31 +137,31 @@
 	if _, err := netip.ParseAddrPort(string(vm)); err != nil {
 		return nil, false
 	}
-	p.learn(vm, string(vm))
+	p.setAddress(vm, string(vm))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.links[vm], true
 }
 
-// serveLink sends what is in the outbox of one peer over a stream, which is opened when
-// there is something to send. What gathers while the peer can't be reached is old by then,
-// and is dropped.
+// serveLink sends the queued messages of one peer over a stream, which it opens when there
+// is something to send. Messages that are queued while the peer can't be reached are
+// outdated by then and are dropped.
 func (d *Daemon) serveLink(l *peerLink) {
 	for {
 		select {
-		case e := <-l.outbox:
+		case e := <-l.queue:
 			err := d.sendAll(l, e)
 			if errors.Is(err, errLinkSilent) {
 				continue
 			}
 			if err != nil {
-				d.log.V(1).Info("peer link broken", "address", l.get(), "error", err.Error())
+				d.log.V(1).Info("peer link broken", "address", l.currentAddress(), "error", err.Error())
 			}
 		case <-d.tomb.Dying():
 			return
 		}
 		select {
-		case <-time.After(redialPause):
+		case <-time.After(redialDelay):
 			l.drain()
 		case <-d.tomb.Dying():
 			return
@@ -172,14 +172,14 @@
 func (l *peerLink) drain() {
 	for {
 		select {
-		case <-l.outbox:
+		case <-l.queue:
 		default:
 			return
 		}
 	}
 }
 
-// sendAll sends first and what follows it until the stream breaks.
+// sendAll sends first and the messages queued after it until the stream breaks.
 func (d *Daemon) sendAll(l *peerLink, first *core.Envelope) error {
 	conn, err := d.dialPeer(l)
 	if err != nil {
@@ -190,24 +190,24 @@
 	if err != nil {
 		return err
 	}
-	silent := d.watchLink(l, conn, stream)
-	defer l.unwatch()
+	silent := d.attachConn(l, conn, stream)
+	defer l.detachConn()
 	for e := first; ; {
-		d.metrics.sent()
-		e.Body.Receipt = l.number(e.Body.Receipt, time.Now())
-		if err := stream.MsgSend(e, measuredEncoding{note: d.metrics.traffic.sentMessage}); err != nil {
+		d.metrics.countSent()
+		e.Body.Receipt = l.nextReceipt(e.Body.Receipt, time.Now())
+		if err := stream.MsgSend(e, measuredEncoding{record: d.metrics.traffic.recordSent}); err != nil {
 			if silent.Load() {
 				return errLinkSilent
 			}
 			return err
 		}
 		select {
-		case e = <-l.outbox:
+		case e = <-l.queue:
 		case <-conn.Closed():
 			if silent.Load() {
 				return errLinkSilent
 			}
-			return fmt.Errorf("peer %s closed the link", l.get())
+			return fmt.Errorf("peer %s closed the link", l.currentAddress())
 		case <-d.tomb.Dying():
 			return nil
 		}
@@ -228,30 +228,30 @@
 	return server.Serve(d.tomb.Context(d.context), d.keys.Listener(d.peerListener))
 }
 
-// peerServer is the wire.Server of a daemon.
+// peerServer implements wire.Server for a daemon.
 type peerServer struct{ daemon *Daemon }
 
-// Link implements wire.Server. Under TLS a peer speaks only for the VM that its
-// certificate names.
+// Link implements wire.Server. Under TLS it accepts only messages from the VM that the
+// peer's certificate names.
 func (s *peerServer) Link(stream drpc.Stream) error {
 	name, secure := wire.PeerName(stream.Context())
-	defer s.daemon.peers.dropInbound(stream)
-	noted := false
+	defer s.daemon.peers.removeInbound(stream)
+	recorded := false
 	for {
 		var e core.Envelope
-		if err := stream.MsgRecv(&e, measuredEncoding{note: s.daemon.metrics.traffic.tookMessage}); err != nil {
+		if err := stream.MsgRecv(&e, measuredEncoding{record: s.daemon.metrics.traffic.recordReceived}); err != nil {
 			return err
 		}
 		if secure && string(e.From.VM) != name {
-			s.daemon.log.Info("peer speaks for another VM, its link is closed", "certificate", name, "vm", e.From.VM)
+			s.daemon.log.Info("peer sent a message as another VM; closing its link", "certificate", name, "vm", e.From.VM)
 			return fmt.Errorf("peer %s speaks for %s; use the certificate of that VM", name, e.From.VM)
 		}
-		s.daemon.metrics.received()
-		if !noted {
-			s.daemon.peers.noteInbound(stream, e.From.VM)
-			noted = true
+		s.daemon.metrics.countReceived()
+		if !recorded {
+			s.daemon.peers.recordInbound(stream, e.From.VM)
+			recorded = true
 		}
-		if !s.daemon.peers.takeReceipt(stream, e) {
+		if !s.daemon.peers.handleReceipt(stream, e) {
 			continue
 		}
 		s.daemon.post(core.Received{Envelope: e})
@@ -276,7 +276,7 @@
 		Number:    request.Number,
 		Digest:    digest(fmt.Sprintf("%d %s", request.Expect, request.Text)),
 		Expect:    request.Expect,
-		WaitUntil: waitUntil(request.WaitMillis),
+		WaitUntil: deadlineAfter(request.WaitMillis),
 	})
 	select {
 	case r := <-result:
@@ -286,7 +286,7 @@
 	}
 }
 
-func waitUntil(millis int) time.Time {
+func deadlineAfter(millis int) time.Time {
 	if millis <= 0 {
 		return time.Time{}
 	}
@@ -299,7 +299,7 @@
 func (s *peerServer) Dump(context.Context, *wire.DumpRequest) (*wire.DumpReply, error) {
 	var dump core.Dump
 	s.daemon.look(func(n *core.Node) { dump = n.Dump() })
-	hideKeys(&dump)
+	redactKeys(&dump)
 	text, err := json.MarshalIndent(dump, "", "  ")
 	if err != nil {
 		return nil, err
@@ -307,8 +307,8 @@
 	return &wire.DumpReply{JSON: text}, nil
 }
 
-// hideKeys takes the hashes of API keys out of a dump.
-func hideKeys(dump *core.Dump) {
+// redactKeys replaces the hashes of API keys in a dump.
+func redactKeys(dump *core.Dump) {
 	for _, state := range []*config.State{&dump.Config, &dump.Entry} {
 		for _, o := range state.Organisations.Sorted() {
 			o.Key = "hidden"
--- a/internal/daemon/receipts.go
+++ b/internal/daemon/receipts.go
@@ -17,108 +17,107 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// This file finds out that the link to another VM has fallen silent; package silence
-// decides, docs/design/silent-connections.md weighs. All that goes to one VM goes over one
-// link, so that all its users learn of it by one verdict.
+// This file detects silent links to other VMs. Package silence decides;
+// docs/design/silent-connections.md gives the reasons. All messages to one VM share one
+// link, so that one verdict covers all its users.
 
-// errLinkSilent ends a connection to a VM from which no proof of life came back. What waits
-// to be sent is kept: it is younger than the silence.
-var errLinkSilent = errors.New("the connection is silent; a new one is made")
+// errLinkSilent ends a connection to a VM that returns no receipts. The queued messages are
+// kept: they are newer than the silence.
+var errLinkSilent = errors.New("connection is silent; opening a new one")
 
 const (
-	// lookEvery is the least time between two looks at all links: a fraction of the shortest
-	// waits that are looked for.
-	lookEvery = 40 * time.Millisecond
-	// redialsAtOnce bounds the connections that are made at once in the place of silent
-	// ones: where a control VM loses its links to 300 VMs together, it has renewed them all
-	// within some 0.1 s, and goes on with its heartbeats meanwhile.
-	redialsAtOnce = 32
-	// redialSpread is the time over which they are spread: a tenth of the interval at which
-	// leases are renewed, or less.
-	redialSpread = 30 * time.Millisecond
-	// redialHold is how long one that does not come about keeps others from theirs: after
-	// that the VM is taken to be away.
-	redialHold = 250 * time.Millisecond
+	// linkCheckInterval is the least time between two checks of all links: a fraction of the
+	// shortest timeouts that they check.
+	linkCheckInterval = 40 * time.Millisecond
+	// maxConcurrentRedials bounds the concurrent dials that replace silent connections. A
+	// control VM that loses its links to 300 VMs at once has renewed them all within some
+	// 0.1 s, and continues to send heartbeats meanwhile.
+	maxConcurrentRedials = 32
+	// redialJitter is the time over which these dials are spread: a tenth of the interval at
+	// which leases are renewed, or less.
+	redialJitter = 30 * time.Millisecond
+	// redialSlotTimeout is how long a dial that doesn't complete keeps its slot. After that
+	// the VM is assumed to be unreachable.
+	redialSlotTimeout = 250 * time.Millisecond
 )
 
-// receipts is what one VM knows of the link to another one, over all its connections.
+// receipts is the state of the link to another VM across all its connections.
 type receipts struct {
 	mu    sync.Mutex
 	state silence.Link
-	// seen is the highest number received from the other VM in its incarnation seenOf.
-	seen   uint64
-	seenOf core.Incarnation
-	// conn is the connection that the link has now, if it has one; silent is set when that
-	// is ended for its silence.
+	// seen is the highest number received from the incarnation seenIncarnation of the other VM.
+	seen            uint64
+	seenIncarnation core.Incarnation
+	// conn is the current connection of the link, or nil; silent is set if that connection
+	// is closed because it is silent.
 	conn   *drpcconn.Conn
 	silent *atomic.Bool
-	// redial says that the last connection was found silent, so that the next one is made
-	// in its place.
+	// redial says that the last connection was found silent and the next one replaces it.
 	redial bool
 }
 
-// number returns the receipt that a message goes out with. The given one, if any, says
-// whether the message is a question.
-func (r *receipts) number(given *core.Receipt, now time.Time) *core.Receipt {
+// nextReceipt returns the receipt to send with a message. A non-nil requested says whether the
+// message is a probe.
+func (r *receipts) nextReceipt(requested *core.Receipt, now time.Time) *core.Receipt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	receipt := core.Receipt{Seen: r.seen, Ask: given != nil && given.Ask}
+	receipt := core.Receipt{Seen: r.seen, Ask: requested != nil && requested.Ask}
 	r.state, receipt.Number = r.state.Sent(now)
 	return &receipt
 }
 
-// proved takes the highest number that the other VM has seen.
-func (r *receipts) proved(number uint64, now time.Time) {
+// acknowledged records the highest number that the other VM has received.
+func (r *receipts) acknowledged(number uint64, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.state = r.state.Proved(number, now)
 }
 
-// take takes the receipt of a message of the other VM.
-func (r *receipts) take(from core.ReplicaID, receipt core.Receipt, now time.Time) {
+// receive records the receipt of a message from the other VM.
+func (r *receipts) receive(from core.ReplicaID, receipt core.Receipt, now time.Time) {
 	r.mu.Lock()
-	if r.seenOf != from.Incarnation {
-		r.seenOf, r.seen = from.Incarnation, 0
+	if r.seenIncarnation != from.Incarnation {
+		r.seenIncarnation, r.seen = from.Incarnation, 0
 	}
 	r.seen = max(r.seen, receipt.Number)
 	r.state = r.state.Speaks()
 	r.mu.Unlock()
-	r.proved(receipt.Seen, now)
+	r.acknowledged(receipt.Seen, now)
 }
 
-// errStopping ends a dial: the process stops.
-var errStopping = errors.New("this process stops; ask another VM")
+// errStopping ends a dial because the process is stopping.
+var errStopping = errors.New("this process is stopping; ask another VM")
 
-// dialPeer connects to a VM. In the place of silent connections few are made at once.
+// dialPeer connects to a VM. Concurrent dials that replace silent connections are bounded.
 func (d *Daemon) dialPeer(l *peerLink) (*drpcconn.Conn, error) {
 	l.receipts.mu.Lock()
 	redial := l.redial
 	l.redial = false
 	l.receipts.mu.Unlock()
 	if !redial {
-		return d.keys.Dial(d.context, l.get())
+		return d.keys.Dial(d.context, l.currentAddress())
 	}
 	select {
-	case <-time.After(rand.N(redialSpread)):
+	case <-time.After(rand.N(redialJitter)):
 	case <-d.tomb.Dying():
 		return nil, errStopping
 	}
 	select {
-	case d.peers.redials <- struct{}{}:
+	case d.peers.redialSlots <- struct{}{}:
 	case <-d.tomb.Dying():
 		return nil, errStopping
 	}
 	var once sync.Once
-	free := func() { once.Do(func() { <-d.peers.redials }) }
-	late := time.AfterFunc(redialHold, free)
+	free := func() { once.Do(func() { <-d.peers.redialSlots }) }
+	late := time.AfterFunc(redialSlotTimeout, free)
 	defer late.Stop()
 	defer free()
-	return d.keys.Dial(d.context, l.get())
+	return d.keys.Dial(d.context, l.currentAddress())
 }
 
-// watchLink looks after a new connection to a VM until unwatch. The flag that it returns is
-// set when the connection is ended for its silence.
-func (d *Daemon) watchLink(l *peerLink, conn *drpcconn.Conn, stream drpc.Stream) *atomic.Bool {
+// attachConn starts to check a new connection of a link, until detachConn. The returned flag is
+// set if the connection is closed because it is silent.
+func (d *Daemon) attachConn(l *peerLink, conn *drpcconn.Conn, stream drpc.Stream) *atomic.Bool {
 	l.receipts.mu.Lock()
 	defer l.receipts.mu.Unlock()
 	l.state = l.state.Renewed()
@@ -127,40 +126,40 @@
 	return l.silent
 }
 
-// unwatch ends the watch over a connection that has ended.
-func (l *peerLink) unwatch() {
+// detachConn stops checking a connection that has ended.
+func (l *peerLink) detachConn() {
 	l.receipts.mu.Lock()
 	defer l.receipts.mu.Unlock()
 	l.conn = nil
 }
 
-// readReceipts takes the answers to questions until the connection ends.
+// readReceipts receives the answers to probes until the connection ends.
 func (l *peerLink) readReceipts(stream drpc.Stream) {
 	for {
 		var receipt core.Receipt
 		if stream.MsgRecv(&receipt, wire.Encoding{}) != nil {
-			return // whoever sends learns of it too
+			return // the sender detects it too
 		}
-		l.proved(receipt.Seen, time.Now())
+		l.acknowledged(receipt.Seen, time.Now())
 	}
 }
 
-// lookAtLinks asks over the links that nothing has come back from, and ends the connections
-// where an answer is missing. A look at 300 links that are well takes some 20 us; a timer
-// for each message would wake the process once more for each.
-func (p *peers) lookAtLinks(now time.Time) {
+// checkLinks probes the links on which receipts are overdue, and closes the connections
+// on which the answer to a probe is overdue. Checking 300 healthy links takes some 20 us; a
+// timer for each message would wake the process once more for each.
+func (p *peers) checkLinks(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.looked) < lookEvery {
+	if now.Sub(p.lastCheck) < linkCheckInterval {
 		return
 	}
-	p.looked = now
+	p.lastCheck = now
 	for _, l := range p.links {
-		p.lookAt(l, now)
+		p.checkLink(l, now)
 	}
 }
 
-func (p *peers) lookAt(l *peerLink, now time.Time) {
+func (p *peers) checkLink(l *peerLink, now time.Time) {
 	l.receipts.mu.Lock()
 	defer l.receipts.mu.Unlock()
 	if l.conn == nil {
@@ -172,31 +171,31 @@
 	switch action {
 	case silence.Ask:
 		l.state = state.Asked(now)
-		p.daemon.askOver(l)
+		p.daemon.sendProbe(l)
 	case silence.Void:
 		l.state = state.Voided()
 		l.redial = true
 		l.silent.Store(true)
 		go l.conn.Close()
 		l.conn = nil
-		p.daemon.foundSilent(silentPeer, l.get(), open, patience)
+		p.daemon.recordSilentConnection(silentPeer, l.currentAddress(), open, patience)
 	}
 }
 
-// askOver puts a question into the outbox. Where that is full the question is not sent: the
-// link moves nothing then, and is left unless it proves itself.
-func (d *Daemon) askOver(l *peerLink) {
-	question := &core.Envelope{From: d.self, Body: core.Message{Receipt: &core.Receipt{Ask: true}}}
+// sendProbe queues a probe. If the queue is full the probe is dropped: the link is stalled
+// then, and its connection is closed unless a receipt arrives.
+func (d *Daemon) sendProbe(l *peerLink) {
+	envelope := &core.Envelope{From: d.self, Body: core.Message{Receipt: &core.Receipt{Ask: true}}}
 	select {
-	case l.outbox <- question:
+	case l.queue <- envelope:
 	default:
-		d.metrics.dropped()
+		d.metrics.countDropped()
 	}
 }
 
-// takeReceipt takes the receipt of a message that came over a stream, answers the question
-// in it, and reports whether there is a message for the Node.
-func (p *peers) takeReceipt(stream drpc.Stream, e core.Envelope) bool {
+// handleReceipt records the receipt of a message received over a stream and answers it if it
+// is a probe. It reports whether the message is for the Node.
+func (p *peers) handleReceipt(stream drpc.Stream, e core.Envelope) bool {
 	receipt := e.Body.Receipt
 	if receipt == nil {
 		return true
@@ -205,20 +204,20 @@
 	l, known := p.links[e.From.VM]
 	p.mu.Unlock()
 	if known {
-		l.take(e.From, *receipt, time.Now())
+		l.receive(e.From, *receipt, time.Now())
 	}
 	if !receipt.Ask {
 		return true
 	}
 	if err := stream.MsgSend(&core.Receipt{Seen: receipt.Number}, wire.Encoding{}); err != nil {
-		p.daemon.log.V(1).Info("question of a VM not answered, its link has ended", "vm", e.From.VM, "error", err.Error())
+		p.daemon.log.V(1).Info("failed to answer the probe of a VM; its link has ended", "vm", e.From.VM, "error", err.Error())
 	}
 	return false
 }
 
-// noteInbound notes the connection that a VM's messages come over. An older one of the same VM
-// is closed: the VM has left it, and where it is silent it would stay open for good.
-func (p *peers) noteInbound(stream drpc.Stream, vm core.VMName) {
+// recordInbound records the connection over which a VM's messages arrive. It closes an older one
+// of the same VM: the VM has left it, and if it is silent it would stay open forever.
+func (p *peers) recordInbound(stream drpc.Stream, vm core.VMName) {
 	transport, ok := drpcctx.Transport(stream.Context())
 	if !ok {
 		return
@@ -232,8 +231,8 @@
 	}
 }
 
-// dropInbound forgets a connection from another VM that has ended.
-func (p *peers) dropInbound(stream drpc.Stream) {
+// removeInbound removes a connection from another VM that has ended.
+func (p *peers) removeInbound(stream drpc.Stream) {
 	transport, ok := drpcctx.Transport(stream.Context())
 	if !ok {
 		return
@@ -247,23 +246,23 @@
 	}
 }
 
-// The kinds of connections that fall silent.
+// The kinds of connections that can fall silent.
 const (
 	silentPeer   = "peer"
 	silentTarget = "target"
 	silentStream = "stream"
 )
 
-// silentLinesEvery is the least time between two lines on silent connections of this
-// process: hundreds may be found together, and the counter has them all.
-const silentLinesEvery = 100 * time.Millisecond
+// silentLogInterval is the least time between two log lines about silent connections:
+// hundreds may be found together. The counter includes all of them.
+const silentLogInterval = 100 * time.Millisecond
 
-// foundSilent counts a connection that was left for its silence, and logs some of them.
-func (d *Daemon) foundSilent(kind, peer string, age, bound time.Duration) {
-	d.metrics.foundSilent(context.Background(), kind)
+// recordSilentConnection counts a connection that was abandoned as silent, and logs some of them.
+func (d *Daemon) recordSilentConnection(kind, peer string, age, bound time.Duration) {
+	d.metrics.countSilent(context.Background(), kind)
 	now := time.Now().UnixNano()
-	last := d.silentLine.Load()
-	if now-last < int64(silentLinesEvery) || !d.silentLine.CompareAndSwap(last, now) {
+	last := d.lastSilentLog.Load()
+	if now-last < int64(silentLogInterval) || !d.lastSilentLog.CompareAndSwap(last, now) {
 		return
 	}
 	d.log.Info("connection found silent", "kind", kind, "peer", peer, "silent_ms", age.Milliseconds(), "bound_ms", bound.Milliseconds())
--- a/internal/daemon/silent.go
+++ b/internal/daemon/silent.go
@@ -26,20 +26,20 @@
 	// answerOverdueLeast is the shortest wait for a plain answer before its kept connection
 	// is in doubt: twice the shortest objective of callers and more, so that a target which
 	// is slow for a moment gets no second copy.
-	answerOverdueLeast = 400 * time.Millisecond
+	minAnswerOverdue = 400 * time.Millisecond
 	// silentPauses is how many of its own mean pauses a stream is without an event before
 	// its connection is in doubt: more than the multiple at which an event can at most be
 	// overdue.
-	silentPauses = 6
+	silentGapFactor = 6
 	// silentLeast is the least time for that: reports lag by 0.2 s, and two are needed.
-	silentLeast = 600 * time.Millisecond
+	minStreamSilence = 600 * time.Millisecond
 	// silentFirsts is that for a first event, as a multiple of the time after which one is
 	// overdue, and silentFirst the least time for it: prompts queue up at once in a burst,
 	// and a second copy would add to it.
-	silentFirsts = 3
-	silentFirst  = time.Second
+	silentFirstFactor = 3
+	minFirstSilence   = time.Second
 	// soundReports is how many reports in a row say that the engine does its part.
-	soundReports = 2
+	requiredHealthyReports = 2
 )
 
 // answerTimes estimates the time to a plain answer, by service.
@@ -48,7 +48,7 @@
 	byService map[string]silence.Trips
 }
 
-func (a *answerTimes) take(service string, took time.Duration) {
+func (a *answerTimes) record(service string, took time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.byService == nil {
@@ -62,11 +62,11 @@
 func (a *answerTimes) overdueAfter(service string, bound time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	usual := a.byService[service].Usual(min(answerOverdueLeast, bound), math.MaxInt64)
-	if usual > bound {
+	typical := a.byService[service].Usual(min(minAnswerOverdue, bound), math.MaxInt64)
+	if typical > bound {
 		return 0
 	}
-	return usual
+	return typical
 }
 
 func (g *Gateway) silenceBound() time.Duration {
@@ -86,29 +86,29 @@
 	// is seldom allowed.
 	request.Fresh = request.Fresh || len(f.attempts.Ran) > 0
 	f.again = false
-	sent := clock.Now()
+	sentAt := clock.Now()
 	answer, err := f.g.exchanger.Do(ctx, address, request)
 	silent := errors.Is(err, target.ErrKeptSilent)
 	if !silent && (!errors.Is(err, target.ErrStale) || ctx.Err() != nil || !f.mayAskAgain()) {
-		f.noteAnswer(sent, err)
+		f.recordAnswerTime(sentAt, err)
 		return answer, err
 	}
 	f.doubt, f.resent = true, true
 	request.Fresh, request.Again = true, silent
-	again := clock.Now()
+	resentAt := clock.Now()
 	answer, err = f.g.exchanger.Do(ctx, address, request)
-	f.noteAnswer(again, err)
+	f.recordAnswerTime(resentAt, err)
 	if silent && err == nil {
-		f.g.exchanger.Void(address, sent)
-		f.g.daemon.foundSilent(silentTarget, address, again.Sub(sent), bound)
+		f.g.exchanger.Void(address, sentAt)
+		f.g.daemon.recordSilentConnection(silentTarget, address, resentAt.Sub(sentAt), bound)
 	}
 	return answer, err
 }
 
 // noteAnswer takes the time that a plain answer took.
-func (f *forwarding) noteAnswer(sent time.Time, err error) {
+func (f *forwarding) recordAnswerTime(sent time.Time, err error) {
 	if err == nil && !f.route.Stream {
-		f.g.answers.take(f.service, clock.Since(sent))
+		f.g.answers.record(f.service, clock.Since(sent))
 	}
 }
 
@@ -124,7 +124,7 @@
 // onSilent reports whether the stream is on a silent connection, and can go on over another.
 func (w *watcher) onSilent() bool {
 	after, known := w.silentAfter()
-	if !known || w.sound < soundReports || clock.Since(w.since()) < after || !w.f.couldRepeat() {
+	if !known || w.sound < requiredHealthyReports || clock.Since(w.since()) < after || !w.f.couldRepeat() {
 		return false
 	}
 	w.silent = true
@@ -140,13 +140,13 @@
 	}
 	if !w.f.read {
 		first := w.f.g.firstOverdueAfter()
-		return max(silentFirsts*first, silentFirst), first > 0
+		return max(silentFirstFactor*first, minFirstSilence), first > 0
 	}
 	mean := w.f.pace.Mean()
 	if mean == 0 {
 		return bound, true
 	}
-	return min(max(silentPauses*mean, silentLeast), bound), true
+	return min(max(silentGapFactor*mean, minStreamSilence), bound), true
 }
 
 // leftSilent ends a try whose connection is silent. Its target keeps its name.
@@ -157,7 +157,7 @@
 	voided := f.g.exchanger.Void(address, watch.since())
 	age := clock.Since(watch.since())
 	after, _ := watch.silentAfter()
-	f.g.daemon.foundSilent(silentStream, address, age, after)
+	f.g.daemon.recordSilentConnection(silentStream, address, age, after)
 	f.g.log.V(1).Info("stream leaves a silent connection", "request", f.call.ID, "address", address, "after", f.after, "silent_ms", age.Milliseconds(), "kept_left", voided)
 	return resultBroken
 }
--- a/internal/daemon/silent_links_test.go
+++ b/internal/daemon/silent_links_test.go
@@ -16,13 +16,13 @@
 
 // relayed is a deployment whose VMs reach the control VMs over relays: three control VMs
 // and an entry VM, each a process.
-type relayed struct {
+type relayedDeployment struct {
 	*deployment
 	relays []*fake.Relay
 }
 
-func deployRelayed(t *testing.T, silence string) *relayed {
-	d := &relayed{deployment: &deployment{t: t, dir: t.TempDir()}}
+func deployRelayed(t *testing.T, silence string) *relayedDeployment {
+	d := &relayedDeployment{deployment: &deployment{t: t, dir: t.TempDir()}}
 	var control []string
 	for i := range 4 {
 		name := fmt.Sprintf("vm-%d", i+1)
@@ -65,7 +65,7 @@
 }
 
 // joined counts the connections that the relays have passed on.
-func (d *relayed) joined() int {
+func (d *relayedDeployment) connections() int {
 	sum := 0
 	for _, r := range d.relays {
 		sum += r.Joined()
@@ -78,7 +78,7 @@
 func TestLinksThatFallSilentTogetherAreMadeAnew(t *testing.T) {
 	d := deployRelayed(t, "1200ms")
 	for round := range 3 {
-		before := d.joined()
+		before := d.connections()
 		for _, r := range d.relays {
 			r.Silence()
 		}
@@ -88,7 +88,7 @@
 		})
 		d.until("the entry VM has its lease", func() bool { return d.rows("show vms where state = up") == 1 })
 		d.until("all voters follow", func() bool { return d.rows("show replicas where vote = true and settled = true") == 3 })
-		made := d.joined() - before
+		made := d.connections() - before
 		t.Logf("all links silent to a statement decided: %v, %d connections", took, made)
 		// Six links between the control VMs and three to them; one may find its peer's end
 		// not back yet.
@@ -102,9 +102,9 @@
 	for _, r := range d.relays {
 		r.Slow(20 * time.Millisecond)
 	}
-	before := d.joined()
+	before := d.connections()
 	for round := range 20 {
 		require.Equal(t, core.ResultAccepted, d.must(fmt.Sprintf("declare service s%d class=0", round), "op", uint64(round+1)).Kind)
 	}
-	require.LessOrEqual(t, d.joined()-before, 3)
+	require.LessOrEqual(t, d.connections()-before, 3)
 }
--- a/internal/daemon/suspension_test.go
+++ b/internal/daemon/suspension_test.go
@@ -13,12 +13,12 @@
 )
 
 // suspendable is the clocks of a VM that a test suspends.
-type suspendable struct{ ahead time.Duration }
+type suspendableClock struct{ ahead time.Duration }
 
 // newSuspendable has this process count by these clocks until the test ends.
-func newSuspendable(t *testing.T) *suspendable {
+func newSuspendable(t *testing.T) *suspendableClock {
 	t.Helper()
-	s := &suspendable{}
+	s := &suspendableClock{}
 	began := time.Now()
 	restore, err := clock.Use(func() (steady, boot time.Duration, err error) {
 		steady = time.Since(began)
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -24,7 +24,7 @@
 	return dir
 }
 
-func keysOf(t *testing.T, dir, name string) wire.Keys {
+func loadKeys(t *testing.T, dir, name string) wire.Keys {
 	keys, err := wire.LoadKeys(filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem"), filepath.Join(dir, "authority.pem"))
 	require.NoError(t, err)
 	return keys
@@ -32,15 +32,15 @@
 
 func TestPeerSpeaksOnlyForItself(t *testing.T) {
 	dir := makeKeys(t, "vm-1", "vm-2")
-	s := alone(t, filepath.Join(t.TempDir(), "data"))
+	s := singleVMSettings(t, filepath.Join(t.TempDir(), "data"))
 	s.TLS = settings.TLS{Certificate: filepath.Join(dir, "vm-1.pem"), Key: filepath.Join(dir, "vm-1-key.pem"), Authority: filepath.Join(dir, "authority.pem")}
 	require.NoError(t, daemon.Bootstrap(s.Data, "vm-1"))
 	defer run(t, s)()
 
-	_, err := keysOf(t, makeKeys(t, "vm-2"), "vm-2").Dial(t.Context(), s.Listen.Peers)
+	_, err := loadKeys(t, makeKeys(t, "vm-2"), "vm-2").Dial(t.Context(), s.Listen.Peers)
 	require.Error(t, err, "another authority")
 
-	conn, err := keysOf(t, dir, "vm-2").Dial(t.Context(), s.Listen.Peers)
+	conn, err := loadKeys(t, dir, "vm-2").Dial(t.Context(), s.Listen.Peers)
 	require.NoError(t, err)
 	defer conn.Close()
 	stream, err := conn.NewStream(t.Context(), wire.RPCLink, wire.Encoding{})
--- a/internal/daemon/traffic.go
+++ b/internal/daemon/traffic.go
@@ -23,29 +23,29 @@
 const (
 	// trafficEvery is the interval of the log line: a line costs some 0.1 ms, and what
 	// control costs changes over seconds.
-	trafficEvery = 5 * time.Second
+	trafficLogInterval = 5 * time.Second
 	// trafficKinds bounds the kinds that a line names, those that cost most first.
-	trafficKinds = 6
+	maxTrafficKinds = 6
 	// stepSlow is the time of a step of the Node that is logged by itself: leases are
 	// renewed every 0.5 s and votes asked for after as much, so that few such steps delay
 	// both.
-	stepSlow = 20 * time.Millisecond
+	slowStepTime = 20 * time.Millisecond
 )
 
 // tally is how often something came, and what it cost: bytes or nanoseconds.
-type tally struct {
+type costTotal struct {
 	count int
 	cost  int64
 }
 
 // traffic counts what control costs since the last line.
 type traffic struct {
-	daemon *Daemon
-	bytes  metric.Int64Counter
-	mu     sync.Mutex
-	sent   map[string]tally
-	taken  map[string]tally
-	steps  map[string]tally
+	daemon   *Daemon
+	bytes    metric.Int64Counter
+	mu       sync.Mutex
+	sent     map[string]costTotal
+	received map[string]costTotal
+	steps    map[string]costTotal
 }
 
 func newTraffic(d *Daemon, meter metric.Meter) (*traffic, error) {
@@ -59,11 +59,11 @@
 }
 
 func (t *traffic) reset() {
-	t.sent, t.taken, t.steps = make(map[string]tally), make(map[string]tally), make(map[string]tally)
+	t.sent, t.received, t.steps = make(map[string]costTotal), make(map[string]costTotal), make(map[string]costTotal)
 }
 
 // addTally adds one of a kind and its cost.
-func addTally(to map[string]tally, kind string, cost int64) {
+func addCost(to map[string]costTotal, kind string, cost int64) {
 	next := to[kind]
 	next.count++
 	next.cost += cost
@@ -71,28 +71,28 @@
 }
 
 // sentMessage notes a message to another VM.
-func (t *traffic) sentMessage(kind string, bytes int) {
+func (t *traffic) recordSent(kind string, bytes int) {
 	t.bytes.Add(context.Background(), int64(bytes), metric.WithAttributes(attribute.String("way", "sent"), attribute.String("kind", kind)))
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	addTally(t.sent, kind, int64(bytes))
+	addCost(t.sent, kind, int64(bytes))
 }
 
 // tookMessage notes a message from another VM.
-func (t *traffic) tookMessage(kind string, bytes int) {
+func (t *traffic) recordReceived(kind string, bytes int) {
 	t.bytes.Add(context.Background(), int64(bytes), metric.WithAttributes(attribute.String("way", "received"), attribute.String("kind", kind)))
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	addTally(t.taken, kind, int64(bytes))
+	addCost(t.received, kind, int64(bytes))
 }
 
 // stepped notes a step of the Node. One that is slow is logged.
-func (t *traffic) stepped(event core.Event, took time.Duration) {
+func (t *traffic) recordStep(event core.Event, took time.Duration) {
 	kind := stepKind(event)
 	t.mu.Lock()
-	addTally(t.steps, kind, int64(took))
+	addCost(t.steps, kind, int64(took))
 	t.mu.Unlock()
-	if took >= stepSlow {
+	if took >= slowStepTime {
 		t.daemon.log.Info("step is slow", "event", kind, "took_ms", took.Milliseconds())
 	}
 }
@@ -107,7 +107,7 @@
 
 // loop logs what control has cost until the daemon ends.
 func (t *traffic) loop() error {
-	ticker := time.NewTicker(trafficEvery)
+	ticker := time.NewTicker(trafficLogInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -121,26 +121,26 @@
 
 func (t *traffic) log() {
 	t.mu.Lock()
-	sent, taken, steps := t.sent, t.taken, t.steps
+	sent, received, steps := t.sent, t.received, t.steps
 	t.reset()
 	t.mu.Unlock()
-	t.daemon.log.Info("cost of control", "sent_bytes", costliest(sent, 1), "received_bytes", costliest(taken, 1), "steps_us", costliest(steps, int64(time.Microsecond)))
+	t.daemon.log.Info("cost of control", "sent_bytes", summarizeCosts(sent, 1), "received_bytes", summarizeCosts(received, 1), "steps_us", summarizeCosts(steps, int64(time.Microsecond)))
 }
 
 // costliest returns the sum and the kinds that cost most, as KIND=COUNT/COST with the cost
 // in a unit.
-func costliest(tallies map[string]tally, unit int64) string {
-	kinds := make([]string, 0, len(tallies))
-	sum := tally{}
-	for kind, t := range tallies {
+func summarizeCosts(totals map[string]costTotal, unit int64) string {
+	kinds := make([]string, 0, len(totals))
+	sum := costTotal{}
+	for kind, t := range totals {
 		kinds = append(kinds, kind)
 		sum.count += t.count
 		sum.cost += t.cost
 	}
-	sort.Slice(kinds, func(i, j int) bool { return tallies[kinds[i]].cost > tallies[kinds[j]].cost })
+	sort.Slice(kinds, func(i, j int) bool { return totals[kinds[i]].cost > totals[kinds[j]].cost })
 	parts := []string{fmt.Sprintf("all=%d/%d", sum.count, sum.cost/unit)}
-	for _, kind := range kinds[:min(len(kinds), trafficKinds)] {
-		parts = append(parts, fmt.Sprintf("%s=%d/%d", kind, tallies[kind].count, tallies[kind].cost/unit))
+	for _, kind := range kinds[:min(len(kinds), maxTrafficKinds)] {
+		parts = append(parts, fmt.Sprintf("%s=%d/%d", kind, totals[kind].count, totals[kind].cost/unit))
 	}
 	return strings.Join(parts, " ")
 }
@@ -148,14 +148,14 @@
 // measuredEncoding is the encoding of messages on a link, which notes their sizes.
 type measuredEncoding struct {
 	wire.Encoding
-	note func(kind string, bytes int)
+	record func(kind string, bytes int)
 }
 
 // Marshal implements drpc.Encoding.
 func (c measuredEncoding) Marshal(msg drpc.Message) ([]byte, error) {
 	data, err := c.Encoding.Marshal(msg)
 	if e, ok := msg.(*core.Envelope); ok && err == nil {
-		c.note(e.Body.Kind(), len(data))
+		c.record(e.Body.Kind(), len(data))
 	}
 	return data, err
 }
@@ -164,7 +164,7 @@
 func (c measuredEncoding) Unmarshal(data []byte, msg drpc.Message) error {
 	err := c.Encoding.Unmarshal(data, msg)
 	if e, ok := msg.(*core.Envelope); ok && err == nil {
-		c.note(e.Body.Kind(), len(data))
+		c.record(e.Body.Kind(), len(data))
 	}
 	return err
 }
--- a/internal/daemon/unread.go
+++ b/internal/daemon/unread.go
@@ -16,11 +16,11 @@
 // that is new on the wire may be one that this VM should keep to.
 
 const (
-	// unreadMost bounds the names that are told apart; all others count as one.
-	unreadMost = 64
+	// maxUnreadNames bounds the names that are told apart; all others count as one.
+	maxUnreadNames = 64
 	// unreadBytes bounds a name, in bytes.
-	unreadBytes = 64
-	// unreadOthers stands for the names beyond unreadMost.
+	maxUnreadNameBytes = 64
+	// unreadOthers stands for the names beyond maxUnreadNames.
 	unreadOthers = "(others)"
 )
 
@@ -40,20 +40,20 @@
 // note counts names that a target has used.
 func (u *unreadNames) note(writer string, names []string) {
 	for _, name := range names {
-		u.add(writer, name[:min(len(name), unreadBytes)])
+		u.add(writer, name[:min(len(name), maxUnreadNameBytes)])
 	}
 }
 
 func (u *unreadNames) add(writer, name string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if _, known := u.counts[name]; !known && len(u.counts) >= unreadMost {
+	if _, known := u.counts[name]; !known && len(u.counts) >= maxUnreadNames {
 		name = unreadOthers
 	}
 	u.counts[name]++
 	u.counter.Add(context.Background(), 1, metric.WithAttributes(attribute.String("name", name)))
 	if u.counts[name] == 1 {
-		u.log.Info("target says something that nothing reads", "writer", writer[:min(len(writer), writerBytes)], "name", name)
+		u.log.Info("target says something that nothing reads", "writer", writer[:min(len(writer), maxWriterBytes)], "name", name)
 	}
 }
 
--- a/internal/daemon/unusable.go
+++ b/internal/daemon/unusable.go
@@ -57,52 +57,52 @@
 		reason = unusable.Reason
 	}
 	g.meter.unusable(reason)
-	if pass, withheld := g.unusable.pass(writer, clock.Now()); pass {
-		g.log.Info("a message is not used", "writer", writer[:min(len(writer), writerBytes)], "reason", string(reason), "error", err.Error(), "withheld", withheld)
+	if allowed, suppressed := g.unusable.allow(writer, clock.Now()); allowed {
+		g.log.Info("a message is not used", "writer", writer[:min(len(writer), maxWriterBytes)], "reason", string(reason), "error", err.Error(), "withheld", suppressed)
 	}
 }
 
 const (
 	// lineEvery is the least time between two lines on one writer. A target speaks every
 	// 1.2 s, and what is wrong with its messages seldom changes.
-	lineEvery = 10 * time.Second
+	writerLogInterval = 10 * time.Second
 	// lineWriters bounds the writers that are told apart, and with it the lines: 6 a second
 	// at the most, whoever sends whatever.
-	lineWriters = 64
+	maxLogWriters = 64
 	// writerBytes bounds a writer's name in memory and in a line, in bytes.
-	writerBytes = 64
+	maxWriterBytes = 64
 )
 
 // lineLimit lets one line of each writer pass in a while. The zero value is ready for use.
 type lineLimit struct {
-	mu       sync.Mutex
-	until    map[string]time.Time
-	withheld int
+	mu         sync.Mutex
+	until      map[string]time.Time
+	suppressed int
 }
 
 // pass reports whether a line on a writer may be written, and how many were withheld
 // since the last one, on any writer.
-func (l *lineLimit) pass(writer string, now time.Time) (ok bool, withheld int) {
-	writer = writer[:min(len(writer), writerBytes)]
+func (l *lineLimit) allow(writer string, now time.Time) (ok bool, suppressed int) {
+	writer = writer[:min(len(writer), maxWriterBytes)]
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.until == nil {
 		l.until = make(map[string]time.Time)
 	}
-	if len(l.until) >= lineWriters {
-		l.forget(now)
+	if len(l.until) >= maxLogWriters {
+		l.removeExpired(now)
 	}
-	if now.Before(l.until[writer]) || len(l.until) >= lineWriters {
-		l.withheld++
+	if now.Before(l.until[writer]) || len(l.until) >= maxLogWriters {
+		l.suppressed++
 		return false, 0
 	}
-	l.until[writer] = now.Add(lineEvery)
-	withheld, l.withheld = l.withheld, 0
-	return true, withheld
+	l.until[writer] = now.Add(writerLogInterval)
+	suppressed, l.suppressed = l.suppressed, 0
+	return true, suppressed
 }
 
 // forget drops the writers that may have a line again.
-func (l *lineLimit) forget(now time.Time) {
+func (l *lineLimit) removeExpired(now time.Time) {
 	for writer, until := range l.until {
 		if !now.Before(until) {
 			delete(l.until, writer)
--- a/internal/daemon/unusable_test.go
+++ b/internal/daemon/unusable_test.go
@@ -17,43 +17,43 @@
 )
 
 func TestEachWriterHasALineInAWhile(t *testing.T) {
-	var l daemon.LineLimit
+	var l daemon.LogLimiter
 	now := time.Unix(100, 0)
-	pass, _ := l.Pass("i-1", now)
+	pass, _ := l.Allow("i-1", now)
 	require.True(t, pass)
 	for range 5 {
-		pass, _ = l.Pass("i-1", now.Add(time.Second))
+		pass, _ = l.Allow("i-1", now.Add(time.Second))
 		require.False(t, pass)
 	}
-	pass, withheld := l.Pass("i-2", now.Add(time.Second))
+	pass, withheld := l.Allow("i-2", now.Add(time.Second))
 	require.True(t, pass)
 	require.Equal(t, 5, withheld)
-	pass, withheld = l.Pass("i-1", now.Add(10*time.Second))
+	pass, withheld = l.Allow("i-1", now.Add(10*time.Second))
 	require.True(t, pass)
 	require.Zero(t, withheld)
 }
 
 func TestAnyNumberOfWritersHaveABoundedNumberOfLines(t *testing.T) {
-	var l daemon.LineLimit
+	var l daemon.LogLimiter
 	now := time.Unix(100, 0)
 	lines := 0
 	for i := range 10000 {
-		if pass, _ := l.Pass(fmt.Sprint("i-", i), now.Add(time.Duration(i)*time.Millisecond)); pass {
+		if pass, _ := l.Allow(fmt.Sprint("i-", i), now.Add(time.Duration(i)*time.Millisecond)); pass {
 			lines++
 		}
 	}
 	require.Equal(t, 64, lines, "in the first ten seconds")
-	pass, withheld := l.Pass("i-1", now.Add(20*time.Second))
+	pass, withheld := l.Allow("i-1", now.Add(20*time.Second))
 	require.True(t, pass)
 	require.Equal(t, 10000-64, withheld)
 	long := strings.Repeat("x", 1<<16)
-	pass, _ = l.Pass(long, now.Add(30*time.Second))
+	pass, _ = l.Allow(long, now.Add(30*time.Second))
 	require.True(t, pass)
-	pass, _ = l.Pass(long+"y", now.Add(30*time.Second))
+	pass, _ = l.Allow(long+"y", now.Add(30*time.Second))
 	require.False(t, pass, "names are cut, so that they take little memory")
 }
 
-func hintsOf(t *testing.T, values ...any) []cbor.RawMessage {
+func encodeHints(t *testing.T, values ...any) []cbor.RawMessage {
 	t.Helper()
 	var entries []cbor.RawMessage
 	for _, v := range values {
@@ -68,7 +68,7 @@
 func TestABadHintVoidsNoOther(t *testing.T) {
 	good := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 7, Layers: config.Range{First: 2, Last: 5}}
 	turned := relay.Target{ID: "i-2", Service: "s", Address: "10.0.0.2:80", Layers: config.Range{First: 5, Last: 2}}
-	entries := hintsOf(t, 3, "text", relay.Target{Service: "s"}, turned, good, []int{1, 2}, map[string]string{"id": "i-3"}, nil)
+	entries := encodeHints(t, 3, "text", relay.Target{Service: "s"}, turned, good, []int{1, 2}, map[string]string{"id": "i-3"}, nil)
 	targets, bad := daemon.DecodeHints(entries)
 	require.Equal(t, []relay.Target{good}, targets)
 	require.Equal(t, len(entries)-1, bad)
--- a/internal/daemon/upkeep.go
+++ b/internal/daemon/upkeep.go
@@ -11,7 +11,7 @@
 // This file is a gateway's own housekeeping.
 
 // askSlow asks engines that were slow how they are now.
-func (g *Gateway) askSlow(engines []relay.Stage) {
+func (g *Gateway) probeSlow(engines []relay.Stage) {
 	for _, e := range engines {
 		g.daemon.tomb.Go(func() error {
 			g.meter.probed()
@@ -31,10 +31,10 @@
 }
 
 // upkeepEvery is the interval of a gateway's own housekeeping.
-const upkeepEvery = 200 * time.Millisecond
+const upkeepInterval = 200 * time.Millisecond
 
 // noteSuspension logs that this VM was suspended, once for each time.
-func (g *Gateway) noteSuspension() {
+func (g *Gateway) logSuspension() {
 	total := clock.Suspended()
 	if total > g.suspended {
 		g.log.Info("this VM was suspended", "for", (total - g.suspended).String(), "in_all", total.String())
@@ -44,7 +44,7 @@
 
 // upkeep tells the Node what is under way, and closes idle connections.
 func (g *Gateway) upkeep() error {
-	ticker := time.NewTicker(upkeepEvery)
+	ticker := time.NewTicker(upkeepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -52,7 +52,7 @@
 			g.daemon.outbox.upkeep(tick)
 			now := clock.Sampled()
 			g.exchanger.Sweep(now)
-			g.noteSuspension()
+			g.logSuspension()
 			g.mu.Lock()
 			lost := g.leaseHeld && now.After(g.leaseUntil)
 			g.leaseHeld = g.leaseHeld && !lost
@@ -66,9 +66,9 @@
 				g.log.Info("lease lost: no leader is heard, callers are refused", "own_targets", len(counted.Work))
 			}
 			g.meter.targetsBackedOff(len(counted.Findings.BackedOff))
-			g.noteLimits(counted.Findings.Limited)
+			g.recordLimits(counted.Findings.Limited)
 			g.daemon.post(counted)
-			g.askSlow(due)
+			g.probeSlow(due)
 		case <-g.daemon.tomb.Dying():
 			return nil
 		}
