--- a/internal/daemon/deployment_test.go
+++ b/internal/daemon/deployment_test.go
@@ -27,7 +27,7 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// binary is the daemon, built once for all tests.
+// binary returns the path of the daemon, built once for all tests.
 var binary = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "spoolbankd")
 	if err != nil {
@@ -41,10 +41,10 @@
 	return path, nil
 })
 
-// patience bounds every wait of a test; it is no measure of speed.
+// patience bounds every wait of a test; it does not measure speed.
 const patience = 60 * time.Second
 
-// deployment is a set of daemons as processes, with fakes in this process.
+// deployment is a set of daemons as processes, with fake targets in this process.
 type deployment struct {
 	t       *testing.T
 	dir     string
@@ -73,12 +73,12 @@
 	testKey    = "key"
 )
 
-// testIP is a loopback address of this test process alone.
+// testIP is a loopback address used by this test process only.
 var testIP = fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), 1+rand.IntN(250), 1+rand.IntN(250))
 
-// Ports are counted up below those that outgoing connections take: one that the
-// kernel gave out and that was free a moment ago can be taken by a connection
-// before the daemon listens there.
+// Ports are assigned below the range of outgoing connections. A port that the kernel
+// assigned and that was free a moment ago can be taken by an outgoing connection
+// before the daemon listens on it.
 const (
 	firstPort = 10000
 	portCount = 18000
@@ -86,7 +86,7 @@
 
 var nextPort atomic.Int64
 
-// freeAddress returns an address that nobody listens at, each one once.
+// freeAddress returns an address on which nothing listens. Each address is returned once.
 func freeAddress(t *testing.T) string {
 	for range portCount {
 		address := fmt.Sprintf("%s:%d", testIP, firstPort+nextPort.Add(1)%portCount)
@@ -101,7 +101,7 @@
 	return ""
 }
 
-// deploy starts control VMs that are entry VMs too, and entry VMs beside them.
+// deploy starts control VMs that are entry VMs too, and further VMs that are entry VMs only.
 func deploy(t *testing.T, controls, entries int, speed float64) *deployment {
 	d := &deployment{t: t, dir: t.TempDir()}
 	for i := range controls + entries {
@@ -170,7 +170,7 @@
 	require.NoError(d.t, p.command.Process.Signal(s))
 }
 
-// kill ends a process at once and waits until it is gone.
+// kill kills a process and waits until it has ended.
 func (d *deployment) kill(p *process) {
 	d.signal(p, syscall.SIGKILL)
 	<-p.ended
@@ -181,7 +181,7 @@
 	for _, p := range d.vms {
 		if p.command != nil {
 			if d.t.Failed() {
-				// The process writes the stacks of its goroutines and ends.
+				// The process dumps the stacks of its goroutines and ends.
 				_ = p.command.Process.Signal(syscall.SIGQUIT)
 			} else {
 				_ = p.command.Process.Kill()
@@ -214,7 +214,7 @@
 	return reply.Result, err
 }
 
-// until repeats a look until it holds.
+// until repeats a check until it holds, and returns the time that this took.
 func (d *deployment) until(what string, done func() bool) time.Duration {
 	began := time.Now()
 	for !done() {
@@ -227,7 +227,7 @@
 	return time.Since(began)
 }
 
-// must has a statement decided by whoever leads.
+// must sends a statement to the control VMs until the leader decides it.
 func (d *deployment) must(text, operator string, number uint64) core.Result {
 	var result core.Result
 	d.until(text, func() bool {
@@ -278,7 +278,7 @@
 	return nil
 }
 
-// declare starts fakes and declares them, and waits until they serve.
+// declareTargets starts fake targets, declares them, and waits until they serve.
 func (d *deployment) declareTargets(speed float64) {
 	statements := []string{
 		`declare service sign class=0 repeatable=["GET /"]`,
@@ -319,7 +319,7 @@
 	})
 }
 
-// entries counts the addresses that a VM gives to callers.
+// entryCount returns the number of entry addresses that a VM returns to callers.
 func (d *deployment) entryCount(p *process) int {
 	response, err := http.Get("http://" + p.callers + "/v1/entries")
 	if err != nil {
@@ -359,7 +359,7 @@
 	return names
 }
 
-// runs returns how often an identity was run by any runner.
+// runs returns how often all runners together have run an identity.
 func (d *deployment) runs(id string) int {
 	total := 0
 	for _, r := range d.runners {
@@ -377,9 +377,9 @@
 	return http.DefaultClient.Do(request)
 }
 
-// closeAtOnce closes a server and all its connections in one step. A daemon that lives on
-// asks again at once: what came between the closing of the connections and that of the
-// server was a request without an end, which Close waited for.
+// closeAtOnce closes a server and all its connections in one step. A live daemon retries at
+// once: a request that arrived between closing the connections and closing the server would
+// not end, and Close would wait for it.
 func closeAtOnce(t require.TestingT, s *httptest.Server) {
 	require.NoError(t, s.Config.Close())
 	s.Close()
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -78,7 +78,7 @@
 	lock     *os.File
 	log      *os.File
 	identity identity
-	// hintsErr says which hints could not be read; nil if all could.
+	// hintsErr says why some hints were not used, or is nil.
 	hintsErr error
 }
 
--- a/internal/daemon/disk_test.go
+++ b/internal/daemon/disk_test.go
@@ -18,7 +18,7 @@
 	"github.com/spoolbank/spoolbank/settings"
 )
 
-// alone are the settings of a deployment of one control VM.
+// singleVMSettings returns the settings of a deployment of one control VM.
 func singleVMSettings(t *testing.T, data string) settings.Settings {
 	s := settings.Default()
 	address := freeAddress(t)
@@ -31,7 +31,7 @@
 	return s
 }
 
-// run starts a daemon in this process and returns what ends it.
+// run starts a daemon in this process and returns a function that kills it.
 func run(t *testing.T, s settings.Settings) func() {
 	d, err := daemon.New(s, logr.Discard())
 	require.NoError(t, err)
@@ -43,7 +43,7 @@
 	}
 }
 
-// command runs a daemon on a folder, has it accept one command and kills it.
+// runCommand runs a daemon on a folder until it has accepted one command, and kills it.
 func runCommand(t *testing.T, data, text string, number uint64) core.Result {
 	s := singleVMSettings(t, data)
 	defer run(t, s)()
@@ -61,7 +61,7 @@
 	return result
 }
 
-func TestTornTailIsCutAndDamageIsRefused(t *testing.T) {
+func TestTornTailIsTruncatedAndDamagedLogIsRefused(t *testing.T) {
 	data := filepath.Join(t.TempDir(), "data")
 	require.NoError(t, daemon.Bootstrap(data, "vm-1"))
 	runCommand(t, data, "declare model m layers=4 versions=[v1]", 1)
@@ -75,7 +75,7 @@
 		require.EqualValues(t, 1, again.Revision, "the command before the torn tail is kept")
 	}
 
-	// Each byte of the first record: it is not the last one, so that no crash can have
+	// Each byte of the first record: since it is not the last record, no crash can have
 	// cut it short.
 	first := 8 + int(endian.LittleEndian.Uint32(whole))
 	require.Less(t, first, len(whole))
@@ -95,7 +95,7 @@
 	require.ErrorIs(t, err, daemon.ErrDamaged)
 }
 
-func TestFolderIsUsedByOneProcess(t *testing.T) {
+func TestDataFolderIsLocked(t *testing.T) {
 	data := filepath.Join(t.TempDir(), "data")
 	require.NoError(t, daemon.Bootstrap(data, "vm-1"))
 	d, err := daemon.New(singleVMSettings(t, data), logr.Discard())
@@ -106,9 +106,9 @@
 	require.NoError(t, d.Run())
 }
 
-// A disk that takes no more ends the process; nothing that was accepted is
-// lost. A limit on the size of files stands for the full disk.
-func TestFullDiskLosesNothingAccepted(t *testing.T) {
+// A full disk ends the process, and no accepted command is lost. A limit on the size of
+// files simulates the full disk.
+func TestFullDiskLosesNoAcceptedCommand(t *testing.T) {
 	path, err := binary()
 	require.NoError(t, err)
 	s := singleVMSettings(t, filepath.Join(t.TempDir(), "data"))
@@ -124,8 +124,8 @@
 
 	accepted := 0
 	for number := 1; ; number++ {
-		result, gone := operateUntilEnded(t, s.Listen.Peers, fmt.Sprintf("declare model m layers=%d versions=[v1]", number), uint64(number), ended)
-		if gone {
+		result, processEnded := operateUntilEnded(t, s.Listen.Peers, fmt.Sprintf("declare model m layers=%d versions=[v1]", number), uint64(number), ended)
+		if processEnded {
 			break
 		}
 		require.Equal(t, core.ResultAccepted, result.Kind, result.Message)
@@ -133,10 +133,10 @@
 	}
 	require.Positive(t, accepted)
 	again := runCommand(t, s.Data, fmt.Sprintf("declare model m layers=%d versions=[v1]", accepted), uint64(accepted))
-	require.EqualValues(t, accepted, again.Revision, "the last accepted command is still there")
+	require.EqualValues(t, accepted, again.Revision, "the last accepted command is kept")
 }
 
-// askUntil sends a command until it is answered or the process has ended.
+// operateUntilEnded sends a command until it is answered or the process has ended.
 func operateUntilEnded(t *testing.T, address, text string, number uint64, ended chan error) (core.Result, bool) {
 	for {
 		select {
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// finishStop ends the process, unless its gateway still serves callers.
+// finishStop ends the process, unless its gateway serves callers and ends it after them.
 func (d *Daemon) finishStop() {
 	if d.gateway != nil && d.gateway.front != nil {
 		return
--- a/internal/daemon/export_test.go
+++ b/internal/daemon/export_test.go
@@ -15,17 +15,17 @@
 	"github.com/spoolbank/spoolbank/settings"
 )
 
-// DecodeHints decodes what a control VM keeps of targets.
+// DecodeHints decodes the hints that a control VM stores of targets.
 var DecodeHints = decodeHints
 
-// LineLimit is the limit of lines on each writer.
+// LogLimiter is the rate limit on log lines for each writer.
 type LogLimiter = lineLimit
 
-// Pass reports whether a line on a writer may be written, and how many were withheld.
+// Allow reports whether a line about a writer may be logged, and how many were suppressed.
 func (l *lineLimit) Allow(writer string, now time.Time) (bool, int) { return l.allow(writer, now) }
 
 // NewGatewayAlone returns the gateway of an entry VM that has a lease, a document and
-// targets, and no control VM.
+// targets, but no control VM.
 func NewGatewayAlone(p Platform, document *relay.Document, targets []relay.Target) (*Gateway, error) {
 	d := &Daemon{log: logr.Discard(), platform: &p, events: make(chan core.Event, eventQueueSize), outbox: newOutbox(settings.Limits{}, logr.Discard())}
 	d.context, d.cancel = context.WithCancel(context.Background())
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.started = time.Time{} // long ago: it waits for nobody
+	g.started = time.Time{} // long ago: it waits for no other VM
 	g.leaseUntil = time.Now().Add(time.Hour)
 	g.router.TakeVMs(1)
 	g.router.TakeDocument(document)
@@ -46,16 +46,16 @@
 	return g, nil
 }
 
-// Suspect marks a target as found dead at a gateway.
+// Suspect marks a target as found dead by a gateway.
 func Suspect(g *Gateway, id relay.TargetID) { g.failed(id, true) }
 
 // ServeCallersOn serves callers on a listener.
 func (g *Gateway) ServeCallersOn(server *http.Server, l net.Listener) { g.serveCallersOn(server, l) }
 
-// Kill ends what a gateway alone serves.
+// Kill ends what a gateway without a control VM serves.
 func (g *Gateway) Kill() { g.daemon.Kill() }
 
-// UnderWay returns how many requests a gateway has under way at targets.
+// UnderWay returns how many requests a gateway has in flight at targets.
 func UnderWay(g *Gateway) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,37 +66,37 @@
 	return total
 }
 
-// WriteRefusal gives a caller of the product's own interface its refusal.
+// WriteRefusal writes a refusal to a caller of spoolbank's own interface.
 var WriteRefusal = writeRefusal
 
-// CallEngines asks the engines of a path who of them lives.
+// CallEngines probes the engines of a path.
 func CallEngines(ctx context.Context, e Engines, p relay.Path) (silent []relay.TargetID, paces map[relay.TargetID]float64, certain bool) {
 	q := probes{engines: e, known: make(map[string]*probe)}
 	r := q.call(ctx, p)
 	return r.silent, r.paces, r.certain
 }
 
-// Exchanges are what is under way at targets.
+// Exchanges are the exchanges in flight at targets.
 type Exchanges struct{ exchanges }
 
-// NewExchanges returns Exchanges with nothing under way.
+// NewExchanges returns Exchanges with nothing in flight.
 func NewExchanges() *Exchanges {
 	return &Exchanges{exchanges{underWay: make(map[relay.TargetID]map[*exchange]bool)}}
 }
 
-// Follow returns a context that ends when a life does.
+// Track returns a context that is canceled when an incarnation ends.
 func (x *Exchanges) Track(ctx context.Context, id relay.TargetID) (context.Context, func()) {
 	return x.follow(ctx, id)
 }
 
-// End ends what is under way at a life.
+// CancelAll cancels the exchanges in flight at an incarnation.
 func (x *Exchanges) CancelAll(id relay.TargetID) int { return x.cancelAll(id) }
 
-// GatewayFor returns a gateway that acts by a document at once, without a cluster.
+// GatewayFor returns a gateway that serves by a document at once, without a cluster.
 func GatewayFor(s settings.Settings, log logr.Logger, p Platform, doc *relay.Document, targets []relay.Target) (*Gateway, error) {
 	d := &Daemon{settings: s, log: log, inspect: make(chan func(*core.Node)), outbox: newOutbox(s.Limits, log)}
 	d.context, d.cancel = context.WithCancel(context.Background())
-	d.tomb.Kill(nil) // nothing waits for a Node that does not run
+	d.tomb.Kill(nil) // nothing waits for the Node, which does not run
 	var err error
 	if d.metrics, err = newMetrics(d); err != nil {
 		return nil, err
@@ -114,23 +114,23 @@
 	return g, nil
 }
 
-// Suspects reports whether a target is under suspicion.
+// Suspects reports whether a target is suspected.
 func (g *Gateway) Suspects(id relay.TargetID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.router.Suspect(id, time.Now())
 }
 
-// Callers has a server's connections hold what their callers have not read.
+// Callers returns a listener whose connections buffer data that their callers have not read.
 func (g *Gateway) Callers(server *http.Server, l net.Listener) net.Listener {
 	return g.daemon.outbox.callers(server, l)
 }
 
-// Upkeep looks after what is held, as of a moment.
+// Upkeep maintains the buffered data, as of a time.
 func (g *Gateway) Upkeep(now time.Time) { g.daemon.outbox.upkeep(now) }
 
-// Held returns what is held for callers and targets, the bound on both together, how many
-// callers are behind and how many were ended.
+// Held returns the bytes buffered for callers and targets, the bound on both together, how
+// many callers are behind and how many were ended.
 func (g *Gateway) Held() (bytes, bound int64, behind int, ended int64) {
 	o := g.daemon.outbox
 	o.mu.Lock()
@@ -138,7 +138,7 @@
 	return o.holdings.Held(relay.SideCallers) + o.holdings.Held(relay.SideTargets), o.holdings.Bound(), o.holdings.Behind(), o.ended
 }
 
-// UnderWay returns how many requests are under way at targets.
+// UnderWay returns how many requests are in flight at targets.
 func (g *Gateway) UnderWay() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -149,19 +149,19 @@
 	return n
 }
 
-// AddTarget tells the gateway of one more target of the service "llm".
+// AddTarget adds a target of the service "llm" to the gateway.
 func (g *Gateway) AddTarget(id relay.TargetID, address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.router.TakeTargets([]relay.Target{{ID: id, Service: "llm", Address: address, Hall: "h", Slots: 1000}})
 }
 
-// CallerListener has the connections of a listener hold what is not read.
+// CallerListener returns a listener whose connections buffer unread data.
 func CallerListener(limits settings.Limits, l net.Listener) net.Listener {
 	return newOutbox(limits, logr.Discard()).callers(&http.Server{}, l)
 }
 
-// Metrics returns the present values of the gauges and counters of what is held.
+// Metrics returns the present values of the gauges and counters of buffered data.
 func (g *Gateway) Metrics() (map[string]float64, error) {
 	families, err := g.daemon.metrics.registry.Gather()
 	values := make(map[string]float64)
@@ -176,7 +176,7 @@
 	return values, err
 }
 
-// Posted returns the next event that a gateway alone gives its Node, or nil.
+// Posted returns the next event that a gateway without a control VM posts to its Node, or nil.
 func Posted(ctx context.Context, g *Gateway) core.Event {
 	select {
 	case event := <-g.daemon.events:
@@ -186,52 +186,52 @@
 	}
 }
 
-// TakeTarget tells a gateway of a target.
+// TakeTarget passes a target to a gateway.
 func TakeTarget(g *Gateway, t relay.Target) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.router.TakeTargets([]relay.Target{t})
 }
 
-// Quarantine tells a gateway of the one request in quarantine.
+// Quarantine sets the one request in quarantine at a gateway.
 func Quarantine(g *Gateway, request relay.Fingerprint, until time.Time) {
 	g.takeQuarantine(core.QuarantineInForce{Until: map[relay.Fingerprint]time.Time{request: until}})
 }
 
-// Endings are the looks at targets that requests broke off with.
+// Endings are the checks of targets with which requests broke off.
 type Endings struct{ endings }
 
 // NewEndings returns Endings without any.
 func NewEndings() *Endings { return &Endings{} }
 
-// Note adds a run, and reports whether its target is to be looked at.
+// Note adds a run, and reports whether its target is to be checked.
 func (e *Endings) Note(s relay.Stage, request relay.Fingerprint, started bool, now time.Time) bool {
 	return e.note(s, run{request: request, began: now, started: started}, now)
 }
 
-// Take ends the look at a target, and returns the requests that had brought nothing and how
+// Take ends the check of a target, and returns the requests that had received nothing and how
 // many others there were.
 func (e *Endings) Take(id relay.TargetID) (starting []relay.Fingerprint, midway int) {
 	known := e.take(id)
 	return known.fingerprints(), known.midway
 }
 
-// ApplyNotice has a gateway do as a target asks.
+// ApplyNotice makes a gateway apply a notice of a target.
 func ApplyNotice(g *Gateway, id relay.TargetID, notice relay.Notice) {
 	g.applyNotice(id, notice, clock.Now(), clock.Now())
 }
 
-// EnginesOf returns the engines as a gateway speaks to them.
+// EnginesOf returns the Engines that a gateway uses.
 func EnginesOf(g *Gateway) Engines { return g.platform.Engines }
 
-// FindingsOf returns what a gateway has lately found of targets.
+// FindingsOf returns a gateway's recent findings about targets.
 func FindingsOf(g *Gateway) relay.Findings {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.router.Findings(clock.Now())
 }
 
-// CarryOut has a gateway's daemon carry out an effect of its Node.
+// CarryOut makes a gateway's daemon execute an effect of its Node.
 func CarryOut(g *Gateway, effect core.Effect) {
 	g.daemon.gateway = g
 	g.daemon.execute(effect)
@@ -240,14 +240,14 @@
 // UnreadOf returns the names that targets have used and a gateway does not read.
 func UnreadOf(g *Gateway) []relay.UnreadName { return g.unread.list() }
 
-// LimitOf returns the limit that a target has named to a gateway, 0 where it has named none.
+// LimitOf returns the limit that a target has reported to a gateway, or 0.
 func LimitOf(g *Gateway, id relay.TargetID) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.router.Limit(id, clock.Now())
 }
 
-// WaitForPermits has so many requests wait for permits of a service.
+// WaitForPermits makes a number of requests wait for permits of a service.
 func WaitForPermits(g *Gateway, service string, requests int) {
 	for range requests {
 		g.waitForPermit(service, 1)
--- a/internal/daemon/hints.go
+++ b/internal/daemon/hints.go
@@ -7,8 +7,8 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// decodeHints returns the hints that name a target to use, and how many don't. Each stands
-// for itself.
+// decodeHints returns the usable hints, and the number of others. A bad hint does not
+// invalidate the rest.
 func decodeHints(entries []cbor.RawMessage) (targets []relay.Target, bad int) {
 	for _, entry := range entries {
 		var t relay.Target
@@ -21,13 +21,13 @@
 	return targets, bad
 }
 
-// hints hands the newest hints of targets to the goroutine that saves them. Saving waits
-// for the disk; the log has a goroutine of its own, so that hints never hold it up.
+// hints passes the latest hints of targets to the goroutine that saves them. Saving waits
+// for the disk; a goroutine apart from that of the log ensures that hints never delay the log.
 type hints struct{ newest chan []relay.Target }
 
 func newHints() hints { return hints{newest: make(chan []relay.Target, 1)} }
 
-// put replaces the hints that wait to be saved. It is called by one goroutine.
+// put replaces the hints that are queued to be saved. Only one goroutine may call it.
 func (h hints) put(targets []relay.Target) {
 	select {
 	case <-h.newest:
@@ -42,7 +42,7 @@
 		select {
 		case targets := <-d.hints.newest:
 			if err := d.folder.saveTargets(targets); err != nil {
-				d.log.Info("hints of targets can't be saved, the old ones stay", "error", err.Error())
+				d.log.Info("failed to save hints of targets; the old ones stay", "error", err.Error())
 			}
 		case <-d.tomb.Dying():
 			return nil
--- a/internal/daemon/incarnations.go
+++ b/internal/daemon/incarnations.go
@@ -10,10 +10,10 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// errIncarnationEnded ends an exchange with a target that has started again: no answer comes.
+// errIncarnationEnded cancels an exchange with a target that has restarted and will not answer.
 var errIncarnationEnded = errors.New("the target has started again; the request is lost there and may be sent to another")
 
-// exchanges holds how to end what is under way, by the incarnation of the target that it was sent to.
+// exchanges holds the cancel functions of exchanges in flight, by the incarnation of their target.
 type exchanges struct {
 	mu       sync.Mutex
 	underWay map[relay.TargetID]map[*exchange]bool
@@ -21,8 +21,8 @@
 
 type exchange struct{ cancel context.CancelCauseFunc }
 
-// follow returns a context that ends when an incarnation does, and what is called when the exchange
-// is over.
+// follow returns a context that is canceled when an incarnation ends, and a function to call when
+// the exchange is over.
 func (x *exchanges) follow(ctx context.Context, id relay.TargetID) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	e := &exchange{cancel: cancel}
@@ -43,7 +43,7 @@
 	}
 }
 
-// end ends what is under way at an incarnation, and returns how much that was.
+// cancelAll cancels the exchanges in flight at an incarnation, and returns their number.
 func (x *exchanges) cancelAll(id relay.TargetID) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -53,8 +53,8 @@
 	return len(x.underWay[id])
 }
 
-// endTargets takes incarnations of targets that have ended: what runs there is lost and goes on
-// elsewhere, and connections to them are closed.
+// endIncarnations handles ended incarnations of targets: requests in flight there are lost and
+// continue elsewhere, and connections to them are closed.
 func (g *Gateway) endIncarnations(e core.TargetsEnded) {
 	g.mu.Lock()
 	addresses := g.router.End(e.Ended)
@@ -66,12 +66,12 @@
 	for _, s := range e.Ended {
 		lost += g.exchanges.cancelAll(s.Old)
 	}
-	go g.reportCrashed(g.endings.confirm(e.Ended, clock.Now())) // the loop must not wait for itself
+	go g.reportCrashed(g.endings.confirm(e.Ended, clock.Now())) // the loop must not block on its own queue
 	g.meter.targetsEnded(len(e.Ended))
 	g.logEnded(e, lost)
 }
 
-// logEnded notes in one line which incarnations have ended, the first ones with their starts.
+// logEnded logs ended incarnations in one line, the first few with their start times.
 func (g *Gateway) logEnded(e core.TargetsEnded, lost int) {
 	var old, next []string
 	var oldBorn, nextBorn []uint64
--- a/internal/daemon/incarnations_test.go
+++ b/internal/daemon/incarnations_test.go
@@ -12,8 +12,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// What ran at an engine that has started again is lost, though it answers.
-func TestAnAnswerOfAnotherLifeIsNoSignOfLife(t *testing.T) {
+// Guards against counting an engine as alive that answers with another incarnation: it has
+// restarted and lost its requests.
+func TestAnswerOfAnotherIncarnationIsALostEngine(t *testing.T) {
 	engines := reportingEngines{
 		"well":    after(time.Millisecond, daemon.EngineReport{Pace: 1, Born: 100}, nil),
 		"untold":  after(time.Millisecond, daemon.EngineReport{Pace: 1}, nil),
@@ -31,8 +32,8 @@
 	})
 }
 
-// What is sent to a life ends with it, and with no other.
-func TestExchangesEndWithTheirLife(t *testing.T) {
+// An exchange is canceled when its incarnation of a target ends, and by no other.
+func TestExchangesEndWithTheirIncarnation(t *testing.T) {
 	old, next := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-1", 200)
 	x := daemon.NewExchanges()
 	lost, over := x.Track(t.Context(), old)
--- a/internal/daemon/learning.go
+++ b/internal/daemon/learning.go
@@ -6,9 +6,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file takes what the Node has learned: effects that are for a gateway.
+// This file applies effects of the Node that are for a gateway: what the Node has learned.
 
-// carryOut takes the effects that are for a gateway.
+// execute applies an effect that is for a gateway.
 func (g *Gateway) execute(effect core.Effect) {
 	switch e := effect.(type) {
 	case core.DocumentInForce:
@@ -44,11 +44,11 @@
 	g.logTargets(targets)
 }
 
-// namedTargets is the number of targets that one line names: each change of a target
-// reaches every VM, so that lines must not grow with them.
+// maxLoggedTargets bounds the targets that one log line names. Each change of a target
+// reaches every VM, so lines must not grow with the number of targets.
 const maxLoggedTargets = 4
 
-// logLearned notes what targets have newly said, in one line.
+// logTargets logs newly received changes of targets, in one line.
 func (g *Gateway) logTargets(targets []relay.Target) {
 	var named []string
 	leaving, loading := 0, 0
@@ -92,8 +92,8 @@
 	}
 }
 
-// checkInformed ends the wait of calls that came before this VM knew what to do
-// with them.
+// signalInformed ends the wait of calls that arrived before this VM had a lease, a document
+// and targets to serve them.
 func (g *Gateway) signalInformed() {
 	g.mu.Lock()
 	informed := clock.Now().Before(g.leaseUntil) && g.router.Informed()
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -8,18 +8,18 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file has requests wait for permits of targets that take so many requests a second, and tells
-// operators of such targets. relay/permits.go and relay/limits.go decide.
+// This file makes requests wait for permits of targets that limit their request rate, and reports
+// such targets to operators. relay/permits.go and relay/limits.go decide.
 
-// takePermits takes what the leader has lent.
+// applyGrant records the permits that the leader has granted.
 func (g *Gateway) applyGrant(e core.PermitsLent) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.router.TakeGrant(e.Number, e.Permits, e.Until, clock.Now())
 }
 
-// waitForPermit notes that a request waits, and asks the leader for permits now. The wait ends with
-// the function that is returned.
+// waitForPermit records that a request waits, and asks the leader for permits at once. The
+// returned function ends the wait.
 func (g *Gateway) waitForPermit(service string, urgency int) (release func()) {
 	g.mu.Lock()
 	stopWaiting := g.router.Wait(service, urgency)
@@ -33,8 +33,8 @@
 	}
 }
 
-// urgency orders the request among those that wait for permits: a stream in the middle can't be
-// told to come back.
+// urgency is the priority of the request among those that wait for permits. A stream in progress
+// comes first, since its caller can't be asked to try again.
 func (f *forwarding) urgency() int {
 	if f.resumed() {
 		return 0
@@ -42,10 +42,10 @@
 	return 1 + f.class
 }
 
-// limitsNamed bounds the targets that one line names.
+// maxLoggedLimits bounds the targets that one log line names.
 const maxLoggedLimits = 8
 
-// noteLimits logs and counts the targets with limits, a line where they change.
+// recordLimits counts the targets with limits, and logs them when they change.
 func (g *Gateway) recordLimits(limited []relay.LimitedTarget) {
 	g.meter.limits(limited)
 	var now []loggedLimit
@@ -65,13 +65,13 @@
 	g.limitsLogged = now
 }
 
-// loggedLimit is a limit as it was logged last.
+// loggedLimit is a limit as last logged.
 type loggedLimit struct {
 	target    relay.TargetID
 	perSecond float64
 }
 
-// sentBack notes a refusal for want of permits: the next caller is told a later time.
+// sentBack records a refusal for want of permits, so that the next caller gets a later retry time.
 func (g *Gateway) sentBack(r *relay.Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/daemon/links_test.go
+++ b/internal/daemon/links_test.go
@@ -16,7 +16,7 @@
 	"github.com/spoolbank/spoolbank/settings"
 )
 
-// controlPeer stands in for a control VM: it grants each renewal, and names another VM.
+// fakeControlVM is a control VM that grants each renewal and advertises another VM.
 type fakeControlVM struct {
 	wire.Server
 	other   string
@@ -53,18 +53,18 @@
 	return l
 }
 
-// Each of 300 VMs dialled all others that it was told of, and those that were dead again
-// and again.
-func TestAVMThatIsOnlyNamedIsNotDialled(t *testing.T) {
+// Guards against dialing every advertised VM: each of 300 VMs dialed all others, and dead ones
+// repeatedly.
+func TestAdvertisedVMIsNotDialed(t *testing.T) {
 	other, control := listen(t), listen(t)
-	var dialled atomic.Int64
+	var dials atomic.Int64
 	go func() {
 		for {
 			conn, err := other.Accept()
 			if err != nil {
 				return
 			}
-			dialled.Add(1)
+			dials.Add(1)
 			conn.Close()
 		}
 	}()
@@ -87,11 +87,11 @@
 	peer := &fakeControlVM{other: other.Addr().String(), granted: make(chan struct{}), send: func(e core.Envelope) error { return stream.MsgSend(&e, wire.Encoding{}) }}
 	mux := drpcmux.New()
 	require.NoError(t, mux.Register(peer, wire.Description{}))
-	go func() { _ = drpcserver.New(mux).Serve(ctx, control) }() // it ends with ctx
+	go func() { _ = drpcserver.New(mux).Serve(ctx, control) }() // ends with ctx
 
 	const renewals = 4
 	for range renewals {
 		<-peer.granted
 	}
-	require.Zero(t, dialled.Load())
+	require.Zero(t, dials.Load())
 }
--- a/internal/daemon/logs.go
+++ b/internal/daemon/logs.go
@@ -13,18 +13,18 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// This file writes logs without ever holding up a request.
+// This file writes logs without ever blocking a request.
 //
-// Lines go into a buffer that is written by one goroutine. When the buffer is full
-// lines are dropped and counted; the count is written as soon as there is room
-// again. What wakes the writer is a timer rather than each line: a system call a
-// line would cost more than the line.
+// Lines go into a buffer that one goroutine writes out. When the buffer is full,
+// lines are dropped and counted; the count is logged with the next write. A timer
+// wakes the writer rather than each line: a system call per line would cost more
+// than the line.
 
 const (
-	// logBuffer bounds the lines that wait to be written, in bytes: a second of
-	// a process at 500 requests a second, with two lines of 250 bytes each.
+	// logBufferBytes bounds the lines that wait to be written: one second of a
+	// process at 500 requests a second, with two lines of 250 bytes each.
 	logBufferBytes = 256 << 10
-	// logEvery is the longest time that a line waits.
+	// logFlushInterval is the longest time that a line waits.
 	logFlushInterval = 100 * time.Millisecond
 )
 
@@ -71,12 +71,12 @@
 	if n := s.dropped.Swap(0); n > 0 {
 		lines = fmt.Appendf(lines, `{"level":"info","msg":"log lines dropped","lines":%d}`+"\n", n)
 	}
-	// There is nowhere left to report that the log itself can't be written.
+	// A failure to write the log can't be reported anywhere.
 	_, _ = s.out.Write(lines)
 }
 
 // NewLogger returns a logger that writes JSON lines to out, and a function that
-// writes what is left.
+// flushes the buffered lines.
 func NewLogger(out io.Writer) (logr.Logger, func()) {
 	sink := &logSink{out: out}
 	encoder := zap.NewProductionEncoderConfig()
--- a/internal/daemon/logs_test.go
+++ b/internal/daemon/logs_test.go
@@ -11,7 +11,7 @@
 	"github.com/spoolbank/spoolbank/internal/daemon"
 )
 
-// gate is a writer that blocks while it is shut.
+// blockingWriter is a writer that blocks while its lock is held.
 type blockingWriter struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -23,15 +23,15 @@
 	return g.text.Write(p)
 }
 
-// String returns what was written so far. The log's timer may write at any time.
+// String returns the text written so far. The log's timer may write at any time.
 func (g *blockingWriter) String() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.text.String()
 }
 
-// A reader that stops must not hold up requests, and what is lost is counted.
-func TestLogsNeverBlockAndCountWhatIsDropped(t *testing.T) {
+// A stalled log reader must not block requests, and dropped lines are counted.
+func TestLogNeverBlocksAndCountsDroppedLines(t *testing.T) {
 	out := &blockingWriter{}
 	out.mu.Lock()
 	log, flush := daemon.NewLogger(out)
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -12,25 +12,25 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// This file reads bodies within the memory that there is, and keeps callers that are slow
-// apart from targets that are.
+// This file reads bodies within the available memory, and distinguishes slow callers from
+// slow targets.
 
-// errNoMemory says that there was no room for an answer.
+// errNoMemory says that there was no memory for an answer.
 var errNoMemory = errors.New("this VM has no memory left for the answer")
 
 const (
-	// bodyFirst is the size that a body's buffer begins with, in bytes: most bodies fit.
+	// bodyFirst is the initial size of a body's buffer, in bytes: most bodies fit.
 	bodyFirst = 4 << 10
-	// noMemoryRetry is when a caller for whose body there was no memory is asked to try
-	// again: answers that nobody reads are ended within half of that.
+	// noMemoryRetryDelay is the delay after which a caller refused for lack of memory is asked to
+	// try again: answers that nobody reads are ended within half of that.
 	noMemoryRetryDelay = time.Second
-	// stallBlamed is how long a caller must have held up a target's answer for a break of it
-	// to be the caller's fault: targets cut off what is left unread for some seconds.
+	// minBlamedStall is how long a caller must have stalled a target's answer for a break in it
+	// to be the caller's fault: targets cut off answers left unread for some seconds.
 	minBlamedStall = 500 * time.Millisecond
 )
 
-// readBounded reads to the end, or up to most bytes and one more. Each time its buffer
-// grows, it asks for that much memory first; length is a guess, or negative.
+// readBounded reads to the end, or up to limit bytes and one more. It reserves memory before
+// each growth of its buffer. length is a hint of the size, negative if unknown.
 func readBounded(r io.Reader, length, limit int64, reserve func(bytes int64) bool) ([]byte, error) {
 	size := min(max(length, 0)+1, limit+1)
 	if length < 0 || size > wholeLimit {
@@ -61,9 +61,9 @@
 	}
 }
 
-// ReadBody reads the body of a caller's request of up to most bytes. The returned function
-// gives its memory back and is called in any case. The error is a *relay.Refusal where there
-// is no memory for the request: it has not run and will not.
+// ReadBody reads a caller's request body of up to limit bytes. The returned function
+// releases its memory and must always be called. If there is no memory for the request,
+// the error is a *relay.Refusal: the request has not run and will not.
 func (g *Gateway) ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, func(), error) {
 	held := g.daemon.outbox.open()
 	if !held.reserveKernel() || !g.daemon.outbox.hasRoom(min(r.ContentLength, limit+1)) {
@@ -83,14 +83,14 @@
 	return &relay.Refusal{Kind: relay.RefusedNoMemory, RetryAt: clock.Now().Add(noMemoryRetryDelay), Reason: "this VM has no memory left for the request"}
 }
 
-// readWhole reads the answer of a plain service, or its beginning where it is long.
+// readWhole reads the answer of a plain service, or the beginning of a long one.
 func (f *forwarding) readWhole(ctx context.Context, held *reservation, answer *target.Answer) ([]byte, error) {
 	return readBounded(answer, answer.Length, wholeLimit, func(bytes int64) bool {
 		return held.wait(ctx, relay.SideCallers, bytes)
 	})
 }
 
-// answerWithoutMemory ends a request that was run and for whose answer there is no memory.
+// answerWithoutMemory ends a request that has run and whose answer found no memory.
 // Its target is not at fault, and another run would find no more memory.
 func (f *forwarding) answerWithoutMemory(path relay.Path) result {
 	f.g.succeeded(path.First().Target)
@@ -99,8 +99,8 @@
 	return resultGone
 }
 
-// explainStall takes the time that an answer has waited for its caller out of all that is
-// said of its engine.
+// explainStall excludes the time that an answer has waited for its caller from the timing of
+// its engine.
 func (f *forwarding) explainStall(watch *watcher) {
 	stalled := f.caller.takeStall()
 	if stalled == 0 {
@@ -115,21 +115,21 @@
 	f.leftUnread = stalled >= minBlamedStall
 }
 
-// notSent takes a target that has not read the bodies before this one. It counts as full.
+// notSent handles a target that has not read earlier bodies. The target counts as full.
 func (f *forwarding) notSent(path relay.Path) result {
 	f.last = "target " + path.First().Address + " has not read the bodies before this one"
 	f.markFull(path)
 	return resultNotSent
 }
 
-// notRead takes a target that lives and does not read the request. It counts as full, not as
-// lost; whether it runs what it has read is not known.
+// notRead handles a target that is alive but does not read the request. It counts as full, not
+// as lost; whether it runs the part that it has read is unknown.
 func (f *forwarding) notRead(path relay.Path) result {
 	f.markFull(path)
 	return resultBroken
 }
 
-// noteFull has other targets be asked before the first one of a path.
+// markFull marks the first target of a path as full, so that others are tried before it.
 func (f *forwarding) markFull(path relay.Path) {
 	f.g.refusedBy(path.First().Target)
 	f.full = append(f.full, path.First().Target)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -18,7 +18,7 @@
 	"github.com/spoolbank/spoolbank/internal/core"
 )
 
-// metrics counts by OpenTelemetry. docs/OPERATIONS.md lists the names.
+// metrics holds the OpenTelemetry instruments. docs/OPERATIONS.md lists their names.
 type metrics struct {
 	registry *prometheus.Registry
 	meter    metric.Meter
@@ -63,7 +63,7 @@
 	return m, d.observe(meter)
 }
 
-// observe publishes the Node's summary at each scrape.
+// observe exports the Node's status at each scrape.
 func (d *Daemon) observe(meter metric.Meter) error {
 	var gauges []metric.Observable
 	observers := make([]func(core.Status, metric.Observer), 0, 8)
@@ -115,7 +115,7 @@
 	return 0
 }
 
-// stepped is called by the loop alone.
+// recordStep records the duration of a step. Only the loop may call it.
 func (m *metrics) recordStep(event core.Event, took time.Duration) {
 	name := fmt.Sprintf("%T", event)
 	option, ok := m.byEvent[name]
@@ -141,7 +141,7 @@
 	m.silent.Add(ctx, 1, metric.WithAttributes(attribute.String("kind", kind)))
 }
 
-// answered counts what callers get.
+// answered counts tokens and outcomes of answers to callers.
 func (m *metrics) answered(effect core.Effect) {
 	ctx := context.Background()
 	switch e := effect.(type) {
--- a/internal/daemon/silent.go
+++ b/internal/daemon/silent.go
@@ -13,32 +13,32 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// This file leaves connections to targets that have fallen silent while the target is well.
+// This file abandons connections to targets that are silent while the target is healthy.
 //
-// A plain answer comes at once and whole: one that is overdue on a kept connection, by the
-// answers of its service so far, is asked for again on a new one. A stream tells by its own
-// pauses, and its engine is asked on a new connection: one that answers, does not say that
-// the request stands still or that it is slow, and brings no event for several pauses, is
-// not heard because of the connection. Neither counts against the target; both are drawn
-// from the budget of repeats, since the request may have run.
+// A plain answer arrives at once and whole. If it is overdue on a kept connection, compared to
+// earlier answers of its service, the request is sent again on a new connection. A stream is
+// judged by its own gaps between events, and its engine is asked on a new connection. If the
+// engine answers, reports the request neither stalled nor slow, and no event arrives for
+// several gaps, the connection is at fault. Neither case counts against the target. Both use
+// the retry budget, since the request may have run.
 
 const (
-	// answerOverdueLeast is the shortest wait for a plain answer before its kept connection
-	// is in doubt: twice the shortest objective of callers and more, so that a target which
-	// is slow for a moment gets no second copy.
+	// minAnswerOverdue is the shortest wait for a plain answer before its kept connection is
+	// suspected: at least twice the shortest objective of callers, so that a target that is
+	// slow for a moment gets no second copy.
 	minAnswerOverdue = 400 * time.Millisecond
-	// silentPauses is how many of its own mean pauses a stream is without an event before
-	// its connection is in doubt: more than the multiple at which an event can at most be
+	// silentGapFactor is how many of its own mean gaps a stream goes without an event before
+	// its connection is suspected. It exceeds the largest multiple at which an event becomes
 	// overdue.
 	silentGapFactor = 6
-	// silentLeast is the least time for that: reports lag by 0.2 s, and two are needed.
+	// minStreamSilence is the least such time: reports lag by 0.2 s, and two are needed.
 	minStreamSilence = 600 * time.Millisecond
-	// silentFirsts is that for a first event, as a multiple of the time after which one is
-	// overdue, and silentFirst the least time for it: prompts queue up at once in a burst,
-	// and a second copy would add to it.
+	// silentFirstFactor is the factor for a first event, relative to the time after which one
+	// is overdue, and minFirstSilence the least such time: prompts queue up in a burst, and a
+	// second copy would add to it.
 	silentFirstFactor = 3
 	minFirstSilence   = time.Second
-	// soundReports is how many reports in a row say that the engine does its part.
+	// requiredHealthyReports is how many consecutive reports show that the engine is healthy.
 	requiredHealthyReports = 2
 )
 
@@ -57,8 +57,8 @@
 	a.byService[service] = a.byService[service].With(took)
 }
 
-// overdueAfter returns the time after which an answer is overdue; 0 where answers usually
-// take longer than a bound: then a late one says nothing of its connection.
+// overdueAfter returns the time after which an answer is overdue, or 0 if answers usually
+// take longer than bound: then a late answer says nothing about its connection.
 func (a *answerTimes) overdueAfter(service string, bound time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,16 +73,16 @@
 	return time.Duration(g.daemon.settings.Timing.Silence)
 }
 
-// exchange sends a request to its first target, and again on a new connection where a kept
-// one was gone or silent and the request may be repeated.
+// exchange sends a request to its first target. It sends it again on a new connection if a
+// kept one was closed or silent and the request may be repeated.
 func (f *forwarding) exchange(ctx context.Context, address string, request *target.Request) (*target.Answer, error) {
 	bound := f.g.answers.overdueAfter(f.service, f.g.silenceBound())
 	if !f.route.Stream && bound > 0 && len(f.call.Body) <= target.InlineBody {
-		// A longer body takes as long as the target reads it.
+		// The target may take any time to read a longer body.
 		request.Kept = target.KeptWait{For: bound, Leave: f.mayAskAgain}
 	}
 	request.Again = f.again
-	// What broke off once must not meet a kept connection that is silent too: a second copy
+	// After a try that broke off, avoid a kept connection, which may be silent too: a second copy
 	// is seldom allowed.
 	request.Fresh = request.Fresh || len(f.attempts.Ran) > 0
 	f.again = false
@@ -105,14 +105,15 @@
 	return answer, err
 }
 
-// noteAnswer takes the time that a plain answer took.
+// recordAnswerTime records how long a plain answer took.
 func (f *forwarding) recordAnswerTime(sent time.Time, err error) {
 	if err == nil && !f.route.Stream {
 		f.g.answers.record(f.service, clock.Since(sent))
 	}
 }
 
-// noteWell takes a report by which the engine neither stands still nor is slow.
+// noteWell records a report that the engine has not stalled; reports of a slow engine reset
+// the count.
 func (w *watcher) noteWell(report EngineReport) {
 	if report.Pace > 1 {
 		w.sound = 0
@@ -121,7 +122,8 @@
 	w.sound++
 }
 
-// onSilent reports whether the stream is on a silent connection, and can go on over another.
+// onSilent reports whether the stream's connection is silent and the stream can continue on
+// another one.
 func (w *watcher) onSilent() bool {
 	after, known := w.silentAfter()
 	if !known || w.sound < requiredHealthyReports || clock.Since(w.since()) < after || !w.f.couldRepeat() {
@@ -131,8 +133,8 @@
 	return true
 }
 
-// silentAfter returns the pause after which the connection is in doubt, and whether it can
-// be told at all.
+// silentAfter returns the gap after which the connection is suspected, and whether one
+// is known.
 func (w *watcher) silentAfter() (time.Duration, bool) {
 	bound := w.f.g.silenceBound()
 	if bound <= 0 {
@@ -149,7 +151,7 @@
 	return min(max(silentGapFactor*mean, minStreamSilence), bound), true
 }
 
-// leftSilent ends a try whose connection is silent. Its target keeps its name.
+// leftSilent ends a try whose connection is silent. The target is not marked as failed.
 func (f *forwarding) leftSilent(path relay.Path, watch *watcher) result {
 	f.last = "its connection fell silent"
 	f.again = true
--- a/internal/daemon/silent_links_test.go
+++ b/internal/daemon/silent_links_test.go
@@ -14,8 +14,8 @@
 	"github.com/spoolbank/spoolbank/internal/fake"
 )
 
-// relayed is a deployment whose VMs reach the control VMs over relays: three control VMs
-// and an entry VM, each a process.
+// relayedDeployment is a deployment whose VMs connect to the control VMs through relays:
+// three control VMs and an entry VM, each a process.
 type relayedDeployment struct {
 	*deployment
 	relays []*fake.Relay
@@ -64,7 +64,7 @@
 	return d
 }
 
-// joined counts the connections that the relays have passed on.
+// connections returns the number of connections that the relays have passed on.
 func (d *relayedDeployment) connections() int {
 	sum := 0
 	for _, r := range d.relays {
@@ -73,9 +73,9 @@
 	return sum
 }
 
-// Messages went into connections that had fallen silent for good: no leader was heard, and
-// no statement decided, until processes were started again.
-func TestLinksThatFallSilentTogetherAreMadeAnew(t *testing.T) {
+// Guards against links that stay silent forever: messages were sent into silent connections,
+// so there was no leader and no statement was decided until processes were restarted.
+func TestSilentLinksAreReplaced(t *testing.T) {
 	d := deployRelayed(t, "1200ms")
 	for round := range 3 {
 		before := d.connections()
@@ -90,13 +90,13 @@
 		d.until("all voters follow", func() bool { return d.rows("show replicas where vote = true and settled = true") == 3 })
 		made := d.connections() - before
 		t.Logf("all links silent to a statement decided: %v, %d connections", took, made)
-		// Six links between the control VMs and three to them; one may find its peer's end
-		// not back yet.
+		// Six links between the control VMs and three to them; a link may need a second dial if its
+		// peer's end is not back yet.
 		require.LessOrEqual(t, made, 2*9)
 	}
 }
 
-// A relay that only delays is no silent one.
+// A relay that only adds delay does not make links silent.
 func TestSlowLinksAreKept(t *testing.T) {
 	d := deployRelayed(t, "1200ms")
 	for _, r := range d.relays {
--- a/internal/daemon/suspension_test.go
+++ b/internal/daemon/suspension_test.go
@@ -12,10 +12,10 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// suspendable is the clocks of a VM that a test suspends.
+// suspendableClock simulates the clocks of a VM that a test suspends.
 type suspendableClock struct{ ahead time.Duration }
 
-// newSuspendable has this process count by these clocks until the test ends.
+// newSuspendable makes this process use a suspendableClock until the test ends.
 func newSuspendable(t *testing.T) *suspendableClock {
 	t.Helper()
 	s := &suspendableClock{}
@@ -29,9 +29,9 @@
 	return s
 }
 
-// A VM that wakes up goes by a lease, and by a configuration, that ran out while it was
-// suspended: Go's clock stood still.
-func TestAVMThatWasSuspendedTakesNothingByItsOldLease(t *testing.T) {
+// Guards against using a lease, or a configuration, that expired while the VM was suspended:
+// Go's monotonic clock stops during suspension.
+func TestSuspendedVMRefusesRequestsAfterLeaseExpiry(t *testing.T) {
 	s := newSuspendable(t)
 	w := newWorker(t, served)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
@@ -43,8 +43,8 @@
 	require.EqualValues(t, 1, w.ran.Load())
 }
 
-// A target is given no time that the request's caller no longer has.
-func TestARequestWhoseTimeEndsInASuspensionIsSentToNobody(t *testing.T) {
+// A request whose deadline passes during a suspension is not sent to a target.
+func TestRequestIsNotSentAfterDeadlineDuringSuspension(t *testing.T) {
 	s := newSuspendable(t)
 	w := newWorker(t, served)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -14,7 +14,7 @@
 	"github.com/spoolbank/spoolbank/settings"
 )
 
-// makeKeys makes an authority and certificates, as an operator does.
+// makeKeys creates an authority and certificates, as an operator does.
 func makeKeys(t *testing.T, names ...string) string {
 	dir := t.TempDir()
 	require.Zero(t, spoolbank.Main([]string{"key", "authority", dir}, nil, io.Discard, io.Discard))
@@ -30,7 +30,7 @@
 	return keys
 }
 
-func TestPeerSpeaksOnlyForItself(t *testing.T) {
+func TestPeerSendsOnlyAsItself(t *testing.T) {
 	dir := makeKeys(t, "vm-1", "vm-2")
 	s := singleVMSettings(t, filepath.Join(t.TempDir(), "data"))
 	s.TLS = settings.TLS{Certificate: filepath.Join(dir, "vm-1.pem"), Key: filepath.Join(dir, "vm-1-key.pem"), Authority: filepath.Join(dir, "authority.pem")}
@@ -38,7 +38,7 @@
 	defer run(t, s)()
 
 	_, err := loadKeys(t, makeKeys(t, "vm-2"), "vm-2").Dial(t.Context(), s.Listen.Peers)
-	require.Error(t, err, "another authority")
+	require.Error(t, err, "certificate of another authority")
 
 	conn, err := loadKeys(t, dir, "vm-2").Dial(t.Context(), s.Listen.Peers)
 	require.NoError(t, err)
--- a/internal/daemon/traffic.go
+++ b/internal/daemon/traffic.go
@@ -16,29 +16,29 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// This file says what control costs a process: the bytes of messages to and from other VMs
-// by kind, and the time that the Node takes by event. Both are counted, and logged in short
-// now and then, so that a log alone shows which kind has grown.
+// This file measures what control costs a process: the bytes of messages to and from other
+// VMs by kind, and the time that the Node takes by event. Both are counted, and logged in
+// short at an interval, so that a log alone shows which kind has grown.
 
 const (
-	// trafficEvery is the interval of the log line: a line costs some 0.1 ms, and what
-	// control costs changes over seconds.
+	// trafficLogInterval is the interval of the log line: a line costs some 0.1 ms, and the
+	// cost of control changes over seconds.
 	trafficLogInterval = 5 * time.Second
-	// trafficKinds bounds the kinds that a line names, those that cost most first.
+	// maxTrafficKinds bounds the kinds that a line names, the most expensive first.
 	maxTrafficKinds = 6
-	// stepSlow is the time of a step of the Node that is logged by itself: leases are
-	// renewed every 0.5 s and votes asked for after as much, so that few such steps delay
+	// slowStepTime is the duration from which a step of the Node gets its own log line. Leases
+	// are renewed every 0.5 s and elections start after as much, so a few such steps delay
 	// both.
 	slowStepTime = 20 * time.Millisecond
 )
 
-// tally is how often something came, and what it cost: bytes or nanoseconds.
+// costTotal is a number of events and their total cost, in bytes or nanoseconds.
 type costTotal struct {
 	count int
 	cost  int64
 }
 
-// traffic counts what control costs since the last line.
+// traffic totals the cost of control since the last log line.
 type traffic struct {
 	daemon   *Daemon
 	bytes    metric.Int64Counter
@@ -62,7 +62,7 @@
 	t.sent, t.received, t.steps = make(map[string]costTotal), make(map[string]costTotal), make(map[string]costTotal)
 }
 
-// addTally adds one of a kind and its cost.
+// addCost adds one event of a kind and its cost.
 func addCost(to map[string]costTotal, kind string, cost int64) {
 	next := to[kind]
 	next.count++
@@ -70,7 +70,7 @@
 	to[kind] = next
 }
 
-// sentMessage notes a message to another VM.
+// recordSent records a message to another VM.
 func (t *traffic) recordSent(kind string, bytes int) {
 	t.bytes.Add(context.Background(), int64(bytes), metric.WithAttributes(attribute.String("way", "sent"), attribute.String("kind", kind)))
 	t.mu.Lock()
@@ -78,7 +78,7 @@
 	addCost(t.sent, kind, int64(bytes))
 }
 
-// tookMessage notes a message from another VM.
+// recordReceived records a message from another VM.
 func (t *traffic) recordReceived(kind string, bytes int) {
 	t.bytes.Add(context.Background(), int64(bytes), metric.WithAttributes(attribute.String("way", "received"), attribute.String("kind", kind)))
 	t.mu.Lock()
@@ -86,7 +86,7 @@
 	addCost(t.received, kind, int64(bytes))
 }
 
-// stepped notes a step of the Node. One that is slow is logged.
+// recordStep records a step of the Node, and logs a slow one.
 func (t *traffic) recordStep(event core.Event, took time.Duration) {
 	kind := stepKind(event)
 	t.mu.Lock()
@@ -97,7 +97,7 @@
 	}
 }
 
-// stepKind names an event, and for one that is a message its kind.
+// stepKind returns the name of an event, or the kind of its message if it is one.
 func stepKind(event core.Event) string {
 	if r, ok := event.(core.Received); ok {
 		return r.Envelope.Body.Kind()
@@ -105,7 +105,7 @@
 	return strings.TrimPrefix(fmt.Sprintf("%T", event), "core.")
 }
 
-// loop logs what control has cost until the daemon ends.
+// loop logs the cost of control at an interval until the daemon ends.
 func (t *traffic) loop() error {
 	ticker := time.NewTicker(trafficLogInterval)
 	defer ticker.Stop()
@@ -127,8 +127,8 @@
 	t.daemon.log.Info("cost of control", "sent_bytes", summarizeCosts(sent, 1), "received_bytes", summarizeCosts(received, 1), "steps_us", summarizeCosts(steps, int64(time.Microsecond)))
 }
 
-// costliest returns the sum and the kinds that cost most, as KIND=COUNT/COST with the cost
-// in a unit.
+// summarizeCosts returns the total and the most expensive kinds, as KIND=COUNT/COST with the
+// cost in a unit.
 func summarizeCosts(totals map[string]costTotal, unit int64) string {
 	kinds := make([]string, 0, len(totals))
 	sum := costTotal{}
@@ -145,7 +145,7 @@
 	return strings.Join(parts, " ")
 }
 
-// measuredEncoding is the encoding of messages on a link, which notes their sizes.
+// measuredEncoding is the encoding of messages on a link, and records their sizes.
 type measuredEncoding struct {
 	wire.Encoding
 	record func(kind string, bytes int)
--- a/internal/daemon/unread.go
+++ b/internal/daemon/unread.go
@@ -12,19 +12,19 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file counts what targets say and nothing reads, by name, and logs each name once: a name
-// that is new on the wire may be one that this VM should keep to.
+// This file counts the names in messages of targets that nothing reads, and logs each name once: a
+// name that is new on the wire may be one that this VM should support.
 
 const (
-	// maxUnreadNames bounds the names that are told apart; all others count as one.
+	// maxUnreadNames bounds the names that are counted separately; all others count as one.
 	maxUnreadNames = 64
-	// unreadBytes bounds a name, in bytes.
+	// maxUnreadNameBytes bounds the length of a name.
 	maxUnreadNameBytes = 64
-	// unreadOthers stands for the names beyond maxUnreadNames.
+	// unreadOthers represents the names beyond maxUnreadNames.
 	unreadOthers = "(others)"
 )
 
-// unreadNames are the names that targets have used and that nothing reads.
+// unreadNames counts the names that targets have used and nothing reads.
 type unreadNames struct {
 	log     logr.Logger
 	counter metric.Int64Counter
@@ -69,5 +69,5 @@
 	return names
 }
 
-// Unread notes names in a message of a target that nothing reads.
+// Unread records names in a message of a target that nothing reads.
 func (g *Gateway) Unread(writer string, names []string) { g.unread.note(writer, names) }
--- a/internal/daemon/unread_test.go
+++ b/internal/daemon/unread_test.go
@@ -10,8 +10,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// Names that nothing reads are counted by name, and there is no end of what targets may send.
-func TestUnreadNamesAreCountedWithinABound(t *testing.T) {
+// Names that nothing reads are counted by name, within a bound, since targets may send any
+// number of them.
+func TestUnreadNameCountsAreBounded(t *testing.T) {
 	g := newEntry(t, relay.RepeatAlways, 1, newWorker(t, served))
 	for i := range 200 {
 		g.Unread("i-1", []string{"Mood", fmt.Sprintf("Name-%d", i)})
--- a/internal/daemon/unusable.go
+++ b/internal/daemon/unusable.go
@@ -9,32 +9,32 @@
 	"github.com/spoolbank/spoolbank/internal/clock"
 )
 
-// This file takes note of what other writers send that can't be used. Any number of
-// writers may send any amount of it, so that each gets one line in a while and every
-// case is counted.
+// This file records messages of other writers that can't be used. Any number of writers
+// may send any number of them, so every case is counted and the log lines for each writer
+// are limited.
 
-// UnusableReason is the kind of fault for which a text is not used.
+// UnusableReason is the kind of fault for which a message is not used.
 type UnusableReason string
 
 // The kinds of faults.
 const (
-	// UnusableText: it can't be decoded at all.
+	// UnusableText: the message can't be decoded.
 	UnusableText UnusableReason = "unreadable"
-	// UnusableMissing: a field that must be there is not.
+	// UnusableMissing: a required field is missing.
 	UnusableMissing UnusableReason = "missing"
-	// UnusableType: a field holds a value of another type.
+	// UnusableType: a field holds a value of the wrong type.
 	UnusableType UnusableReason = "type"
-	// UnusableValue: a field holds a value that has no meaning.
+	// UnusableValue: a field holds an invalid value.
 	UnusableValue UnusableReason = "value"
 	// UnusableService: no document names the service.
 	UnusableService UnusableReason = "service"
 )
 
-// UnusableError says why what another writer sent is not used, and what to send instead.
+// UnusableError says why a message of another writer is not used, and what to send instead.
 type UnusableError struct {
-	// Subject is what can't be used, as in "heartbeat of i-1".
+	// Subject is the message that can't be used, as in "heartbeat of i-1".
 	Subject string
-	// Field is the field at fault, empty where it is the whole text.
+	// Field is the field at fault, or empty if it is the whole message.
 	Field  string
 	Reason UnusableReason
 	Remedy string
@@ -48,8 +48,8 @@
 	return fmt.Sprintf("%s is not used: field %s: %s; %s", e.Subject, e.Field, e.Reason, e.Remedy)
 }
 
-// Unusable counts a text that is not used, and logs it where its writer has had no line
-// of late.
+// Unusable counts a message that is not used, and logs it unless its writer had a log line
+// recently.
 func (g *Gateway) Unusable(writer string, err error) {
 	reason := UnusableText
 	var unusable *UnusableError
@@ -63,25 +63,25 @@
 }
 
 const (
-	// lineEvery is the least time between two lines on one writer. A target speaks every
-	// 1.2 s, and what is wrong with its messages seldom changes.
+	// writerLogInterval is the least time between two log lines about one writer. A target
+	// reports every 1.2 s, and the fault in its messages seldom changes.
 	writerLogInterval = 10 * time.Second
-	// lineWriters bounds the writers that are told apart, and with it the lines: 6 a second
-	// at the most, whoever sends whatever.
+	// maxLogWriters bounds the writers that are distinguished, and so the lines: at most 6 a
+	// second, whatever is sent.
 	maxLogWriters = 64
-	// writerBytes bounds a writer's name in memory and in a line, in bytes.
+	// maxWriterBytes bounds the length of a writer's name in memory and in a line.
 	maxWriterBytes = 64
 )
 
-// lineLimit lets one line of each writer pass in a while. The zero value is ready for use.
+// lineLimit is a rate limit on log lines for each writer. The zero value is ready for use.
 type lineLimit struct {
 	mu         sync.Mutex
 	until      map[string]time.Time
 	suppressed int
 }
 
-// pass reports whether a line on a writer may be written, and how many were withheld
-// since the last one, on any writer.
+// allow reports whether a line about a writer may be logged, and how many were suppressed
+// since the last one, for all writers.
 func (l *lineLimit) allow(writer string, now time.Time) (ok bool, suppressed int) {
 	writer = writer[:min(len(writer), maxWriterBytes)]
 	l.mu.Lock()
@@ -101,7 +101,7 @@
 	return true, suppressed
 }
 
-// forget drops the writers that may have a line again.
+// removeExpired removes the writers that may have a line again.
 func (l *lineLimit) removeExpired(now time.Time) {
 	for writer, until := range l.until {
 		if !now.Before(until) {
--- a/internal/daemon/unusable_test.go
+++ b/internal/daemon/unusable_test.go
@@ -16,7 +16,7 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-func TestEachWriterHasALineInAWhile(t *testing.T) {
+func TestLogLinesAreLimitedPerWriter(t *testing.T) {
 	var l daemon.LogLimiter
 	now := time.Unix(100, 0)
 	pass, _ := l.Allow("i-1", now)
@@ -33,7 +33,7 @@
 	require.Zero(t, withheld)
 }
 
-func TestAnyNumberOfWritersHaveABoundedNumberOfLines(t *testing.T) {
+func TestLogLinesAreBoundedForManyWriters(t *testing.T) {
 	var l daemon.LogLimiter
 	now := time.Unix(100, 0)
 	lines := 0
@@ -50,7 +50,7 @@
 	pass, _ = l.Allow(long, now.Add(30*time.Second))
 	require.True(t, pass)
 	pass, _ = l.Allow(long+"y", now.Add(30*time.Second))
-	require.False(t, pass, "names are cut, so that they take little memory")
+	require.False(t, pass, "names are truncated to bound memory")
 }
 
 func encodeHints(t *testing.T, values ...any) []cbor.RawMessage {
@@ -64,11 +64,11 @@
 	return entries
 }
 
-// One hint that could not be decoded voided all.
-func TestABadHintVoidsNoOther(t *testing.T) {
+// Guards against one undecodable hint invalidating all others.
+func TestBadHintDoesNotInvalidateOthers(t *testing.T) {
 	good := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 7, Layers: config.Range{First: 2, Last: 5}}
-	turned := relay.Target{ID: "i-2", Service: "s", Address: "10.0.0.2:80", Layers: config.Range{First: 5, Last: 2}}
-	entries := encodeHints(t, 3, "text", relay.Target{Service: "s"}, turned, good, []int{1, 2}, map[string]string{"id": "i-3"}, nil)
+	inverted := relay.Target{ID: "i-2", Service: "s", Address: "10.0.0.2:80", Layers: config.Range{First: 5, Last: 2}}
+	entries := encodeHints(t, 3, "text", relay.Target{Service: "s"}, inverted, good, []int{1, 2}, map[string]string{"id": "i-3"}, nil)
 	targets, bad := daemon.DecodeHints(entries)
 	require.Equal(t, []relay.Target{good}, targets)
 	require.Equal(t, len(entries)-1, bad)
@@ -76,16 +76,16 @@
 
 func FuzzDecodeHints(f *testing.F) {
 	good := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 7}
-	text, err := wire.Marshal(good)
+	encoded, err := wire.Marshal(good)
 	require.NoError(f, err)
-	f.Add(text)
+	f.Add(encoded)
 	f.Add([]byte{0x80})
 	f.Add([]byte{0xff})
 	f.Fuzz(func(t *testing.T, entry []byte) {
-		targets, bad := daemon.DecodeHints([]cbor.RawMessage{text, bytes.Clone(entry), text})
+		targets, bad := daemon.DecodeHints([]cbor.RawMessage{encoded, bytes.Clone(entry), encoded})
 		require.Equal(t, 3, len(targets)+bad)
 		require.Equal(t, good, targets[0])
-		require.Equal(t, good, targets[len(targets)-1], "what follows is kept")
+		require.Equal(t, good, targets[len(targets)-1], "hints after a bad one are kept")
 		for _, target := range targets {
 			require.NotEmpty(t, target.ID)
 			require.GreaterOrEqual(t, target.Layers.Len(), 0)
--- a/internal/daemon/upkeep.go
+++ b/internal/daemon/upkeep.go
@@ -8,9 +8,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file is a gateway's own housekeeping.
+// This file does the periodic housekeeping of a gateway.
 
-// askSlow asks engines that were slow how they are now.
+// probeSlow asks engines that were slow for their current pace.
 func (g *Gateway) probeSlow(engines []relay.Stage) {
 	for _, e := range engines {
 		g.daemon.tomb.Go(func() error {
@@ -21,7 +21,7 @@
 				return nil
 			}
 			if e.Target.OtherIncarnation(report.Born) {
-				g.log.Info("engine that was slow has started again", "target", e.Target, "born", report.Born)
+				g.log.Info("engine that was slow has restarted", "target", e.Target, "born", report.Born)
 				return nil
 			}
 			g.takePaces(map[relay.TargetID]float64{e.Target: report.Pace})
@@ -30,10 +30,10 @@
 	}
 }
 
-// upkeepEvery is the interval of a gateway's own housekeeping.
+// upkeepInterval is the interval of the housekeeping.
 const upkeepInterval = 200 * time.Millisecond
 
-// noteSuspension logs that this VM was suspended, once for each time.
+// logSuspension logs that this VM was suspended, once for each suspension.
 func (g *Gateway) logSuspension() {
 	total := clock.Suspended()
 	if total > g.suspended {
@@ -42,7 +42,7 @@
 	g.suspended = total
 }
 
-// upkeep tells the Node what is under way, and closes idle connections.
+// upkeep reports work in flight to the Node, and closes idle connections.
 func (g *Gateway) upkeep() error {
 	ticker := time.NewTicker(upkeepInterval)
 	defer ticker.Stop()
