--- a/internal/daemon/incarnations_test.go
+++ b/internal/daemon/incarnations_test.go
@@ -12,8 +12,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// What ran at an engine that has started again is lost, though it answers.
-func TestAnAnswerOfAnotherLifeIsNoSignOfLife(t *testing.T) {
+// Guards against counting an engine as alive that answers with another incarnation: it has
+// restarted and lost its requests.
+func TestAnswerOfAnotherIncarnationIsALostEngine(t *testing.T) {
 	engines := reportingEngines{
 		"well":    after(time.Millisecond, daemon.EngineReport{Pace: 1, Born: 100}, nil),
 		"untold":  after(time.Millisecond, daemon.EngineReport{Pace: 1}, nil),
@@ -31,20 +32,20 @@
 	})
 }
 
-// What is sent to a life ends with it, and with no other.
-func TestExchangesEndWithTheirLife(t *testing.T) {
+// An exchange is canceled when its incarnation of a target ends, and by no other.
+func TestExchangesEndWithTheirIncarnation(t *testing.T) {
 	old, next := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-1", 200)
 	x := daemon.NewExchanges()
-	lost, over := x.Follow(t.Context(), old)
+	lost, over := x.Track(t.Context(), old)
 	defer over()
-	done, doneOver := x.Follow(t.Context(), old)
+	done, doneOver := x.Track(t.Context(), old)
 	doneOver()
-	kept, keptOver := x.Follow(t.Context(), next)
+	kept, keptOver := x.Track(t.Context(), next)
 	defer keptOver()
-	require.Equal(t, 1, x.End(old))
+	require.Equal(t, 1, x.CancelAll(old))
 	require.ErrorContains(t, context.Cause(lost), "started again")
 	require.NotContains(t, context.Cause(done).Error(), "started again")
 	require.NoError(t, kept.Err())
 	over()
-	require.Zero(t, x.End(old))
+	require.Zero(t, x.CancelAll(old))
 }
--- a/internal/daemon/unread.go
+++ b/internal/daemon/unread.go
@@ -12,19 +12,19 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// This file counts what targets say and nothing reads, by name, and logs each name once: a name
-// that is new on the wire may be one that this VM should keep to.
+// This file counts the names in messages of targets that nothing reads, and logs each name once: a
+// name that is new on the wire may be one that this VM should support.
 
 const (
-	// unreadMost bounds the names that are told apart; all others count as one.
-	unreadMost = 64
-	// unreadBytes bounds a name, in bytes.
-	unreadBytes = 64
-	// unreadOthers stands for the names beyond unreadMost.
+	// maxUnreadNames bounds the names that are counted separately; all others count as one.
+	maxUnreadNames = 64
+	// maxUnreadNameBytes bounds the length of a name.
+	maxUnreadNameBytes = 64
+	// unreadOthers represents the names beyond maxUnreadNames.
 	unreadOthers = "(others)"
 )
 
-// unreadNames are the names that targets have used and that nothing reads.
+// unreadNames counts the names that targets have used and nothing reads.
 type unreadNames struct {
 	log     logr.Logger
 	counter metric.Int64Counter
@@ -40,20 +40,20 @@
 // note counts names that a target has used.
 func (u *unreadNames) note(writer string, names []string) {
 	for _, name := range names {
-		u.add(writer, name[:min(len(name), unreadBytes)])
+		u.add(writer, name[:min(len(name), maxUnreadNameBytes)])
 	}
 }
 
 func (u *unreadNames) add(writer, name string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if _, known := u.counts[name]; !known && len(u.counts) >= unreadMost {
+	if _, known := u.counts[name]; !known && len(u.counts) >= maxUnreadNames {
 		name = unreadOthers
 	}
 	u.counts[name]++
 	u.counter.Add(context.Background(), 1, metric.WithAttributes(attribute.String("name", name)))
 	if u.counts[name] == 1 {
-		u.log.Info("target says something that nothing reads", "writer", writer[:min(len(writer), writerBytes)], "name", name)
+		u.log.Info("target says something that nothing reads", "writer", writer[:min(len(writer), maxWriterBytes)], "name", name)
 	}
 }
 
@@ -69,5 +69,5 @@
 	return names
 }
 
-// Unread notes names in a message of a target that nothing reads.
+// Unread records names in a message of a target that nothing reads.
 func (g *Gateway) Unread(writer string, names []string) { g.unread.note(writer, names) }
