--- a/cmd/spoolbankd/cmd/root.go
+++ b/cmd/spoolbankd/cmd/root.go
@@ -1,4 +1,4 @@
-// Package cmd is the command line of the daemon.
+// Package cmd implements the command line of the daemon.
 package cmd
 
 import (
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	s.Policy = s.Policy.With(policy)
+	s.Policy = s.Policy.Merge(policy)
 	switch {
 	case o.check:
 		fmt.Fprintf(stdout, "%s: the settings of %s are in order\n", o.settings, s.Name)
--- a/query/query.go
+++ b/query/query.go
@@ -1,5 +1,5 @@
-// Package query is the language in which operators drive spoolbank. It is the
-// same for all objects:
+// Package query parses the operators' language of spoolbank. All kinds of objects
+// share one syntax:
 //
 //	show targets where hall = nabua and state != up
 //	declare pipeline digest model=fiji version=v3 class=1 max_tokens=64
@@ -8,7 +8,7 @@
 //	drain vm walu-bay-1
 //	admit target r07
 //
-// Parse turns a text into a typed Statement; it reads nothing else.
+// Parse converts a text into a typed Statement and has no other input.
 package query
 
 import (
@@ -27,10 +27,10 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// What is a list that can be shown.
+// What names a list that the show statement prints.
 type What string
 
-// The lists that can be shown.
+// The lists that the show statement prints.
 const (
 	Config        What = "config"
 	Events        What = "events"
@@ -49,12 +49,12 @@
 	VMs           What = "vms"
 )
 
-// Lists returns all lists that can be shown, sorted.
+// Lists returns the names of all lists that can be shown, sorted.
 func Lists() []What {
 	return []What{Backoffs, Config, Events, Leases, Limits, Models, Organisations, Pipelines, Quarantine, Replicas, Requests, Services, Targets, Unread, VMs}
 }
 
-// Statement is a parsed statement: exactly one field is set.
+// Statement is a parsed statement. Exactly one field is set.
 type Statement struct {
 	Show    *Show
 	Declare *Declare
@@ -67,55 +67,56 @@
 // IsCommand reports whether the statement changes the configuration.
 func (s Statement) IsCommand() bool { return s.Show == nil }
 
-// Show asks for a list.
+// Show requests the rows of a list that meet all conditions.
 type Show struct {
 	What  What
 	Where []Condition
 }
 
-// Local reports whether each VM knows the list of itself only, so that the
-// client has to ask them all.
+// Local reports whether each VM has only its own rows of the list, so that the
+// client must query every VM.
 func (s Show) Local() bool {
 	return s.What == Requests || s.What == Backoffs || s.What == Limits || s.What == Unread
 }
 
-// Condition is a test on a field of a row.
+// Condition compares a field of a row with a value.
 type Condition struct {
 	Field string
-	// Column is where the field stands in the text, from 1.
+	// Column is the position of the field in the text, counted from 1.
 	Column int
 	Op     Op
 	Value  string
 }
 
-// Op is a comparison.
+// Op is a comparison operator.
 type Op string
 
-// The comparisons. The ordered ones compare numbers as numbers.
+// The comparison operators. Two values that parse as numbers are compared as
+// numbers, others as strings.
 const (
-	Equal   Op = "="
-	Differs Op = "!="
-	Less    Op = "<"
-	More    Op = ">"
-	AtMost  Op = "<="
-	AtLeast Op = ">="
+	Equal          Op = "="
+	NotEqual       Op = "!="
+	Less           Op = "<"
+	Greater        Op = ">"
+	LessOrEqual    Op = "<="
+	GreaterOrEqual Op = ">="
 )
 
-// Meets reports whether value stands in the condition's relation.
+// Meets reports whether value satisfies the condition.
 func (c Condition) Meets(value string) bool {
 	order := compare(value, c.Value)
 	switch c.Op {
 	case Equal:
 		return order == 0
-	case Differs:
+	case NotEqual:
 		return order != 0
 	case Less:
 		return order < 0
-	case More:
+	case Greater:
 		return order > 0
-	case AtMost:
+	case LessOrEqual:
 		return order <= 0
-	case AtLeast:
+	case GreaterOrEqual:
 		return order >= 0
 	}
 	return false
@@ -136,20 +137,20 @@
 	return strings.Compare(a, b)
 }
 
-// Declare gives an object its fields.
+// Declare assigns fields of an object.
 type Declare struct {
 	Ref    config.Ref
 	Fields []Field
 }
 
-// Field is one assignment. JSON is its value in JSON.
+// Field is one assignment. JSON is the encoded value.
 type Field struct {
 	Name   string
 	Column int
 	JSON   json.RawMessage
 }
 
-// SyntaxError says where a text can't be understood, and what would be valid.
+// SyntaxError reports where a text is invalid, and what would be valid there.
 type SyntaxError struct {
 	// Column counts characters from 1.
 	Column  int
@@ -159,8 +160,8 @@
 // Error implements error.
 func (e *SyntaxError) Error() string { return fmt.Sprintf("column %d: %s", e.Column, e.Message) }
 
-// Decode sets the fields of target, a pointer to an object of the
-// configuration, and leaves the others as they are.
+// Decode sets the assigned fields and the name of target, a pointer to an object
+// of the configuration. Other fields keep their values.
 func (d Declare) Decode(target any) error {
 	valid := fieldNames(target)
 	for _, f := range d.Fields {
@@ -205,7 +206,7 @@
 	return names
 }
 
-// The grammar, as the parser library reads it.
+// The grammar, in the struct tags of the parser library.
 type (
 	statementNode struct {
 		Pos     lexer.Position
@@ -260,13 +261,13 @@
 	parser = participle.MustBuild[statementNode](participle.Lexer(tokens), participle.Unquote("Text"))
 )
 
-// maxLength bounds a statement, in bytes.
-const maxLength = 64 << 10
+// maxStatementBytes bounds a statement, in bytes.
+const maxStatementBytes = 64 << 10
 
-// Parse reads one statement. Its errors are of type *SyntaxError.
+// Parse parses one statement. Its errors are of type *SyntaxError.
 func Parse(text string) (Statement, error) {
-	if len(text) > maxLength {
-		return Statement{}, &SyntaxError{maxLength, fmt.Sprintf("the statement is longer than %d bytes; split it", maxLength)}
+	if len(text) > maxStatementBytes {
+		return Statement{}, &SyntaxError{maxStatementBytes, fmt.Sprintf("the statement is longer than %d bytes; split it", maxStatementBytes)}
 	}
 	node, err := parser.ParseString("", text)
 	if err != nil {
@@ -348,8 +349,8 @@
 	return d, nil
 }
 
-// value returns the value as JSON knows it: a word that reads as a number or
-// truth value is one, a quoted text never is.
+// value returns the value for encoding as JSON. A word that is a valid JSON number
+// or boolean is encoded as one; a quoted text is always a string.
 func (v valueNode) value() any {
 	switch {
 	case v.Text != nil:
--- a/query/query_test.go
+++ b/query/query_test.go
@@ -25,7 +25,7 @@
 	require.True(t, s.Show.Where[1].Meets("down"))
 }
 
-func TestParseErrorsPointAtTheColumn(t *testing.T) {
+func TestParseErrorsNameTheColumn(t *testing.T) {
 	tests := []struct{ text, want string }{
 		{"", `column 1: unexpected token "<EOF>"; a statement begins with show, declare, set, remove, drain or admit`},
 		{"show cats", "column 6: there is no list \"cats\"; use one of [backoffs config events leases limits models organisations pipelines quarantine replicas requests services targets unread vms]"},
--- a/settings/fault.go
+++ b/settings/fault.go
@@ -15,8 +15,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// Fault is one thing wrong with a file of settings. Line and Column count from
-// 1; they are those of the nearest value that is there.
+// Fault is one error in a settings file. Line and Column count from 1. For a
+// missing value they are those of the nearest enclosing value.
 type Fault struct {
 	Line    int
 	Column  int
@@ -26,7 +26,7 @@
 // Error implements error.
 func (f Fault) Error() string { return fmt.Sprintf("%d:%d: %s", f.Line, f.Column, f.Message) }
 
-// Faults is all that is wrong with a file, in the order of its lines.
+// Faults lists all errors of a settings file, ordered by position.
 type Faults []Fault
 
 // Error implements error.
@@ -50,7 +50,7 @@
 	return Faults{{Line: line, Column: column, Message: m[3] + "; settings are JSON, with comments and trailing commas"}}
 }
 
-// checker gathers the faults of one file.
+// checker collects the faults of one file.
 type checker struct {
 	text   []byte
 	tree   hujson.Value
@@ -72,7 +72,7 @@
 	}
 }
 
-// fault notes a message at the value at path, or at the nearest one around it.
+// fault records a message at the value at path, or at the nearest enclosing value.
 func (c *checker) fault(path, message string) {
 	value := c.tree.Find(path)
 	for value == nil && path != "" {
@@ -91,8 +91,8 @@
 	})
 }
 
-// checkFields compares an object with the struct that it is read into: every
-// member must be a field and of its type.
+// checkFields checks an object against the struct that it is decoded into:
+// every member must name a field and have its type.
 func (c *checker) checkFields(path string, value *hujson.Value, into any) {
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings of a daemon: JSON with comments, checked
-// as a whole. Load returns every fault at once, each with its line and column.
+// Package settings parses and validates the settings of a daemon, written as JSON
+// with comments. Load returns all faults that it finds, each with its line and column;
+// values are checked once all names and types are valid.
 package settings
 
 import (
@@ -19,10 +20,10 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// Role is a part that a daemon plays.
+// Role is a function of a daemon in the deployment.
 type Role string
 
-// The roles. One VM may have both.
+// The roles. A VM may have both.
 const (
 	RoleControl Role = "control"
 	RoleEntry   Role = "entry"
@@ -30,16 +31,16 @@
 
 // Settings are the settings of one daemon.
 type Settings struct {
-	// Name is the VM's name, unique in the deployment; Hall its data hall.
+	// Name is the VM's name, unique in the deployment. Hall is its data hall.
 	Name  string `json:"name"`
 	Hall  string `json:"hall"`
 	Roles []Role `json:"roles"`
-	// Data is the data folder of a control VM.
+	// Data is the data directory of a control VM.
 	Data   string `json:"data"`
 	Listen Listen `json:"listen"`
-	// Control says who the control VMs are.
+	// Control lists the control VMs.
 	Control Control `json:"control"`
-	// Platform is the URL of the platform's list of VMs; empty for none.
+	// Platform is the URL of the platform's list of VMs, empty if there is none.
 	Platform string   `json:"platform"`
 	TLS      TLS      `json:"tls"`
 	Limits   Limits   `json:"limits"`
@@ -48,41 +49,41 @@
 	Policy   Policy   `json:"policy"`
 }
 
-// Listen holds the addresses of a daemon, as IP:PORT.
+// Listen holds the listen addresses of a daemon, as IP:PORT.
 type Listen struct {
-	// Callers is for callers, Peers for VMs and operators, Metrics for scrapes.
+	// Callers serves callers, Peers serves VMs and operators, Metrics serves scrapes.
 	Callers string `json:"callers"`
 	Peers   string `json:"peers"`
 	Metrics string `json:"metrics"`
 }
 
-// Control says who the control VMs are.
+// Control describes the group of control VMs.
 type Control struct {
-	// VMs maps names to the addresses for peers.
+	// VMs maps the name of each control VM to its peer address.
 	VMs           map[string]string `json:"vms"`
 	Voters        int               `json:"voters"`
 	SnapshotEvery int               `json:"snapshot_every"`
 }
 
-// TLS names the files of the mutual TLS between VMs and with operators.
+// TLS names the files for mutual TLS between VMs and with operators.
 type TLS struct {
 	Certificate string `json:"certificate"`
 	Key         string `json:"key"`
 	Authority   string `json:"authority"`
-	// PlainText must be set to go without.
+	// PlainText must be set to run without TLS.
 	PlainText bool `json:"plain_text"`
 }
 
-// Limits bound what callers may ask of a daemon.
+// Limits bound the resources that callers may use at a daemon.
 type Limits struct {
 	HeaderBytes int      `json:"header_bytes"`
 	BodyBytes   int64    `json:"body_bytes"`
 	Requests    int      `json:"requests"`
 	RequestTime Duration `json:"request_time"`
-	// MemoryMB is the memory that the process may take, in MB; 0 sets no limit. Near it
-	// the process collects garbage more often.
+	// MemoryMB is the soft memory limit of the process, in MB; 0 sets none. Near the
+	// limit the garbage collector runs more often.
 	MemoryMB int `json:"memory_mb"`
-	// UnreadTime is how long an answer is held for a caller that reads nothing of it.
+	// UnreadTime is how long an answer is buffered for a caller that reads none of it.
 	UnreadTime Duration `json:"unread_time"`
 }
 
@@ -95,21 +96,22 @@
 	Renew        Duration `json:"renew"`
 	ReplaceAfter Duration `json:"replace_after"`
 	KeepEntries  Duration `json:"keep_entries"`
-	// KeepEntriesAfterLoss is how long callers keep addresses while entry VMs are lost.
+	// KeepEntriesAfterLoss is how long callers may cache addresses while entry VMs are lost.
 	KeepEntriesAfterLoss Duration `json:"keep_entries_after_loss"`
 	StageSilence         Duration `json:"stage_silence"`
-	// Silence is the time within which an open connection that has fallen silent is noticed
-	// and left; 0 leaves it to the kernel. See internal/silence.
+	// Silence is the time within which an unresponsive open connection is detected and
+	// abandoned; 0 leaves detection to the kernel. See internal/silence.
 	Silence Duration `json:"silence"`
-	// TargetHeartbeat is the interval at which registered targets say that they live.
+	// TargetHeartbeat is the interval at which registered targets send heartbeats.
 	TargetHeartbeat Duration `json:"target_heartbeat"`
 }
 
-// Policy switches mechanisms of the decision logic on or off, by their names; those that
-// it does not name are on. See relay.Mechanism.
+// Policy switches mechanisms of the decision logic on or off by name. A mechanism that it
+// does not name is on. See relay.Mechanism.
 type Policy map[string]string
 
-// Relay returns the policy. Parse has checked it: a switch that can't be read is left out.
+// Relay converts the policy for the router. Entries that do not parse are skipped; Parse has
+// already rejected them.
 func (p Policy) Relay() relay.Policy {
 	var policy relay.Policy
 	for _, name := range slices.Sorted(maps.Keys(p)) {
@@ -120,7 +122,7 @@
 	return policy
 }
 
-// ParsePolicy reads NAME=on|off, separated by commas. Its error joins all that is wrong.
+// ParsePolicy parses NAME=on|off pairs, separated by commas or spaces. Its error joins all faults.
 func ParsePolicy(text string) (Policy, error) {
 	p := make(Policy)
 	var faults []error
@@ -134,8 +136,8 @@
 	return p, errors.Join(faults...)
 }
 
-// With returns the policy with what another one names in place of its own.
-func (p Policy) With(other Policy) Policy {
+// Merge returns a copy of the policy in which the entries of other take precedence.
+func (p Policy) Merge(other Policy) Policy {
 	both := maps.Clone(other)
 	for name, value := range p {
 		if _, named := other[name]; !named {
@@ -145,7 +147,7 @@
 	return both
 }
 
-// LogLevel is the least level that is logged.
+// LogLevel is the lowest severity that is logged.
 type LogLevel string
 
 // The log levels.
@@ -155,7 +157,7 @@
 	LogError LogLevel = "error"
 )
 
-// Duration is a time.Duration that is written as in "1.5s".
+// Duration is a time.Duration, encoded as a string such as "1.5s".
 type Duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -175,7 +177,7 @@
 // MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// Default returns what holds where a file is silent.
+// Default returns the values of settings that a file leaves out.
 func Default() Settings {
 	return Settings{
 		Control: Control{Voters: 3, SnapshotEvery: 1000},
@@ -184,8 +186,8 @@
 			BodyBytes:   1 << 20,
 			Requests:    20000,
 			RequestTime: Duration(60 * time.Second),
-			// The longest deadline of callers is 20 s; who has read nothing for longer has
-			// most likely gone.
+			// The longest deadline of callers is 20 s. A caller that has read nothing for
+			// longer has most likely disconnected.
 			UnreadTime: Duration(30 * time.Second),
 		},
 		Timing: Timing{
@@ -205,11 +207,11 @@
 	}
 }
 
-// HasRole reports whether the daemon plays the role.
+// HasRole reports whether the daemon has the role.
 func (s Settings) HasRole(r Role) bool { return slices.Contains(s.Roles, r) }
 
-// Load reads and checks a file. Its error is of type Faults when the file can
-// be read and is wrong.
+// Load parses and validates a file. Its error is of type Faults if the file is
+// readable but invalid.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -218,7 +220,7 @@
 	return Parse(text)
 }
 
-// Parse reads and checks settings. Its error is of type Faults.
+// Parse parses and validates settings. Its error is of type Faults.
 func Parse(text []byte) (Settings, error) {
 	tree, err := hujson.Parse(text)
 	if err != nil {
@@ -244,7 +246,7 @@
 	return s, nil
 }
 
-// checkValues checks what is right in form.
+// checkValues validates the values of settings that have the right types.
 func (c *checker) checkValues(s Settings) {
 	c.require(s.Name != "", "/name", "name is required; give the VM a name of its own")
 	c.require(s.Hall != "", "/hall", "hall is required; name the VM's data hall")
@@ -280,7 +282,7 @@
 	}
 	parsed, err := netip.ParseAddrPort(address)
 	c.require(err == nil, path, fmt.Sprintf("%q is no address; give IP:PORT with an IP number", address))
-	// Others are told this address, so it must be one that they can use.
+	// This address is sent to other processes, so they must be able to connect to it.
 	c.require(err != nil || !parsed.Addr().IsUnspecified(), path, fmt.Sprintf("%q stands for all addresses; give the IP number that others reach this VM by", address))
 }
 
@@ -303,21 +305,21 @@
 	c.require(!t.PlainText || t.Certificate == "", "/tls/plain_text", "plain_text goes without a certificate; drop one of them")
 }
 
-// memoryLeast is what a daemon takes that does nothing, with some room, in MB.
-const memoryLeast = 32
+// minMemoryMB is the memory of an idle daemon, in MB, with some headroom.
+const minMemoryMB = 32
 
 func (c *checker) checkLimits(l Limits) {
 	c.require(l.HeaderBytes >= 1<<10, "/limits/header_bytes", "header_bytes is at least 1024")
 	c.require(l.BodyBytes >= 1<<10, "/limits/body_bytes", "body_bytes is at least 1024")
 	c.require(l.Requests > 0, "/limits/requests", "requests is at least 1")
-	c.require(l.MemoryMB == 0 || l.MemoryMB >= memoryLeast, "/limits/memory_mb", fmt.Sprintf("memory_mb is 0 for no limit, or at least %d", memoryLeast))
+	c.require(l.MemoryMB == 0 || l.MemoryMB >= minMemoryMB, "/limits/memory_mb", fmt.Sprintf("memory_mb is 0 for no limit, or at least %d", minMemoryMB))
 	c.require(l.RequestTime > 0, "/limits/request_time", "request_time is more than 0s")
 	c.require(l.UnreadTime > 0, "/limits/unread_time", "unread_time is more than 0s")
 }
 
-// silenceLeast is twice the shortest waits of package silence: below it nothing that is
-// measured would count.
-const silenceLeast = 600 * time.Millisecond
+// minSilence is twice the shortest waits of package silence. Below it the measured
+// round-trip times would have no effect.
+const minSilence = 600 * time.Millisecond
 
 func (c *checker) checkTiming(t Timing) {
 	c.require(t.Heartbeat > 0, "/timing/heartbeat", "heartbeat is more than 0s")
@@ -328,7 +330,7 @@
 	c.require(t.KeepEntries > 0, "/timing/keep_entries", "keep_entries is more than 0s")
 	c.require(t.KeepEntriesAfterLoss >= t.KeepEntries, "/timing/keep_entries_after_loss", "keep_entries_after_loss is at least keep_entries")
 	c.require(t.StageSilence > 0, "/timing/stage_silence", "stage_silence is more than 0s")
-	c.require(t.Silence == 0 || time.Duration(t.Silence) >= silenceLeast, "/timing/silence", fmt.Sprintf("silence is 0s to leave it to the kernel, or at least %s, or connections that are only slow are left", silenceLeast))
+	c.require(t.Silence == 0 || time.Duration(t.Silence) >= minSilence, "/timing/silence", fmt.Sprintf("silence is 0s to leave it to the kernel, or at least %s, or connections that are only slow are left", minSilence))
 	c.require(t.TargetHeartbeat > 0, "/timing/target_heartbeat", "target_heartbeat is more than 0s")
 	c.require(t.ReplaceAfter >= 2*t.ElectionMax, "/timing/replace_after", "replace_after is at least twice election_max")
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolbank/spoolbank/settings"
 )
 
-func TestExamplesAreInOrder(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../examples/*/*.jsonc")
 	require.NoError(t, err)
 	require.Len(t, files, 20)
@@ -20,7 +20,7 @@
 	}
 }
 
-const whole = `{
+const validSettings = `{
   // A comment.
   "name": "a", "hall": "h", "roles": ["entry"],
   "listen": {"callers": "127.0.0.1:1", "peers": "127.0.0.1:2"},
@@ -34,26 +34,26 @@
 		text string
 		want []string
 	}{
-		{"whole", whole, nil},
-		{"cut short", `{"name": "a",`, []string{"1:14: parsing value: unexpected EOF; settings are JSON, with comments and trailing commas"}},
-		{"unknown and wrong type at once", "{\n  \"nmae\": \"a\",\n  \"limits\": {\"requests\": \"many\"},\n  \"timing\": {\"lease\": 3},\n}", []string{
+		{"valid", validSettings, nil},
+		{"truncated", `{"name": "a",`, []string{"1:14: parsing value: unexpected EOF; settings are JSON, with comments and trailing commas"}},
+		{"unknown setting and wrong types", "{\n  \"nmae\": \"a\",\n  \"limits\": {\"requests\": \"many\"},\n  \"timing\": {\"lease\": 3},\n}", []string{
 			`2:11: there is no setting "nmae" here; use one of control, data, hall, limits, listen, log_level, name, platform, policy, roles, timing, tls`,
 			`3:26: a string does not go here; give a int`,
 			`4:23: give a duration in quotes, as in "1.5s"`,
 		}},
-		{"an address that nobody can reach", strings.Replace(whole, "127.0.0.1:1", "0.0.0.0:1", 1), []string{
+		{"unspecified listen address", strings.Replace(validSettings, "127.0.0.1:1", "0.0.0.0:1", 1), []string{
 			`4:25: "0.0.0.0:1" stands for all addresses; give the IP number that others reach this VM by`,
 		}},
-		{"memory that nothing can run in", strings.Replace(whole, `"tls"`, `"limits": {"memory_mb": 8}, "tls"`, 1), []string{
+		{"memory limit below the minimum", strings.Replace(validSettings, `"tls"`, `"limits": {"memory_mb": 8}, "tls"`, 1), []string{
 			`6:27: memory_mb is 0 for no limit, or at least 32`,
 		}},
-		{"a silence that nothing can be noticed in", strings.Replace(whole, `"tls"`, `"timing": {"silence": "100ms"}, "tls"`, 1), []string{
+		{"silence below the minimum", strings.Replace(validSettings, `"tls"`, `"timing": {"silence": "100ms"}, "tls"`, 1), []string{
 			`6:25: silence is 0s to leave it to the kernel, or at least 600ms, or connections that are only slow are left`,
 		}},
-		{"targets that never say that they live", strings.Replace(whole, `"tls"`, `"timing": {"target_heartbeat": "0s"}, "tls"`, 1), []string{
+		{"zero target heartbeat", strings.Replace(validSettings, `"tls"`, `"timing": {"target_heartbeat": "0s"}, "tls"`, 1), []string{
 			`6:34: target_heartbeat is more than 0s`,
 		}},
-		{"all that is missing", `{}`, []string{
+		{"missing settings", `{}`, []string{
 			"1:1: control.vms is required; list each control VM with its address for peers",
 			"1:1: hall is required; name the VM's data hall",
 			"1:1: listen/peers is required; give an address as IP:PORT",
@@ -79,7 +79,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{"listen": [], "limits": {"a/b~": 1}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		_, err := settings.Parse(text)
