--- a/cmd/spoolbank/cmd/apply.go
+++ b/cmd/spoolbank/cmd/apply.go
@@ -14,7 +14,7 @@
 	"github.com/spoolbank/spoolbank/query"
 )
 
-// applyCommand sends the statements of a file, one a line.
+// applyCommand sends the statements of a file, one per line.
 func (r *root) applyCommand() *ff.Command {
 	var c commandFlags
 	flags := ff.NewFlagSet("apply").SetParent(r.flags)
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// readLines reads a whole file and parses it before anything is sent.
+// readLines reads and parses the whole file, so that nothing is sent if any line is invalid.
 func (r *root) readLines(path string) ([]line, error) {
 	input := r.stdin
 	if path != "-" {
--- a/cmd/spoolbank/cmd/bound.go
+++ b/cmd/spoolbank/cmd/bound.go
@@ -16,7 +16,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// boundCommand says what any plan for a fleet could hold at most, and what the plan holds.
+// boundCommand prints an upper bound on the capacity of any plan for a fleet, and the
+// capacity of the plan that the router makes.
 func (r *root) boundCommand() *ff.Command {
 	flags := ff.NewFlagSet("bound").SetParent(r.flags)
 	rate := flags.Float64Long("rate", 0, "answers a second that come, to say how many are in progress then")
@@ -43,7 +44,7 @@
 	}
 }
 
-// fleetFile is a cost model and a fleet.
+// fleetFile holds a cost model, and the number of engines by hall and accelerator.
 type fleetFile struct {
 	Engine *relay.Engine             `json:"engine"`
 	Halls  map[string]map[string]int `json:"halls"`
@@ -67,7 +68,7 @@
 	return f, nil
 }
 
-// targets returns the engines of a fleet, empty.
+// targets returns the engines of the fleet, without layers.
 func (f fleetFile) targets() []relay.Target {
 	var targets []relay.Target
 	for _, hall := range slices.Sorted(maps.Keys(f.Halls)) {
@@ -104,7 +105,7 @@
 	return t.Flush()
 }
 
-// planned returns engines with the layers that a plan gives them.
+// planned returns the targets with the layers that the plan assigns to them.
 func planned(e *relay.Engine, targets []relay.Target) []relay.Target {
 	held := slices.Clone(targets)
 	for _, a := range relay.Plan(e, targets) {
--- a/cmd/spoolbank/cmd/client.go
+++ b/cmd/spoolbank/cmd/client.go
@@ -11,15 +11,16 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// retryPause is the wait before the addresses are tried again.
+// retryPause is the wait between two attempts.
 const retryPause = 200 * time.Millisecond
 
-// attemptTime bounds one try at one address, beyond the wait asked for.
-const attemptTime = 3 * time.Second
+// attemptTimeout bounds one attempt at one address, in addition to the wait that the request
+// asks for.
+const attemptTimeout = 3 * time.Second
 
-// operate asks the VM that leads. It follows what other VMs say of it, and
-// sends the statement again after a lost answer: a command carries its number,
-// so that it takes effect once.
+// operate sends the request to the leader. It follows redirects from other VMs
+// and repeats the request if an answer is lost. A command carries a number, so
+// that it takes effect once.
 func (r *root) operate(ctx context.Context, request wire.OperateRequest) (core.Result, error) {
 	keys, err := r.keys()
 	if err != nil {
@@ -58,7 +59,7 @@
 	}
 }
 
-// withHint puts the leader's address first.
+// withHint returns the addresses with the leader's first.
 func withHint(addresses []string, leader string) []string {
 	if leader == "" {
 		return slices.Clone(addresses)
@@ -74,7 +75,7 @@
 
 func (r *root) ask(ctx context.Context, keys wire.Keys, address string, request wire.OperateRequest) (wire.OperateReply, error) {
 	wait := time.Duration(request.WaitMillis) * time.Millisecond
-	ctx, cancel := context.WithTimeout(ctx, attemptTime+wait)
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+wait)
 	defer cancel()
 	conn, err := keys.Dial(ctx, address)
 	if err != nil {
--- a/cmd/spoolbank/cmd/dump.go
+++ b/cmd/spoolbank/cmd/dump.go
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// addressOf finds the address of a VM by its name. An address stands for itself.
+// addressOf finds the address of a VM by its name. An address is returned as it is.
 func (r *root) addressOf(ctx context.Context, vm string) (string, error) {
 	if isAddress(vm) {
 		return vm, nil
--- a/cmd/spoolbank/cmd/help.go
+++ b/cmd/spoolbank/cmd/help.go
@@ -7,7 +7,7 @@
 	"github.com/peterbourgon/ff/v4"
 )
 
-// examples teaches the language.
+// examples is the output of the help command.
 const examples = `The language, by examples (send one with: spoolbank run STATEMENT)
 
   show targets                                  what there is
--- a/cmd/spoolbank/cmd/key.go
+++ b/cmd/spoolbank/cmd/key.go
@@ -22,13 +22,13 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// The lives of what `key` makes.
+// The validity periods of generated certificates.
 const (
-	authorityLife   = 10 * 365 * 24 * time.Hour
-	certificateLife = 365 * 24 * time.Hour
+	authorityValidity   = 10 * 365 * 24 * time.Hour
+	certificateValidity = 365 * 24 * time.Hour
 )
 
-// The files of the authority.
+// The files of the certificate authority.
 const (
 	authorityCertificate = "authority.pem"
 	authorityKey         = "authority-key.pem"
@@ -39,7 +39,7 @@
 	return err == nil
 }
 
-// keyCommand makes API keys' hashes and the files of mutual TLS.
+// keyCommand hashes API keys and generates the files for mutual TLS.
 func (r *root) keyCommand() *ff.Command {
 	flags := ff.NewFlagSet("key").SetParent(r.flags)
 	return &ff.Command{
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	template := newTemplate("spoolbank authority", authorityLife)
+	template := newTemplate("spoolbank authority", authorityValidity)
 	template.IsCA = true
 	template.BasicConstraintsValid = true
 	template.KeyUsage = x509.KeyUsageCertSign
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	template := newTemplate(name, certificateLife)
+	template := newTemplate(name, certificateValidity)
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
 	for _, text := range args[2:] {
@@ -107,7 +107,7 @@
 	return writePair(folder, name+".pem", name+"-key.pem", template, authority, key, signer)
 }
 
-func newTemplate(name string, life time.Duration) *x509.Certificate {
+func newTemplate(name string, validity time.Duration) *x509.Certificate {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
 		panic(err)
@@ -117,7 +117,7 @@
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-time.Hour),
-		NotAfter:     now.Add(life),
+		NotAfter:     now.Add(validity),
 	}
 }
 
@@ -150,7 +150,8 @@
 	return block.Bytes, nil
 }
 
-// writePair writes a certificate and its key, and overwrites neither.
+// writePair signs a certificate and writes it and its key. It does not overwrite existing
+// files.
 func writePair(folder, certificateFile, keyFile string, template, parent *x509.Certificate, key, signer *ecdsa.PrivateKey) error {
 	certificate, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, signer)
 	if err != nil {
--- a/cmd/spoolbank/cmd/log.go
+++ b/cmd/spoolbank/cmd/log.go
@@ -12,7 +12,7 @@
 	"github.com/spoolbank/spoolbank/internal/logreport"
 )
 
-// logCommand sums up the structured logs of entry VMs.
+// logCommand summarises the structured logs of VMs.
 func (r *root) logCommand() *ff.Command {
 	var b logreport.Bounds
 	flags := ff.NewFlagSet("log").SetParent(r.flags)
@@ -33,7 +33,7 @@
 	}
 }
 
-// log reads the files named, or standard input.
+// log reports on the named files, or on standard input if none is named.
 func (r *root) log(b logreport.Bounds, files []string) error {
 	report := logreport.New(b)
 	if len(files) == 0 {
--- a/cmd/spoolbank/cmd/policy.go
+++ b/cmd/spoolbank/cmd/policy.go
@@ -14,7 +14,7 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// policyCommand names the mechanisms of the decision logic.
+// policyCommand lists the mechanisms of the decision logic, or shows the policy of a VM.
 func (r *root) policyCommand() *ff.Command {
 	return &ff.Command{
 		Name:      "policy",
@@ -42,7 +42,7 @@
 	return t.Flush()
 }
 
-// showPolicy prints what differs from the default at a running VM.
+// showPolicy prints the switches of a running VM that differ from the default.
 func (r *root) showPolicy(ctx context.Context, vm string) error {
 	text, err := r.dumpOf(ctx, vm)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// dumpOf returns the state of a process as JSON.
+// dumpOf fetches the state of a process as JSON.
 func (r *root) dumpOf(ctx context.Context, vm string) ([]byte, error) {
 	keys, err := r.keys()
 	if err != nil {
--- a/cmd/spoolbank/cmd/print.go
+++ b/cmd/spoolbank/cmd/print.go
@@ -10,7 +10,7 @@
 	"github.com/spoolbank/spoolbank/internal/core"
 )
 
-// print shows a result, and returns an error for one that did not take effect.
+// print writes a result, and returns an error if the command did not take effect.
 func (r *root) print(c commandFlags, result core.Result) error {
 	if c.json {
 		encoder := json.NewEncoder(r.stdout)
--- a/cmd/spoolbank/cmd/root.go
+++ b/cmd/spoolbank/cmd/root.go
@@ -1,5 +1,5 @@
-// Package cmd is the command line of the operators' tool, with one file a
-// command.
+// Package cmd implements the command line of the operators' tool, with one file
+// per command.
 package cmd
 
 import (
@@ -18,11 +18,11 @@
 // The exit codes.
 const (
 	exitOK = 0
-	// exitFailed: the daemons could not be asked.
+	// exitFailed: a daemon could not be reached, or a file not be read or written.
 	exitFailed = 1
 	// exitUsage: the statement or the flags are wrong.
 	exitUsage = 2
-	// exitRefused: the command was decided and did not take effect.
+	// exitRefused: the command was decided on and did not take effect.
 	exitRefused = 3
 	// exitUnknown: it is not known whether the command took effect.
 	exitUnknown = 4
@@ -40,7 +40,7 @@
 // Unwrap returns the cause.
 func (e *exitError) Unwrap() error { return e.err }
 
-// root holds what all commands share.
+// root holds the streams and flags that all commands share.
 type root struct {
 	stdin  io.Reader
 	stdout io.Writer
--- a/cmd/spoolbank/cmd/run.go
+++ b/cmd/spoolbank/cmd/run.go
@@ -15,7 +15,7 @@
 	"github.com/spoolbank/spoolbank/query"
 )
 
-// commandFlags are the flags of whatever sends commands.
+// commandFlags are the flags of the subcommands that send statements.
 type commandFlags struct {
 	operator string
 	number   uint64
@@ -74,7 +74,7 @@
 	return r.print(c, result)
 }
 
-// showLocal asks each entry VM for what only it knows.
+// showLocal queries each entry VM for its own rows of a list and merges them.
 func (r *root) showLocal(ctx context.Context, c commandFlags, text string) error {
 	vms, err := r.operate(ctx, wire.OperateRequest{Text: "show vms where state != lost"})
 	if err != nil {
--- a/cmd/spoolbank/main.go
+++ b/cmd/spoolbank/main.go
@@ -1,4 +1,4 @@
-// Command spoolbank is the operators' tool of spoolbank.
+// Command spoolbank is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/spoolbankd/cmd/bootstrap.go
+++ b/cmd/spoolbankd/cmd/bootstrap.go
@@ -10,7 +10,7 @@
 	"github.com/spoolbank/spoolbank/settings"
 )
 
-// bootstrap prepares the data folder of a new cluster's first voter.
+// bootstrap initialises the data folder of the first voter of a new cluster.
 func bootstrap(s settings.Settings, stdout io.Writer) error {
 	if !s.HasRole(settings.RoleControl) {
 		return errors.New("bootstrap is for a control VM; use the settings of one")
--- a/cmd/spoolbankd/cmd/platform.go
+++ b/cmd/spoolbankd/cmd/platform.go
@@ -8,7 +8,7 @@
 	"github.com/spoolbank/spoolbank/settings"
 )
 
-// servePlatform runs the daemon on the users' platform until it ends.
+// servePlatform runs the daemon on the users' platform until it exits.
 func servePlatform(stdout io.Writer, policy settings.Policy) error {
 	log, flush := daemon.NewLogger(stdout)
 	defer flush()
--- a/cmd/spoolbankd/cmd/serve.go
+++ b/cmd/spoolbankd/cmd/serve.go
@@ -14,8 +14,8 @@
 	"github.com/spoolbank/spoolbank/settings"
 )
 
-// serve runs the daemon until it ends. The first signal asks for a planned
-// stop, the second ends it at once.
+// serve runs the daemon until it exits. The first SIGTERM or SIGINT starts a
+// planned stop, the second stops the daemon at once.
 func serve(s settings.Settings) error {
 	log, err := newLogger(s.LogLevel)
 	if err != nil {
--- a/cmd/spoolbench/cmd/report.go
+++ b/cmd/spoolbench/cmd/report.go
@@ -10,7 +10,7 @@
 	"github.com/spoolbank/spoolbank/internal/experiment"
 )
 
-// reportCommand compares what was played.
+// reportCommand compares the recorded runs of each policy with those of the default.
 func reportCommand(stdout io.Writer) *ff.Command {
 	flags := ff.NewFlagSet("report")
 	results := flags.StringLong("results", "results.jsonl", "file of runs")
--- a/cmd/spoolbench/cmd/root.go
+++ b/cmd/spoolbench/cmd/root.go
@@ -1,4 +1,4 @@
-// Package cmd is the command line of the experiment tool, with one file a command.
+// Package cmd implements the command line of the experiment tool, with one file per command.
 package cmd
 
 import (
@@ -21,7 +21,7 @@
 	exitUsage  = 2
 )
 
-// errUsage marks errors of the command line.
+// errUsage is wrapped by errors of the command line.
 var errUsage = errors.New("usage")
 
 // Main runs the tool and returns its exit code.
--- a/cmd/spoolbench/main.go
+++ b/cmd/spoolbench/main.go
@@ -1,4 +1,4 @@
-// Command spoolbench says what each mechanism of the decision logic is worth.
+// Command spoolbench measures the effect of each mechanism of the decision logic.
 package main
 
 import (
--- a/cmd/spoolfake/main.go
+++ b/cmd/spoolfake/main.go
@@ -1,5 +1,5 @@
-// Command spoolfake runs the stand-ins of the systems outside spoolbank, and
-// bursts of callers, for trials and the demo.
+// Command spoolfake runs fakes of the systems outside spoolbank, and a load
+// generator, for trials and the demo.
 package main
 
 import (
@@ -42,7 +42,7 @@
 	}
 }
 
-// serve serves until the process is asked to end.
+// serve serves HTTP until ctx is cancelled.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 	context.AfterFunc(ctx, func() { server.Close() })
@@ -94,19 +94,19 @@
 	}}
 }
 
-// loadFlags are the flags of a burst.
+// loadFlags are the flags of the load command.
 type loadFlags struct {
-	options load.Options
-	entries string
-	keys    int
-	layers  int
+	options       load.Options
+	entries       string
+	organisations int
+	layers        int
 }
 
 func loadCommand(parent *ff.FlagSet) *ff.Command {
 	var l loadFlags
 	flags := ff.NewFlagSet("load").SetParent(parent)
 	flags.StringVar(&l.entries, 0, "entries", "127.0.0.1:8001", "callers' addresses, with commas")
-	flags.IntVar(&l.keys, 0, "organisations", 10, "number of organisations, whose keys are key-0, key-1, ...")
+	flags.IntVar(&l.organisations, 0, "organisations", 10, "number of organisations, whose keys are key-0, key-1, ...")
 	flags.StringVar(&l.options.Pipeline, 0, "pipeline", "digest", "pipeline")
 	flags.IntVar(&l.options.Requests, 0, "requests", 500, "number of requests")
 	flags.DurationVar(&l.options.Spread, 0, "spread", time.Second, "time over which they arrive")
@@ -120,7 +120,7 @@
 
 func runLoad(ctx context.Context, l loadFlags) error {
 	l.options.Entries = strings.Split(l.entries, ",")
-	for i := range l.keys {
+	for i := range l.organisations {
 		l.options.Keys = append(l.options.Keys, fmt.Sprintf("key-%d", i))
 	}
 	l.options.Expected = func(prompt string) string {
