--- a/internal/fake/arithmetic.go
+++ b/internal/fake/arithmetic.go
@@ -1,6 +1,6 @@
-// Package fake holds stand-ins for the systems outside spoolbank: a model
+// Package fake implements fakes of the systems outside spoolbank: a model
 // engine, a plain service, the platform's list of VMs and a slow or severed
-// link. They speak the protocols of docs/TARGETS.md and nothing more.
+// link. They implement only the protocols of docs/TARGETS.md.
 package fake
 
 import (
@@ -12,15 +12,16 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// The fake model's arithmetic proves an answer. Each layer folds its number,
-// the position and its state into a digest, and the digest after the last
-// layer becomes the token. A layer that is skipped, doubled, run out of order
-// or on the wrong state changes every token that follows.
+// The arithmetic of the fake model makes answers verifiable. Each layer hashes
+// its number, the position and its state into a digest, and the digest after
+// the last layer determines the token. A layer that is skipped, run twice, out
+// of order or on the wrong state changes every later token.
 
-// vocabulary is the number of tokens; every stopEvery-th of them ends an answer.
+// vocabularySize is the number of tokens. A token ID that is divisible by stopEvery
+// ends an answer.
 const (
-	vocabulary = 50000
-	stopEvery  = 401
+	vocabularySize = 50000
+	stopEvery      = 401
 )
 
 // mix is one round of a 64-bit hash (the finaliser of splitmix64).
@@ -31,7 +32,7 @@
 	return z ^ z>>31
 }
 
-// cache is the state of a range of layers: one digest for each of them.
+// cache is the state of a range of layers, one digest per layer.
 type cache struct {
 	layers config.Range
 	state  []uint64
@@ -41,7 +42,7 @@
 	return cache{layers: layers, state: make([]uint64, layers.Len())}
 }
 
-// run takes one position through the range.
+// run runs one position through the range and returns its activation.
 func (c *cache) run(position int, activation uint64) uint64 {
 	for i := range c.state {
 		layer := uint64(c.layers.First + i)
@@ -52,8 +53,8 @@
 	return activation
 }
 
-// inputs returns the activations before the first layer.
-func inputs(prompt string) []uint64 {
+// promptActivations returns the activations of a prompt before the first layer, one per word.
+func promptActivations(prompt string) []uint64 {
 	words := strings.Fields(prompt)
 	if len(words) == 0 {
 		words = []string{""}
@@ -65,20 +66,21 @@
 	return activations
 }
 
-func inputOf(t core.Token) uint64 { return mix(uint64(t.ID), 1) }
+func tokenActivation(t core.Token) uint64 { return mix(uint64(t.ID), 1) }
 
-// tokenOf returns the token that the digest after the last layer stands for.
-func tokenOf(activation uint64) (core.Token, string) {
-	id := uint32(activation % vocabulary)
+// decodeToken returns the token for the digest after the last layer, and the finish
+// reason if it ends the answer.
+func decodeToken(activation uint64) (core.Token, string) {
+	id := uint32(activation % vocabularySize)
 	finish := ""
 	if id%stopEvery == 0 {
 		finish = core.FinishStop
 	}
-	return core.Token{ID: id, Text: wordOf(id)}, finish
+	return core.Token{ID: id, Text: tokenText(id)}, finish
 }
 
-// wordOf writes a token as syllables.
-func wordOf(id uint32) string {
+// tokenText returns the text of a token, three syllables.
+func tokenText(id uint32) string {
 	const consonants, vowels = "bdfgklmnprstvz", "aeiou"
 	var b strings.Builder
 	for range 3 {
@@ -91,19 +93,19 @@
 	return b.String()
 }
 
-// Expected returns the answer to a prompt: a pure function, whichever engines
-// have run it.
+// Expected returns the answer to a prompt. It depends only on its arguments, not
+// on the engines that run the layers.
 func Expected(prompt string, layers, maxTokens int) (text, finish string) {
 	c := newCache(config.Range{Last: layers})
 	var out strings.Builder
 	var last uint64
 	position := 0
-	for _, activation := range inputs(prompt) {
+	for _, activation := range promptActivations(prompt) {
 		last = c.run(position, activation)
 		position++
 	}
 	for count := 1; ; count++ {
-		token, finish := tokenOf(last)
+		token, finish := decodeToken(last)
 		out.WriteString(token.Text)
 		if finish != "" {
 			return out.String(), finish
@@ -111,7 +113,7 @@
 		if count >= maxTokens {
 			return out.String(), core.FinishLength
 		}
-		last = c.run(position, inputOf(token))
+		last = c.run(position, tokenActivation(token))
 		position++
 	}
 }
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -14,33 +14,33 @@
 // EngineOptions describe a fake engine.
 type EngineOptions struct {
 	Name string
-	// Speed is in layers times tokens a second, the whole batch together; 0
-	// takes no time.
+	// Speed is the throughput of the whole batch, in layers times tokens a
+	// second; 0 simulates no run time.
 	Speed float64
-	// Batch is how many positions it runs at a time.
+	// Batch is the number of runs that execute concurrently.
 	Batch int
-	// Slots is how many streams its memory holds.
+	// Slots is the number of streams that its memory holds.
 	Slots int
-	// Fence says that it checks the order's fence.
+	// Fence enables the check of the fence of placement orders.
 	Fence bool
-	// LoadTime is how long it takes to load a range.
+	// LoadTime is the time to load a range of layers.
 	LoadTime time.Duration
-	// ReportLag is how old its load reports are.
+	// ReportLag is the age that its load reports reach.
 	ReportLag time.Duration
 	// LinkDelay is added before each hop to the next engine.
 	LinkDelay time.Duration
-	// Hops carries what an engine says to another one; nil is HTTP.
+	// Hops carries messages between engines; nil uses HTTP.
 	Hops Hops
 }
 
-// Hops is the way from one engine to the next.
+// Hops sends messages from one engine to another.
 type Hops interface {
-	// Run hands activations on; Boundary asks for kept ones.
+	// Run forwards activations, Boundary fetches retained ones.
 	Run(ctx context.Context, to core.Stage, o target.RunOrder) (target.RunReply, error)
 	Boundary(ctx context.Context, to core.Stage, o target.BoundaryOrder) (target.BoundaryReply, error)
 }
 
-// httpHops is the way between engines that are processes.
+// httpHops connects engines in separate processes.
 type httpHops struct{ client *target.Client }
 
 // Run implements Hops.
@@ -53,53 +53,55 @@
 	return target.Post[target.BoundaryReply](ctx, h.client, to.Address, target.PathBoundary, o)
 }
 
-// prefillSpeedup is how much faster a position of a prompt is run.
+// prefillSpeedup is the speed of a position of a prompt relative to a generated one.
 const prefillSpeedup = 20
 
-// Engine is a fake model engine: it holds a range of layers, runs positions of
-// streams in order, once each, and hands its activations on.
+// Engine is a fake model engine. It holds a range of layers, runs each position of
+// a stream once and in order, and forwards the activations.
 type Engine struct {
 	options EngineOptions
-	// batch holds a token for each position that is being run.
+	// batch is a semaphore with one permit per concurrent run.
 	batch chan struct{}
 
-	mu      sync.Mutex
-	fence   core.Fence
-	holding target.PlaceOrder
-	streams map[core.RequestID]*engineStream
-	leaving bool
-	lagged  target.LoadReport
-	nextLag time.Time
-	audit   Audit
+	mu         sync.Mutex
+	fence      core.Fence
+	holding    target.PlaceOrder
+	streams    map[core.RequestID]*engineStream
+	leaving    bool
+	lastReport target.LoadReport
+	nextReport time.Time
+	audit      Audit
 }
 
-// Audit counts what an engine has done, for tests.
+// Audit counts the operations of an engine, for tests.
 type Audit struct {
-	// Runs counts layers times positions; Rebuilt those for a lost state.
+	// Runs and Rebuilt count layers times positions, Rebuilt those run to
+	// recompute state.
 	Runs    int `json:"runs"`
 	Rebuilt int `json:"rebuilt"`
-	// Repeats counts answers given again, Stale refusals of an older epoch.
+	// Repeats counts answers that were repeated from retained outputs, Stale
+	// refusals of runs with an older epoch.
 	Repeats int `json:"repeats"`
 	Stale   int `json:"stale"`
 	// Orders counts placement orders that were carried out, Late those that
-	// came after a later one and were refused.
+	// were refused because they arrived after a newer one.
 	Orders int `json:"orders"`
 	Late   int `json:"late"`
 }
 
-// engineStream is what an engine keeps of one stream.
+// engineStream is the state of one stream at an engine.
 type engineStream struct {
 	mu     sync.Mutex
 	epoch  core.Epoch
 	cache  cache
 	next   int
 	prompt int
-	// outputs are the activations after the range, by position.
+	// outputs holds the activations after the range, by position.
 	outputs  []uint64
 	released bool
 }
 
-// NewEngine returns an engine that holds nothing.
+// NewEngine returns an engine that holds no layers.
 func NewEngine(options EngineOptions) *Engine {
 	options.Batch = max(options.Batch, 1)
 	if options.Hops == nil {
@@ -116,10 +118,10 @@
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+target.PathRuns, func(w http.ResponseWriter, r *http.Request) { target.ServeRuns(w, r, e.Run) })
-	mux.HandleFunc("POST "+target.PathRebuild, handle(e.Rebuild))
-	mux.HandleFunc("POST "+target.PathBoundary, handle(e.Boundary))
-	mux.HandleFunc("POST "+target.PathRelease, handle(e.Release))
-	mux.HandleFunc("POST "+target.PathOrder, handle(e.Order))
+	mux.HandleFunc("POST "+target.PathRebuild, jsonHandler(e.Rebuild))
+	mux.HandleFunc("POST "+target.PathBoundary, jsonHandler(e.Boundary))
+	mux.HandleFunc("POST "+target.PathRelease, jsonHandler(e.Release))
+	mux.HandleFunc("POST "+target.PathOrder, jsonHandler(e.Order))
 	mux.HandleFunc("GET "+target.PathLoad, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Load()) })
 	mux.HandleFunc("GET /audit", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Audit()) })
 	mux.HandleFunc("POST /leave", func(w http.ResponseWriter, _ *http.Request) {
@@ -153,7 +155,7 @@
 	return busy
 }
 
-// Run runs positions of a stream on this engine and the ones after it.
+// Run runs positions of a stream on this engine and on the later engines of the chain.
 func (e *Engine) Run(ctx context.Context, o target.RunOrder) target.RunReply {
 	began := time.Now()
 	stage := o.Chain[0]
@@ -168,15 +170,16 @@
 	load := e.Load()
 	part := load.Busy * 1000 / max(load.Slots, 1)
 	if len(o.Chain) == 1 {
-		token, finish := tokenOf(outputs[len(outputs)-1])
+		token, finish := decodeToken(outputs[len(outputs)-1])
 		return target.RunReply{Result: core.ResultDone, Next: o.Position + len(outputs), Token: token, Finish: finish, Load: part}
 	}
-	reply := e.handOn(ctx, o, outputs, time.Since(began))
+	reply := e.forward(ctx, o, outputs, time.Since(began))
 	reply.Load = max(reply.Load, part)
 	return reply
 }
 
-// streamFor finds or makes the stream's state, and says why it can't.
+// streamFor returns the stream's state and creates it if needed. It returns nil
+// and the reason as a result if the run is refused.
 func (e *Engine) streamFor(o target.RunOrder, stage core.Stage) (*engineStream, core.RunResult) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -201,7 +204,7 @@
 	return s, core.ResultDone
 }
 
-// advance runs the positions that are next, or repeats kept ones.
+// advance runs the next positions, or returns the retained outputs of earlier ones.
 func (e *Engine) advance(ctx context.Context, s *engineStream, o target.RunOrder) ([]uint64, core.RunResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,31 +222,32 @@
 	in := o.Activations
 	switch {
 	case o.Prompt != "":
-		in = inputs(o.Prompt)
+		in = promptActivations(o.Prompt)
 	case o.Token != nil:
-		in = []uint64{inputOf(*o.Token)}
+		in = []uint64{tokenActivation(*o.Token)}
 	}
-	if !e.spend(ctx, len(in)*s.cache.layers.Len(), o.Position == 0) {
+	if !e.simulateWork(ctx, len(in)*s.cache.layers.Len(), o.Position == 0) {
 		return nil, core.ResultBroken
 	}
 	if o.Position == 0 {
 		s.prompt = len(in)
 	}
-	e.take(s, in)
+	e.runInputs(s, in)
 	e.count(func(a *Audit) { a.Runs += len(in) * s.cache.layers.Len() })
 	return s.outputs[o.Position:], core.ResultDone
 }
 
-// take runs inputs at the stream's next positions.
-func (e *Engine) take(s *engineStream, in []uint64) {
+// runInputs runs inputs at the stream's next positions and retains the outputs.
+func (e *Engine) runInputs(s *engineStream, in []uint64) {
 	for _, activation := range in {
 		s.outputs = append(s.outputs, s.cache.run(s.next, activation))
 		s.next++
 	}
 }
 
-// spend takes the time that so many layers times positions cost.
-func (e *Engine) spend(ctx context.Context, work int, prefill bool) bool {
+// simulateWork occupies the batch for the time that work, in layers times positions, takes.
+// It reports false if ctx ends first.
+func (e *Engine) simulateWork(ctx context.Context, work int, prefill bool) bool {
 	if e.options.Speed == 0 {
 		return true
 	}
@@ -274,10 +278,10 @@
 	}
 }
 
-// handOn gives the activations to the next stage. Each hop waits a little less
-// than the one before, so that the stage that is named as broken is the one
-// that did not answer.
-func (e *Engine) handOn(ctx context.Context, o target.RunOrder, outputs []uint64, spent time.Duration) target.RunReply {
+// forward forwards the activations to the next stage. The timeout of each hop is a
+// little shorter than that of the hop before, so that the stage reported as broken
+// is the one that did not answer.
+func (e *Engine) forward(ctx context.Context, o target.RunOrder, outputs []uint64, spent time.Duration) target.RunReply {
 	next := o.Chain[1]
 	silence := time.Duration(o.SilenceMillis)*time.Millisecond - spent
 	silence = silence * 9 / 10
@@ -294,7 +298,7 @@
 	return reply
 }
 
-// Rebuild makes the state of a range anew.
+// Rebuild recomputes the state of a range.
 func (e *Engine) Rebuild(ctx context.Context, o target.RebuildOrder) target.RebuildReply {
 	in, result, failed := e.rebuildInputs(ctx, o)
 	if result != core.ResultDone {
@@ -311,22 +315,23 @@
 	}
 	s := &engineStream{epoch: o.Epoch, cache: newCache(o.Stage.Layers), prompt: len(in)}
 	if o.Prompt != "" {
-		s.prompt = len(inputs(o.Prompt))
+		s.prompt = len(promptActivations(o.Prompt))
 	}
-	e.take(s, in)
+	e.runInputs(s, in)
 	e.streams[o.Stream] = s
 	e.audit.Rebuilt += len(in) * o.Stage.Layers.Len()
 	return target.RebuildReply{Result: core.ResultDone, Target: o.Stage.Target}
 }
 
-// rebuildInputs gathers what goes into the range, and says who lacks it.
+// rebuildInputs returns the activations that enter the range. If it fails, it returns
+// the result and the target at fault.
 func (e *Engine) rebuildInputs(ctx context.Context, o target.RebuildOrder) ([]uint64, core.RunResult, string) {
 	if o.Source == nil {
-		in := inputs(o.Prompt)
+		in := promptActivations(o.Prompt)
 		for _, t := range o.Tokens {
-			in = append(in, inputOf(t))
+			in = append(in, tokenActivation(t))
 		}
-		return e.spendRebuild(ctx, o, in)
+		return e.simulateRebuild(ctx, o, in)
 	}
 	reply, err := e.options.Hops.Boundary(ctx, *o.Source,
 		target.BoundaryOrder{Stream: o.Stream, Epoch: o.Epoch, Layers: o.Source.Layers, To: o.Position})
@@ -336,17 +341,17 @@
 	if reply.Result != core.ResultDone {
 		return nil, reply.Result, o.Source.Target
 	}
-	return e.spendRebuild(ctx, o, reply.Activations)
+	return e.simulateRebuild(ctx, o, reply.Activations)
 }
 
-func (e *Engine) spendRebuild(ctx context.Context, o target.RebuildOrder, in []uint64) ([]uint64, core.RunResult, string) {
-	if !e.spend(ctx, len(in)*o.Stage.Layers.Len(), true) {
+func (e *Engine) simulateRebuild(ctx context.Context, o target.RebuildOrder, in []uint64) ([]uint64, core.RunResult, string) {
+	if !e.simulateWork(ctx, len(in)*o.Stage.Layers.Len(), true) {
 		return nil, core.ResultBroken, o.Stage.Target
 	}
 	return in, core.ResultDone, o.Stage.Target
 }
 
-// Boundary gives the activations that were kept after a range.
+// Boundary returns the activations that were retained after a range.
 func (e *Engine) Boundary(_ context.Context, o target.BoundaryOrder) target.BoundaryReply {
 	e.mu.Lock()
 	s, ok := e.streams[o.Stream]
@@ -369,8 +374,8 @@
 	return target.BoundaryReply{Result: core.ResultDone, Activations: s.outputs[:o.To]}
 }
 
-// Release drops a stream. Its epoch stays known, so that a run that is late
-// does not begin it anew.
+// Release drops the state of a stream. Its epoch is retained, so that a late run
+// of an older epoch does not start the stream again.
 func (e *Engine) Release(_ context.Context, o target.ReleaseOrder) struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -382,11 +387,11 @@
 	return struct{}{}
 }
 
-// Order takes a placement order.
+// Order carries out a placement order.
 func (e *Engine) Order(ctx context.Context, o target.PlaceOrder) target.PlaceReply {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(o.LifeMillis)*time.Millisecond)
 	defer cancel()
-	if r := e.mayPlace(o); r != target.OrderDone {
+	if r := e.checkOrder(o); r != target.OrderDone {
 		return target.PlaceReply{Result: r}
 	}
 	if !pause(ctx, e.options.LoadTime) {
@@ -400,8 +405,8 @@
 	return target.PlaceReply{Result: target.OrderDone}
 }
 
-// mayPlace checks the fence, and whether streams still need what is held.
-func (e *Engine) mayPlace(o target.PlaceOrder) target.OrderResult {
+// checkOrder checks the fence, and refuses to replace layers that streams still use.
+func (e *Engine) checkOrder(o target.PlaceOrder) target.OrderResult {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	older := o.Fence.Term < e.fence.Term || o.Fence.Term == e.fence.Term && o.Fence.Sequence < e.fence.Sequence
@@ -416,15 +421,15 @@
 	return target.OrderDone
 }
 
-// Load returns the report, as old as ReportLag says.
+// Load returns the load report, whose counts are refreshed every ReportLag.
 func (e *Engine) Load() target.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now := time.Now(); !now.Before(e.nextLag) {
-		e.nextLag = now.Add(e.options.ReportLag)
-		e.lagged = target.LoadReport{Busy: e.busy(), Slots: e.options.Slots}
+	if now := time.Now(); !now.Before(e.nextReport) {
+		e.nextReport = now.Add(e.options.ReportLag)
+		e.lastReport = target.LoadReport{Busy: e.busy(), Slots: e.options.Slots}
 	}
-	report := e.lagged
+	report := e.lastReport
 	report.Leaving = e.leaving
 	report.Holding = e.fence.Sequence
 	return report
--- a/internal/fake/service.go
+++ b/internal/fake/service.go
@@ -15,8 +15,8 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// handle serves one JSON message.
-func handle[In, Out any](f func(context.Context, In) Out) http.HandlerFunc {
+// jsonHandler returns a handler that decodes a JSON request and encodes the answer of f.
+func jsonHandler[In, Out any](f func(context.Context, In) Out) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in In
 		if err := json.NewDecoder(r.Body).Decode(&in); err != nil {
@@ -36,27 +36,28 @@
 type ServiceOptions struct {
 	Name  string
 	Slots int
-	// Delay is how long a call takes.
+	// Delay is the duration of a call.
 	Delay time.Duration
-	// Backoff is what a runner without room asks for; zero for none.
+	// Backoff is the Retry-After sent when all slots are busy; 0 sends none.
 	Backoff time.Duration
-	// Limit is the calls a second that it names with each answer; 0 for none.
+	// Limit is the rate limit, in calls a second, sent with each answer; 0 sends none.
 	Limit float64
 }
 
-// Service is a fake runner: it counts how often each identity was run.
+// Service is a fake runner of a plain service. It counts the runs of each identity, which is
+// the idempotency key of a call.
 type Service struct {
 	options ServiceOptions
 	mu      sync.Mutex
 	busy    int
 	runs    map[string]int
 	leaving bool
-	// arrivals are when calls have reached the runner in the last limitSpan.
+	// arrivals holds the arrival times of calls in the last rateWindow.
 	arrivals []time.Time
 	load     CallLoad
 }
 
-// NewService returns a runner.
+// NewService returns an idle runner.
 func NewService(options ServiceOptions) *Service {
 	return &Service{options: options, runs: make(map[string]int)}
 }
@@ -66,7 +67,7 @@
 	Runner string `json:"runner"`
 	Method string `json:"method"`
 	Path   string `json:"path"`
-	// Run says how often this runner has run the identity.
+	// Run is the number of times that this runner has run the identity.
 	Run  int    `json:"run"`
 	Echo string `json:"echo"`
 }
@@ -85,7 +86,7 @@
 	return mux
 }
 
-// Runs returns how often each identity that changes something was run.
+// Runs returns the number of runs of each identity, without GET calls.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +103,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.nameLimit(w)
+	s.recordCall(w)
 	run, ok := s.begin(r)
 	if !ok {
 		w.Header().Set(target.HeaderNotRun, "no room")
@@ -117,23 +118,24 @@
 	writeJSON(w, serviceAnswer{Runner: s.options.Name, Method: r.Method, Path: r.URL.RequestURI(), Run: run, Echo: string(body)})
 }
 
-// SetLimit changes the calls a second that the runner names; 0 has it name none.
+// SetLimit changes the rate limit that the runner sends, in calls a second; 0 sends none.
 func (s *Service) SetLimit(perSecond float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.options.Limit = perSecond
 }
 
-// limitSpan is the time over which calls are counted.
-const limitSpan = 4 * time.Second
+// rateWindow is the sliding window over which calls are counted.
+const rateWindow = 4 * time.Second
 
-// CallLoad is how many calls have reached a runner, in all and at the most within limitSpan.
+// CallLoad is the number of calls that have reached a runner, in total and at most within
+// rateWindow.
 type CallLoad struct {
 	Calls int `json:"calls"`
 	Most  int `json:"most_in_4s"`
 }
 
-// TakeLoad returns what has reached the runner since it was last called.
+// TakeLoad returns the calls since it was last called, and resets the counts.
 func (s *Service) TakeLoad() CallLoad {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,12 +144,12 @@
 	return load
 }
 
-// nameLimit notes a call, and names the limit that there is.
-func (s *Service) nameLimit(w http.ResponseWriter) {
+// recordCall records a call and sets the header of the rate limit, if there is one.
+func (s *Service) recordCall(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.arrivals = slices.DeleteFunc(append(s.arrivals, now), func(at time.Time) bool { return at.Before(now.Add(-limitSpan)) })
+	s.arrivals = slices.DeleteFunc(append(s.arrivals, now), func(at time.Time) bool { return at.Before(now.Add(-rateWindow)) })
 	s.load.Calls++
 	s.load.Most = max(s.load.Most, len(s.arrivals))
 	if s.options.Limit > 0 {
@@ -185,8 +187,8 @@
 // NewPlatform returns a list on which no VM is leaving.
 func NewPlatform() *Platform { return &Platform{leaving: make(map[string]bool)} }
 
-// Handler returns the platform's HTTP interface; POST /leave?vm=NAME puts a VM
-// on the list.
+// Handler returns the platform's HTTP interface. POST /leave?vm=NAME lists a VM
+// as leaving.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+target.PathVMs, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, p.list()) })
@@ -209,7 +211,7 @@
 	return list
 }
 
-// Relay is a link that can be slowed and severed.
+// Relay is a TCP proxy that can be slowed, severed and silenced.
 type Relay struct {
 	listener net.Listener
 	to       string
@@ -217,11 +219,11 @@
 	delay    time.Duration
 	severed  bool
 	open     map[net.Conn]bool
-	// epoch counts the calls of Silence, joined the connections that were passed on.
-	epoch, joined int
+	// epoch counts the calls of Silence, proxied the connections so far.
+	epoch, proxied int
 }
 
-// NewRelay listens at an address and passes all on to another.
+// NewRelay listens at an address and forwards connections to another.
 func NewRelay(listen, to string) (*Relay, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -235,14 +237,14 @@
 // Address returns where the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Slow sets the delay of every piece that passes.
+// Slow sets the delay before each chunk of data is forwarded.
 func (r *Relay) Slow(delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = delay
 }
 
-// Sever cuts all connections and lets none through, or mends the link.
+// Sever closes all connections and rejects new ones, or restores the link.
 func (r *Relay) Sever(severed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -254,22 +256,22 @@
 	}
 }
 
-// Silence makes all open connections fall silent for good: what comes on them is read and
-// dropped, both ways, and neither end learns that the other has left. New ones work.
+// Silence makes all open connections drop data for good: it is read and discarded in both
+// directions, and neither end learns that the other has closed. New connections work.
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.epoch++
 }
 
-// Joined returns how many connections have been passed on so far.
+// Joined returns the number of connections that have been proxied so far.
 func (r *Relay) Joined() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.joined
+	return r.proxied
 }
 
-// Close ends the relay.
+// Close stops the relay and closes all connections.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.Sever(true)
@@ -281,51 +283,51 @@
 		if err != nil {
 			return
 		}
-		go r.pass(c)
+		go r.proxy(c)
 	}
 }
 
-func (r *Relay) pass(c net.Conn) {
+func (r *Relay) proxy(c net.Conn) {
 	defer c.Close()
-	if !r.add(c) {
+	if !r.track(c) {
 		return
 	}
-	defer r.remove(c)
+	defer r.untrack(c)
 	out, err := net.Dial("tcp", r.to)
 	if err != nil {
 		return
 	}
 	defer out.Close()
-	if !r.add(out) {
+	if !r.track(out) {
 		return
 	}
-	defer r.remove(out)
-	epoch := r.join()
+	defer r.untrack(out)
+	epoch := r.countConnection()
 	done := make(chan struct{})
 	go func() {
-		r.copy(c, out, epoch)
+		r.forward(c, out, epoch)
 		close(done)
 	}()
-	r.copy(out, c, epoch)
+	r.forward(out, c, epoch)
 	<-done
 }
 
-// join counts a connection that is passed on, and returns the epoch that it belongs to.
-func (r *Relay) join() int {
+// countConnection counts a proxied connection and returns its epoch.
+func (r *Relay) countConnection() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.joined++
+	r.proxied++
 	return r.epoch
 }
 
-// silent reports whether the connections of an epoch have fallen silent.
-func (r *Relay) silent(epoch int) bool {
+// isSilent reports whether the connections of an epoch drop data.
+func (r *Relay) isSilent(epoch int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return epoch != r.epoch
 }
 
-func (r *Relay) add(c net.Conn) bool {
+func (r *Relay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.severed {
@@ -335,18 +337,18 @@
 	return true
 }
 
-func (r *Relay) remove(c net.Conn) {
+func (r *Relay) untrack(c net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.open, c)
 }
 
-func (r *Relay) copy(to, from net.Conn, epoch int) {
+func (r *Relay) forward(to, from net.Conn, epoch int) {
 	defer from.Close()
 	buffer := make([]byte, 64<<10)
 	for {
 		count, err := from.Read(buffer)
-		if r.silent(epoch) {
+		if r.isSilent(epoch) {
 			if err != nil {
 				return
 			}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
-// Package load sends bursts of requests to a deployment, as the callers of
-// spoolbank do, and checks every answer. A caller asks any entry VM for the
-// addresses to use, connects to the first, streams its answer, and, when it is
-// cut off, comes back to the next address for the rest.
+// Package load generates bursts of requests to a deployment, as the callers of
+// spoolbank do, and checks every answer. A caller gets the list of addresses from
+// any entry VM, streams its answer from one of them and, if the connection breaks,
+// resumes at the next address.
 package load
 
 import (
@@ -20,9 +20,9 @@
 	"github.com/google/uuid"
 )
 
-// Options describe a burst.
+// Options configures a burst.
 type Options struct {
-	// Entries are callers' addresses to begin with.
+	// Entries are the initial addresses for callers.
 	Entries []string
 	// Keys are the API keys of the organisations, used in turn.
 	Keys     []string
@@ -31,13 +31,13 @@
 	// Spread is the time over which the requests arrive.
 	Spread    time.Duration
 	MaxTokens int
-	// Patience is how long a caller goes on trying.
+	// Patience is how long a caller retries.
 	Patience time.Duration
-	// Expected returns the right answer to a prompt.
+	// Expected returns the correct answer to a prompt.
 	Expected func(prompt string) string
 }
 
-// Report is the outcome of a burst.
+// Report is the result of a burst.
 type Report struct {
 	Asked   int
 	Whole   int
@@ -45,36 +45,36 @@
 	Lost    int
 	Doubled int
 	Wrong   int
-	// Resumed counts answers that went on at another entry VM or connection.
+	// Resumed counts answers that were resumed at another entry VM or connection.
 	Resumed int
 	Tokens  int
 	Took    time.Duration
-	// First and Gap are the times to the first token and between tokens.
+	// First and Gap are the times to the first token and between tokens, in microseconds.
 	First *hdrhistogram.Histogram
 	Gap   *hdrhistogram.Histogram
 	// Refusals counts refusals by kind.
 	Refusals map[string]int
-	// Faults holds the first few things that went wrong.
+	// Faults describes the first errors, up to maxFaults.
 	Faults []string
 }
 
-// histogramMost bounds the times that are kept, in microseconds.
-const histogramMost = 120_000_000
+// maxHistogramMicros bounds the recorded times, in microseconds.
+const maxHistogramMicros = 120_000_000
 
 // maxFaults bounds Report.Faults.
 const maxFaults = 10
 
-// burst is a burst under way.
+// burst is a burst in progress.
 type burst struct {
-	options Options
-	client  *http.Client
-	mu      sync.Mutex
-	report  Report
-	entries []string
-	askAt   time.Time
+	options   Options
+	client    *http.Client
+	mu        sync.Mutex
+	report    Report
+	entries   []string
+	refreshAt time.Time
 }
 
-// Run sends the burst and waits for its end.
+// Run sends the burst and waits until every request has ended.
 func Run(ctx context.Context, o Options) Report {
 	b := &burst{options: o, entries: o.Entries, client: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 2000,
@@ -82,7 +82,7 @@
 	}}}
 	b.report = Report{
 		Asked: o.Requests, Refusals: make(map[string]int),
-		First: hdrhistogram.New(1, histogramMost, 3), Gap: hdrhistogram.New(1, histogramMost, 3),
+		First: hdrhistogram.New(1, maxHistogramMicros, 3), Gap: hdrhistogram.New(1, maxHistogramMicros, 3),
 	}
 	began := time.Now()
 	var wait sync.WaitGroup
@@ -93,7 +93,7 @@
 			defer timer.Stop()
 			select {
 			case <-timer.C:
-				b.one(ctx, i)
+				b.runCaller(ctx, i)
 			case <-ctx.Done():
 			}
 		})
@@ -103,8 +103,8 @@
 	return b.report
 }
 
-// attempt is what one caller has of its answer.
-type attempt struct {
+// callerState is the state of one caller and its partial answer.
+type callerState struct {
 	key     string
 	id      string
 	prompt  string
@@ -116,7 +116,7 @@
 	done    bool
 }
 
-// refusedError is a final answer that is not the one asked for.
+// refusedError is an error answer, sent in place of a stream or within it.
 type refusedError struct {
 	kind    string
 	ran     string
@@ -126,14 +126,14 @@
 // Error implements error.
 func (e *refusedError) Error() string { return e.kind + " (ran: " + e.ran + ")" }
 
-// errDoubled and errCut are what can go wrong with a stream of events.
+// The failures of a stream of events.
 var (
-	errDoubled = errors.New("a token came twice or out of order")
-	errCut     = errors.New("the connection was cut")
+	errOutOfOrder = errors.New("a token came twice or out of order")
+	errCut        = errors.New("the connection was cut")
 )
 
-func (b *burst) one(ctx context.Context, i int) {
-	a := &attempt{
+func (b *burst) runCaller(ctx context.Context, i int) {
+	a := &callerState{
 		key:    b.options.Keys[i%len(b.options.Keys)],
 		id:     uuid.NewString(),
 		prompt: fmt.Sprintf("caller %d asks about item %d of the day", i, i*7919),
@@ -147,30 +147,30 @@
 		var refused *refusedError
 		switch {
 		case last == nil:
-			b.judge(a)
+			b.checkAnswer(a)
 			return
-		case errors.Is(last, errDoubled):
-			b.fault(a, last)
-			b.add(func(r *Report) { r.Doubled++ })
+		case errors.Is(last, errOutOfOrder):
+			b.recordFault(a, last)
+			b.update(func(r *Report) { r.Doubled++ })
 			return
 		case errors.As(last, &refused) && (refused.ran != "no" && refused.kind != "taken_over"):
-			b.refuse(a, refused)
+			b.recordRefusal(a, refused)
 			return
 		case errors.As(last, &refused):
 			b.pause(ctx, time.Until(refused.retryAt))
 		default:
-			b.forget()
+			b.expireEntries()
 			b.pause(ctx, 50*time.Millisecond)
 		}
 		a.resumed = a.resumed || a.count > 0
 	}
 	var refused *refusedError
 	if errors.As(last, &refused) && a.count == 0 {
-		b.refuse(a, refused)
+		b.recordRefusal(a, refused)
 		return
 	}
-	b.fault(a, last)
-	b.add(func(r *Report) { r.Lost++ })
+	b.recordFault(a, last)
+	b.update(func(r *Report) { r.Lost++ })
 }
 
 func (b *burst) pause(ctx context.Context, d time.Duration) {
@@ -182,39 +182,39 @@
 	}
 }
 
-func (b *burst) add(f func(*Report)) {
+func (b *burst) update(f func(*Report)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f(&b.report)
 }
 
-func (b *burst) refuse(a *attempt, e *refusedError) {
-	b.add(func(r *Report) {
+func (b *burst) recordRefusal(a *callerState, e *refusedError) {
+	b.update(func(r *Report) {
 		r.Refused++
 		r.Refusals[e.kind]++
 		if a.count > 0 {
-			// The caller has a part of an answer and will get no more.
+			// The caller has a partial answer and cannot get the rest.
 			r.Lost++
 			r.Refused--
 		}
 	})
 }
 
-func (b *burst) fault(a *attempt, err error) {
-	b.add(func(r *Report) {
+func (b *burst) recordFault(a *callerState, err error) {
+	b.update(func(r *Report) {
 		if len(r.Faults) < maxFaults {
 			r.Faults = append(r.Faults, fmt.Sprintf("%s after %d tokens: %v", a.id, a.count, err))
 		}
 	})
 }
 
-// judge compares a whole answer with the right one.
-func (b *burst) judge(a *attempt) {
+// checkAnswer compares a complete answer with the expected one.
+func (b *burst) checkAnswer(a *callerState) {
 	right := b.options.Expected(a.prompt) == a.text.String()
 	if !right {
-		b.fault(a, fmt.Errorf("wrong text %q", a.text.String()))
+		b.recordFault(a, fmt.Errorf("wrong text %q", a.text.String()))
 	}
-	b.add(func(r *Report) {
+	b.update(func(r *Report) {
 		r.Tokens += a.count
 		if a.resumed {
 			r.Resumed++
@@ -235,20 +235,20 @@
 	KeepUntil time.Time `json:"keep_until"`
 }
 
-// entry returns the address to use, and asks for the list when it is old.
+// entry returns the address to use. It refreshes the list of addresses when it has expired.
 func (b *burst) entry(ctx context.Context, turn int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if time.Now().After(b.askAt) {
+	if time.Now().After(b.refreshAt) {
 		b.refresh(ctx)
 	}
 	return b.entries[turn%len(b.entries)]
 }
 
-// refresh asks the known addresses in turn.
+// refresh fetches the list of addresses from the first known address that answers.
 func (b *burst) refresh(ctx context.Context) {
 	for _, address := range append(b.entries, b.options.Entries...) {
-		reply, err := b.list(ctx, address)
+		reply, err := b.fetchEntries(ctx, address)
 		if err != nil || len(reply.Entries) == 0 {
 			continue
 		}
@@ -256,12 +256,12 @@
 		for _, e := range reply.Entries {
 			b.entries = append(b.entries, e.Callers)
 		}
-		b.askAt = reply.KeepUntil
+		b.refreshAt = reply.KeepUntil
 		return
 	}
 }
 
-func (b *burst) list(ctx context.Context, address string) (entriesReply, error) {
+func (b *burst) fetchEntries(ctx context.Context, address string) (entriesReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	var reply entriesReply
@@ -277,14 +277,14 @@
 	return reply, json.NewDecoder(response.Body).Decode(&reply)
 }
 
-// forget has the list asked for anew after an address has failed.
-func (b *burst) forget() {
+// expireEntries expires the list of addresses, after one of them has failed.
+func (b *burst) expireEntries() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.askAt = time.Time{}
+	b.refreshAt = time.Time{}
 }
 
-// chunk is one event of a streamed completion, or an error.
+// chunk is one event of a streamed completion, or an error answer.
 type chunk struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -301,8 +301,8 @@
 	return &refusedError{kind: c.Error.Type, ran: c.Error.Ran, retryAt: c.Error.RetryAt}
 }
 
-// ask sends the request to an address and reads what comes.
-func (b *burst) ask(ctx context.Context, a *attempt, address string) error {
+// ask sends the request to an address and reads the answer.
+func (b *burst) ask(ctx context.Context, a *callerState, address string) error {
 	body, err := json.Marshal(struct {
 		Model     string `json:"model"`
 		Prompt    string `json:"prompt"`
@@ -333,11 +333,11 @@
 		}
 		return c.refusal()
 	}
-	return b.read(a, bufio.NewScanner(response.Body))
+	return b.readEvents(a, bufio.NewScanner(response.Body))
 }
 
-// read takes the events of a stream.
-func (b *burst) read(a *attempt, lines *bufio.Scanner) error {
+// readEvents processes the events of a stream.
+func (b *burst) readEvents(a *callerState, lines *bufio.Scanner) error {
 	id := 0
 	for lines.Scan() {
 		line := lines.Text()
@@ -355,14 +355,14 @@
 			}
 			return nil
 		}
-		if err := b.event(a, id, data); err != nil {
+		if err := b.handleEvent(a, id, data); err != nil {
 			return err
 		}
 	}
 	return errCut
 }
 
-func (b *burst) event(a *attempt, id int, data string) error {
+func (b *burst) handleEvent(a *callerState, id int, data string) error {
 	var c chunk
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
 		return err
@@ -375,20 +375,20 @@
 		return nil
 	}
 	if id != a.count+1 {
-		return errDoubled
+		return errOutOfOrder
 	}
 	a.count++
 	a.text.WriteString(c.Choices[0].Text)
-	b.time(a)
+	b.recordLatency(a)
 	return nil
 }
 
-// time notes the time that a token took.
-func (b *burst) time(a *attempt) {
+// recordLatency records the latency of a token.
+func (b *burst) recordLatency(a *callerState) {
 	now := time.Now()
 	micros := now.Sub(a.last).Microseconds()
 	a.last = now
-	b.add(func(r *Report) {
+	b.update(func(r *Report) {
 		if a.count == 1 {
 			_ = r.First.RecordValue(max(micros, 1))
 			return
