--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -12,20 +12,21 @@
 )
 
 var (
-	named    = regexp.MustCompile("`(Test[A-Z][A-Za-z0-9]*)`")
-	declared = regexp.MustCompile(`(?m)^func (Test[A-Z][A-Za-z0-9]*)\(`)
+	citedTest    = regexp.MustCompile("`(Test[A-Z][A-Za-z0-9]*)`")
+	declaredTest = regexp.MustCompile(`(?m)^func (Test[A-Z][A-Za-z0-9]*)\(`)
 )
 
-// The pages name tests as proofs: one that is gone proves nothing.
-func TestPagesNameTestsThatStand(t *testing.T) {
-	stand := matches(t, "..", "_test.go", declared)
-	for test, page := range matches(t, ".", ".md", named) {
-		require.Contains(t, stand, test, "%s names it", page)
+// The pages cite tests as evidence, so each cited test must exist.
+func TestPagesNameExistingTests(t *testing.T) {
+	existing := findAll(t, "..", "_test.go", declaredTest)
+	for test, page := range findAll(t, ".", ".md", citedTest) {
+		require.Contains(t, existing, test, "%s names it", page)
 	}
 }
 
-// matches returns what an expression finds in files below a folder, each with a file that has it.
-func matches(t *testing.T, folder, suffix string, e *regexp.Regexp) map[string]string {
+// findAll returns the first submatches of an expression in files below a folder, each with a
+// file that contains it.
+func findAll(t *testing.T, folder, suffix string, e *regexp.Regexp) map[string]string {
 	t.Helper()
 	found := make(map[string]string)
 	require.NoError(t, filepath.WalkDir(folder, func(path string, _ fs.DirEntry, err error) error {
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -14,27 +14,27 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Comparison is what switching a policy on brought at a site: the mean of the paired
-// differences of worth, policy less base.
+// Comparison is the effect of a policy at a site: the mean of the paired differences in
+// worth, policy minus base.
 type Comparison struct {
 	Policy, Site string
 	Days         int
 	Difference   float64
-	// StandardError is that of Difference; Low and High are the bounds of its 95 %
-	// bootstrap interval.
+	// StandardError is the standard error of Difference. Low and High are the bounds of its
+	// 95 % bootstrap interval.
 	StandardError, Low, High float64
-	// Broken counts the days with a broken rule under the policy.
+	// Broken counts the days on which a rule was broken under the policy.
 	Broken int
 }
 
 // WithinSpread reports whether the difference is smaller than twice its standard error,
-// or its interval holds zero.
+// or its interval contains zero.
 func (c Comparison) WithinSpread() bool {
 	return math.Abs(c.Difference) < 2*c.StandardError || c.Low <= 0 && c.High >= 0
 }
 
-// pairsLeast is the number of days below which no spread can be told.
-const pairsLeast = 3
+// minPairs is the fewest days that are compared. Fewer give no estimate of the spread.
+const minPairs = 3
 
 // Compare pairs the runs of each policy with those of the base.
 func Compare(runs []Run) []Comparison {
@@ -61,7 +61,7 @@
 	}
 	var out []Comparison
 	for group, d := range differences {
-		if len(d) >= pairsLeast {
+		if len(d) >= minPairs {
 			c := compare(d)
 			c.Policy, c.Site, c.Broken = group[0], group[1], broken[group]
 			out = append(out, c)
@@ -74,27 +74,27 @@
 }
 
 const (
-	// resamples is the number of bootstrap samples, intervalShare the part of them that
-	// the interval holds.
-	resamples     = 4000
-	intervalShare = 0.95
+	// resamples is the number of bootstrap samples, confidenceLevel the fraction of them that
+	// the interval contains.
+	resamples       = 4000
+	confidenceLevel = 0.95
 )
 
 func compare(d []float64) Comparison {
 	mean, deviation := stat.MeanStdDev(d, nil)
 	c := Comparison{Days: len(d), Difference: mean, StandardError: stat.StdErr(deviation, float64(len(d)))}
-	chance := rand.New(rand.NewPCG(uint64(len(d)), 1))
+	random := rand.New(rand.NewPCG(uint64(len(d)), 1))
 	means := make([]float64, resamples)
 	sample := make([]float64, len(d))
 	for i := range means {
 		for j := range sample {
-			sample[j] = d[chance.IntN(len(d))]
+			sample[j] = d[random.IntN(len(d))]
 		}
 		means[i] = stat.Mean(sample, nil)
 	}
 	slices.Sort(means)
-	c.Low = stat.Quantile((1-intervalShare)/2, stat.Empirical, means, nil)
-	c.High = stat.Quantile((1+intervalShare)/2, stat.Empirical, means, nil)
+	c.Low = stat.Quantile((1-confidenceLevel)/2, stat.Empirical, means, nil)
+	c.High = stat.Quantile((1+confidenceLevel)/2, stat.Empirical, means, nil)
 	return c
 }
 
@@ -109,7 +109,7 @@
 	return t.Flush()
 }
 
-// siteName is the site's file without folder and ending.
+// siteName returns the name of the site's file without folder and extension.
 func (c Comparison) siteName() string {
 	base := filepath.Base(c.Site)
 	return strings.TrimSuffix(base, filepath.Ext(base))
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -16,7 +16,7 @@
 	return experiment.Run{Policy: policy, Site: "site", Day: day, Worth: worth}
 }
 
-func TestStoreIsGoneOnWith(t *testing.T) {
+func TestStoreIsResumed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.jsonl")
 	s, err := experiment.Open(path, "tree")
 	require.NoError(t, err)
@@ -27,7 +27,7 @@
 	require.Equal(t, []experiment.Trial{{Site: "site", Day: "d2"}, {Policy: "x=off", Site: "site", Day: "d1"}, {Policy: "x=off", Site: "site", Day: "d2"}}, trials)
 }
 
-func TestStoreRefusesWhatItCantUse(t *testing.T) {
+func TestStoreRejectsUnusableFiles(t *testing.T) {
 	good := "{\"version\":1,\"tree\":\"tree\"}\n"
 	tests := []struct{ name, text, want string }{
 		{"another tree", "{\"version\":1,\"tree\":\"old\"}\n", "r.jsonl:1: its runs are of tree old, and this is tree; name another file"},
@@ -44,7 +44,7 @@
 			require.EqualError(t, err, test.want)
 			kept, err := os.ReadFile("r.jsonl")
 			require.NoError(t, err)
-			require.Equal(t, test.text, string(kept), "nothing is lost")
+			require.Equal(t, test.text, string(kept), "the file was changed")
 		})
 	}
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -8,14 +8,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of a plot: a row for each comparison.
+// The size of a plot, which has one row per comparison.
 const (
-	plotWidth = 18 * vg.Centimeter
-	rowHeight = 0.55 * vg.Centimeter
-	plotFrame = 2.5 * vg.Centimeter
+	plotWidth  = 18 * vg.Centimeter
+	rowHeight  = 0.55 * vg.Centimeter
+	plotMargin = 2.5 * vg.Centimeter
 )
 
-// intervals are comparisons as points with errors along x.
+// intervals adapts comparisons to points with errors along x.
 type intervals []Comparison
 
 // Len, XY and XError implement plotter.XYer and plotter.XErrorer.
@@ -25,7 +25,7 @@
 	return v[i].Difference - v[i].Low, v[i].High - v[i].Difference
 }
 
-// Plot draws the interval of each comparison into a file, whose format its ending names.
+// Plot draws the interval of each comparison into a file. The extension selects the format.
 func Plot(path string, comparisons []Comparison) error {
 	p := plot.New()
 	p.Title.Text = "Worth with a mechanism switched off, less worth with it"
@@ -45,5 +45,5 @@
 		names[len(names)-1-i] = c.Policy + ", " + c.siteName()
 	}
 	p.NominalY(names...)
-	return p.Save(plotWidth, plotFrame+rowHeight*vg.Length(len(names)), path)
+	return p.Save(plotWidth, plotMargin+rowHeight*vg.Length(len(names)), path)
 }
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -1,8 +1,8 @@
-// Package experiment compares policies of the decision logic on days that are played
-// once with and once without each.
+// Package experiment compares policies of the decision logic on days that are run once
+// with and once without each policy.
 //
-// The files: store keeps what was played, trial says what is to be played, compare pairs
-// the days, plot draws the differences.
+// The files: store holds the completed runs, trial lists the missing ones, compare pairs the
+// days, plot draws the differences.
 package experiment
 
 import (
@@ -14,16 +14,16 @@
 	"os"
 )
 
-// storeVersion is raised when lines change their meaning.
+// storeVersion is incremented when the meaning of lines changes.
 const storeVersion = 1
 
-// Run is one day that was played under a policy.
+// Run is the result of one day under a policy.
 type Run struct {
 	Policy string `json:"policy"`
 	Site   string `json:"site"`
 	Day    string `json:"day"`
 	Seed   uint64 `json:"seed"`
-	// Journal names the entry that the run left.
+	// Journal is the name of the run's journal entry.
 	Journal string   `json:"journal"`
 	Worth   float64  `json:"worth"`
 	Refused float64  `json:"refused"`
@@ -32,7 +32,7 @@
 	Broken  []string `json:"broken,omitempty"`
 }
 
-// Key tells runs apart. Two runs of one Key are of the same day.
+// Key identifies a run. Runs with the same Key are of the same day under the same policy.
 type Key struct {
 	Policy, Site, Day string
 	Seed              uint64
@@ -47,7 +47,7 @@
 	Tree    string `json:"tree"`
 }
 
-// FileError is a results file that can't be used. Line counts from 1.
+// FileError reports a results file that can't be used. Line counts from 1.
 type FileError struct {
 	Path   string
 	Line   int
@@ -57,14 +57,14 @@
 // Error implements error.
 func (e FileError) Error() string { return fmt.Sprintf("%s:%d: %s", e.Path, e.Line, e.Reason) }
 
-// Store is a file of runs, one a line, all of one tree. Use Open.
+// Store is a file of runs, one per line, all of the same tree. Use Open.
 type Store struct {
 	path string
 	runs []Run
 }
 
-// Open reads the runs of a tree, or begins a file for them. It changes nothing in a file
-// that it can't use: its error is then a FileError.
+// Open reads the runs of a tree, or creates a file for them. It returns a FileError for a
+// file that it can't use, and leaves that file unchanged.
 func Open(path, tree string) (*Store, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -122,7 +122,7 @@
 	return runs, tree, nil
 }
 
-// Has reports whether a run is there already.
+// Has reports whether the store has a run with the key.
 func (s *Store) Has(k Key) bool {
 	for _, r := range s.runs {
 		if r.Key() == k {
@@ -132,7 +132,7 @@
 	return false
 }
 
-// Add keeps a run.
+// Add appends a run to the file.
 func (s *Store) Add(r Run) error {
 	s.runs = append(s.runs, r)
 	return s.append(r)
--- a/internal/logreport/report.go
+++ b/internal/logreport/report.go
@@ -1,5 +1,5 @@
-// Package logreport sums up the structured logs of VMs: what became of requests, when, for
-// which causes and over which targets, and what the control VMs decided meanwhile.
+// Package logreport summarises the structured logs of VMs: the outcomes of requests by time,
+// cause and target, and the decisions of the control VMs.
 package logreport
 
 import (
@@ -17,17 +17,18 @@
 	"time"
 )
 
-// Bounds say from when on an answer counts as late, and how the report is cut up.
+// Bounds are the times above which an answer counts as late, and the interval of the rows.
 type Bounds struct {
-	// First is the time to the first event, and Pause that between two events, above
-	// which an answer is late.
+	// An answer is late if its first event takes longer than First, or if a pause between
+	// two events is longer than Pause.
 	First time.Duration
 	Pause time.Duration
-	// Every is the length of a row.
+	// Every is the interval that a row covers.
 	Every time.Duration
 }
 
-// line is the part of a log line that is used. Lines of other messages have none of it.
+// line holds the fields of a log line that the report uses. Lines with other messages may
+// have none of them.
 type line struct {
 	Time    time.Time `json:"ts"`
 	Message string    `json:"msg"`
@@ -42,84 +43,85 @@
 	Tries   int       `json:"tries"`
 }
 
-// row counts what ended within one interval.
+// row counts the requests that ended within one interval.
 type row struct {
-	served, lateFirst, longPause, repeated, refused, cut int
+	served, lateFirst, longPause, retried, refused, cut int
 }
 
-// controlRow counts what control VMs decided, and entry VMs made of it, within one interval.
+// controlRow counts the decisions of control VMs, and lease events of entry VMs, within one
+// interval.
 type controlRow struct {
-	elected, stepped, joined, orders, accepted, notDecided, leasesLost, sources int
+	elected, stepDowns, joined, orders, accepted, notDecided, leasesLost, leaseSources int
 }
 
-// perTarget counts what passed a target.
-type perTarget struct{ served, longPause, failed int }
+// targetCounts counts the requests that used a target.
+type targetCounts struct{ served, longPause, failed int }
 
-// Report is the sum over log lines. Use New.
+// Report aggregates log lines. Use New.
 type Report struct {
 	bounds  Bounds
-	began   time.Time
+	start   time.Time
 	rows    map[int]*row
 	control map[int]*controlRow
 	causes  map[string]int
-	targets map[string]*perTarget
-	// unread counts the lines that hold no readable log line.
-	unread int
+	targets map[string]*targetCounts
+	// unparsed counts the lines that could not be parsed.
+	unparsed int
 }
 
-// New returns a Report of nothing.
+// New returns an empty Report.
 func New(b Bounds) *Report {
-	return &Report{bounds: b, rows: make(map[int]*row), control: make(map[int]*controlRow), causes: make(map[string]int), targets: make(map[string]*perTarget)}
+	return &Report{bounds: b, rows: make(map[int]*row), control: make(map[int]*controlRow), causes: make(map[string]int), targets: make(map[string]*targetCounts)}
 }
 
-// maxLine bounds a log line, in bytes: paths of 32 stages take some 1 KB.
-const maxLine = 1 << 20
+// maxLineBytes bounds a log line, in bytes: paths of 32 stages take some 1 KB.
+const maxLineBytes = 1 << 20
 
-// Read takes all lines of a log. What stands before the first brace of a line, such as
-// what a collector adds, is passed over. It returns the error of the reader.
+// Read adds all lines of a log. It ignores text before the first brace of a line, such as
+// the prefix of a log collector. It returns the error of the reader.
 func (r *Report) Read(from io.Reader) error {
 	lines := bufio.NewScanner(from)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		r.take(lines.Bytes())
+		r.add(lines.Bytes())
 	}
 	return lines.Err()
 }
 
-func (r *Report) take(text []byte) {
+func (r *Report) add(text []byte) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
 		return
 	}
 	var l line
 	if err := json.Unmarshal(text[start:], &l); err != nil || l.Time.IsZero() {
-		r.unread++
+		r.unparsed++
 		return
 	}
-	if r.began.IsZero() || l.Time.Before(r.began) && len(r.rows) == 0 {
-		r.began = l.Time
+	if r.start.IsZero() || l.Time.Before(r.start) && len(r.rows) == 0 {
+		r.start = l.Time
 	}
 	switch l.Message {
 	case "request served":
-		r.takeServed(l)
+		r.addServed(l)
 	case "request refused":
 		r.rowAt(l.Time).refused++
-		r.causes["refused, "+l.Kind+": "+general(l.Reason)]++
+		r.causes["refused, "+l.Kind+": "+maskAddresses(l.Reason)]++
 	case "stream cut":
 		r.rowAt(l.Time).cut++
-		r.causes["cut: "+general(l.Reason)]++
+		r.causes["cut: "+maskAddresses(l.Reason)]++
 	case "try failed":
-		r.takeFailed(l)
+		r.addFailed(l)
 	default:
-		r.takeControl(l)
+		r.addControl(l)
 	}
 }
 
-// acceptedOutcome is that of a configuration that was accepted.
+// acceptedOutcome is the outcome of a configuration that was accepted.
 const acceptedOutcome = "accepted"
 
-// takeControl counts the decisions that concern no request.
-func (r *Report) takeControl(l line) {
+// addControl counts lines that are not about a request.
+func (r *Report) addControl(l line) {
 	count := func(of func(*controlRow) *int) {
 		n := r.intervalOf(l.Time)
 		if r.control[n] == nil {
@@ -131,7 +133,7 @@
 	case l.Message == "leader elected":
 		count(func(c *controlRow) *int { return &c.elected })
 	case strings.HasPrefix(l.Message, "leader steps down"):
-		count(func(c *controlRow) *int { return &c.stepped })
+		count(func(c *controlRow) *int { return &c.stepDowns })
 	case l.Message == "learner joins":
 		count(func(c *controlRow) *int { return &c.joined })
 	case strings.HasPrefix(l.Message, "engine ordered"):
@@ -143,13 +145,13 @@
 	case strings.HasPrefix(l.Message, "lease lost"):
 		count(func(c *controlRow) *int { return &c.leasesLost })
 	case strings.HasPrefix(l.Message, "leases come by way"):
-		count(func(c *controlRow) *int { return &c.sources })
+		count(func(c *controlRow) *int { return &c.leaseSources })
 	}
 }
 
-func (r *Report) intervalOf(at time.Time) int { return int(at.Sub(r.began) / r.bounds.Every) }
+func (r *Report) intervalOf(at time.Time) int { return int(at.Sub(r.start) / r.bounds.Every) }
 
-func (r *Report) takeServed(l line) {
+func (r *Report) addServed(l line) {
 	at := r.rowAt(l.Time)
 	at.served++
 	if l.FirstMS > r.bounds.First.Milliseconds() {
@@ -160,9 +162,9 @@
 		at.longPause++
 	}
 	if l.Tries > 1 {
-		at.repeated++
+		at.retried++
 	}
-	for _, address := range addresses(l.Path) {
+	for _, address := range pathTargets(l.Path) {
 		t := r.target(address)
 		t.served++
 		if long {
@@ -171,11 +173,12 @@
 	}
 }
 
-// takeFailed counts a failure for the target that the cause names, or else for the first.
-func (r *Report) takeFailed(l line) {
-	r.causes["try failed: "+general(l.Cause)]++
-	named := targetName.FindString(l.Cause)
-	if passed := addresses(l.Path); named == "" && len(passed) > 0 {
+// addFailed attributes a failure to the target that the cause names, or else to the first
+// target of the path.
+func (r *Report) addFailed(l line) {
+	r.causes["try failed: "+maskAddresses(l.Cause)]++
+	named := addressPattern.FindString(l.Cause)
+	if passed := pathTargets(l.Path); named == "" && len(passed) > 0 {
 		named = passed[0]
 	}
 	if named != "" {
@@ -191,21 +194,22 @@
 	return r.rows[n]
 }
 
-func (r *Report) target(address string) *perTarget {
+func (r *Report) target(address string) *targetCounts {
 	if r.targets[address] == nil {
-		r.targets[address] = &perTarget{}
+		r.targets[address] = &targetCounts{}
 	}
 	return r.targets[address]
 }
 
-// targetName matches the address of a target in a text.
-var targetName = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+`)
+// addressPattern matches the address of a target.
+var addressPattern = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+`)
 
-// general returns a text without the addresses in it, so that like causes count together.
-func general(text string) string { return targetName.ReplaceAllString(text, "ADDRESS") }
+// maskAddresses masks the addresses in a text, so that causes that differ only in them are
+// counted together.
+func maskAddresses(text string) string { return addressPattern.ReplaceAllString(text, "ADDRESS") }
 
-// addresses returns the targets of a path as it is logged: ADDRESS[FIRST,LAST) ...
-func addresses(path string) []string {
+// pathTargets returns the targets of a logged path, which has the form ADDRESS[FIRST,LAST) ...
+func pathTargets(path string) []string {
 	var out []string
 	for _, stage := range strings.Fields(path) {
 		address, _, _ := strings.Cut(stage, "[")
@@ -214,8 +218,8 @@
 	return out
 }
 
-// targetsShown bounds the targets in a report: those with the most failures.
-const targetsShown = 12
+// maxTargets bounds the targets in a report; those with the most failures are kept.
+const maxTargets = 12
 
 // Write writes the report as tables.
 func (r *Report) Write(to io.Writer) error {
@@ -223,7 +227,7 @@
 	fmt.Fprintln(w, "FROM\tSERVED\tLATE FIRST\tLONG PAUSE\tREPEATED\tREFUSED\tCUT")
 	for _, n := range slices.Sorted(maps.Keys(r.rows)) {
 		c := r.rows[n]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", time.Duration(n)*r.bounds.Every, c.served, c.lateFirst, c.longPause, c.repeated, c.refused, c.cut)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", time.Duration(n)*r.bounds.Every, c.served, c.lateFirst, c.longPause, c.retried, c.refused, c.cut)
 	}
 	r.writeControl(w)
 	fmt.Fprintln(w, "\nCOUNT\tCAUSE")
@@ -238,13 +242,13 @@
 		t := r.targets[address]
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", address, t.served, t.longPause, t.failed)
 	}
-	if r.unread > 0 {
-		fmt.Fprintf(w, "\n%d lines could not be read\n", r.unread)
+	if r.unparsed > 0 {
+		fmt.Fprintf(w, "\n%d lines could not be read\n", r.unparsed)
 	}
 	return w.Flush()
 }
 
-// writeControl writes what control VMs decided, if the logs say anything of it.
+// writeControl writes the table of control decisions, if the logs have any.
 func (r *Report) writeControl(w io.Writer) {
 	if len(r.control) == 0 {
 		return
@@ -252,7 +256,7 @@
 	fmt.Fprintln(w, "\nFROM\tELECTED\tSTEPPED DOWN\tJOINED\tORDERS\tACCEPTED\tNOT DECIDED\tLEASES LOST\tRENEW ELSEWHERE")
 	for _, n := range slices.Sorted(maps.Keys(r.control)) {
 		c := r.control[n]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", time.Duration(n)*r.bounds.Every, c.elected, c.stepped, c.joined, c.orders, c.accepted, c.notDecided, c.leasesLost, c.sources)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", time.Duration(n)*r.bounds.Every, c.elected, c.stepDowns, c.joined, c.orders, c.accepted, c.notDecided, c.leasesLost, c.leaseSources)
 	}
 }
 
@@ -261,5 +265,5 @@
 		x, y := r.targets[a], r.targets[b]
 		return cmp.Or(cmp.Compare(y.failed, x.failed), cmp.Compare(y.longPause, x.longPause), cmp.Compare(a, b))
 	})
-	return worst[:min(len(worst), targetsShown)]
+	return worst[:min(len(worst), maxTargets)]
 }
--- a/internal/logreport/report_test.go
+++ b/internal/logreport/report_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolbank/spoolbank/internal/logreport"
 )
 
-const log = `
+const requestLog = `
    0.1 vm-1 {"ts":"2026-01-01T00:00:00Z","msg":"daemon starts"}
 {"ts":"2026-01-01T00:00:01Z","msg":"request served","first_ms":40,"worst_pause_ms":90,"tries":1,"path":"10.0.0.1:80[0,40) 10.0.0.2:80[40,80)"}
 {"ts":"2026-01-01T00:00:02Z","msg":"request served","first_ms":800,"worst_pause_ms":300,"tries":2,"path":"10.0.0.1:80[0,40) 10.0.0.3:80[40,80)"}
@@ -22,7 +22,7 @@
 
 func TestReport(t *testing.T) {
 	r := logreport.New(logreport.Bounds{First: 500 * time.Millisecond, Pause: 200 * time.Millisecond, Every: 5 * time.Second})
-	require.NoError(t, r.Read(strings.NewReader(log)))
+	require.NoError(t, r.Read(strings.NewReader(requestLog)))
 	var out strings.Builder
 	require.NoError(t, r.Write(&out))
 	var rows [][]string
@@ -63,8 +63,8 @@
 	require.Regexp(t, `(?m)^5s +0 +1 +0 +1 +0 +0 +1 +1$`, out.String())
 }
 
-// A log of nothing, or of other messages, is no error.
-func TestReportOfNothing(t *testing.T) {
+// Lines that are not log entries cause no error.
+func TestReportWithoutLogEntries(t *testing.T) {
 	r := logreport.New(logreport.Bounds{Every: time.Second})
 	require.NoError(t, r.Read(strings.NewReader("no log\n{}\n")))
 	var out strings.Builder
