--- a/cmd/spoolbank/cmd/apply.go
+++ b/cmd/spoolbank/cmd/apply.go
@@ -44,17 +44,17 @@
 	if err != nil {
 		return err
 	}
-	first := c.number
+	firstNumber := c.number
 	for i, l := range lines {
-		if first != 0 {
-			c.number = first + uint64(i)
+		if firstNumber != 0 {
+			c.number = firstNumber + uint64(i)
 		}
 		last := i == len(lines)-1
-		each := c
+		flags := c
 		if !last {
-			each.wait = 0
+			flags.wait = 0
 		}
-		if err := r.run(ctx, each, l.text); err != nil {
+		if err := r.run(ctx, flags, l.text); err != nil {
 			return fmt.Errorf("line %d: %w", l.number, err)
 		}
 	}
--- a/cmd/spoolbank/cmd/client.go
+++ b/cmd/spoolbank/cmd/client.go
@@ -22,7 +22,7 @@
 // and repeats the request if an answer is lost. A command carries a number, so
 // that it takes effect once.
 func (r *root) operate(ctx context.Context, request wire.OperateRequest) (core.Result, error) {
-	keys, err := r.keys()
+	keys, err := r.loadKeys()
 	if err != nil {
 		return core.Result{}, err
 	}
@@ -32,35 +32,35 @@
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	addresses := slices.Clone(r.peers)
-	var last error
-	for turn := 0; ; turn++ {
-		address := addresses[turn%len(addresses)]
-		reply, err := r.ask(ctx, keys, address, request)
+	var lastErr error
+	for attempt := 0; ; attempt++ {
+		address := addresses[attempt%len(addresses)]
+		reply, err := r.send(ctx, keys, address, request)
 		switch {
 		case err != nil:
-			last = err
+			lastErr = err
 		case reply.Result.Kind == core.ResultNotLeader:
-			last = fmt.Errorf("%s: %s", address, reply.Result.Message)
-			addresses = withHint(r.peers, reply.Leader)
+			lastErr = fmt.Errorf("%s: %s", address, reply.Result.Message)
+			addresses = leaderFirst(r.peers, reply.Leader)
 			if reply.Leader != "" && reply.Leader != address {
-				turn = len(addresses) - 1
+				attempt = len(addresses) - 1
 				continue
 			}
 		case reply.Result.Kind == core.ResultInterrupted:
-			last = errors.New(reply.Result.Message)
+			lastErr = errors.New(reply.Result.Message)
 		default:
 			return reply.Result, nil
 		}
 		select {
 		case <-time.After(retryPause):
 		case <-ctx.Done():
-			return core.Result{}, &exitError{exitUnknown, fmt.Errorf("no answer in %s, the last try: %w; a command sent again under the same number takes effect once", r.timeout, last)}
+			return core.Result{}, &exitError{exitUnknown, fmt.Errorf("no answer in %s, the last try: %w; a command sent again under the same number takes effect once", r.timeout, lastErr)}
 		}
 	}
 }
 
-// withHint returns the addresses with the leader's first.
-func withHint(addresses []string, leader string) []string {
+// leaderFirst returns the addresses with that of the leader first.
+func leaderFirst(addresses []string, leader string) []string {
 	if leader == "" {
 		return slices.Clone(addresses)
 	}
@@ -73,7 +73,7 @@
 	return hinted
 }
 
-func (r *root) ask(ctx context.Context, keys wire.Keys, address string, request wire.OperateRequest) (wire.OperateReply, error) {
+func (r *root) send(ctx context.Context, keys wire.Keys, address string, request wire.OperateRequest) (wire.OperateReply, error) {
 	wait := time.Duration(request.WaitMillis) * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+wait)
 	defer cancel()
--- a/cmd/spoolbank/cmd/dump.go
+++ b/cmd/spoolbank/cmd/dump.go
@@ -27,7 +27,7 @@
 }
 
 func (r *root) dump(ctx context.Context, vm string) error {
-	text, err := r.dumpOf(ctx, vm)
+	text, err := r.fetchDump(ctx, vm)
 	if err != nil {
 		return err
 	}
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// addressOf finds the address of a VM by its name. An address is returned as it is.
-func (r *root) addressOf(ctx context.Context, vm string) (string, error) {
+// resolveAddress finds the address of a VM by its name. An address is returned as it is.
+func (r *root) resolveAddress(ctx context.Context, vm string) (string, error) {
 	if isAddress(vm) {
 		return vm, nil
 	}
--- a/cmd/spoolbank/cmd/log.go
+++ b/cmd/spoolbank/cmd/log.go
@@ -16,16 +16,16 @@
 func (r *root) logCommand() *ff.Command {
 	var b logreport.Bounds
 	flags := ff.NewFlagSet("log").SetParent(r.flags)
-	flags.DurationVar(&b.First, 0, "first", 500*time.Millisecond, "a first event after this is late")
-	flags.DurationVar(&b.Pause, 0, "pause", 200*time.Millisecond, "a pause over this makes an answer late")
-	flags.DurationVar(&b.Every, 0, "every", 2*time.Second, "the length of a row")
+	flags.DurationVar(&b.MaxFirstEvent, 0, "first", 500*time.Millisecond, "a first event after this is late")
+	flags.DurationVar(&b.MaxPause, 0, "pause", 200*time.Millisecond, "a pause over this makes an answer late")
+	flags.DurationVar(&b.Interval, 0, "every", 2*time.Second, "the length of a row")
 	return &ff.Command{
 		Name:      "log",
 		Usage:     "spoolbank log [--first TIME] [--pause TIME] [--every TIME] [FILE ...]",
 		ShortHelp: "sum up logs of entry VMs: what became of requests, when, why and where",
 		Flags:     flags,
 		Exec: func(_ context.Context, files []string) error {
-			if b.Every <= 0 {
+			if b.Interval <= 0 {
 				return &exitError{exitUsage, errors.New("--every is not above 0; give a time such as 2s")}
 			}
 			return r.log(b, files)
--- a/cmd/spoolbank/cmd/policy.go
+++ b/cmd/spoolbank/cmd/policy.go
@@ -44,7 +44,7 @@
 
 // showPolicy prints the switches of a running VM that differ from the default.
 func (r *root) showPolicy(ctx context.Context, vm string) error {
-	text, err := r.dumpOf(ctx, vm)
+	text, err := r.fetchDump(ctx, vm)
 	if err != nil {
 		return err
 	}
@@ -60,13 +60,13 @@
 	return nil
 }
 
-// dumpOf fetches the state of a process as JSON.
-func (r *root) dumpOf(ctx context.Context, vm string) ([]byte, error) {
-	keys, err := r.keys()
+// fetchDump fetches the state of a process as JSON.
+func (r *root) fetchDump(ctx context.Context, vm string) ([]byte, error) {
+	keys, err := r.loadKeys()
 	if err != nil {
 		return nil, err
 	}
-	address, err := r.addressOf(ctx, vm)
+	address, err := r.resolveAddress(ctx, vm)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/spoolbank/cmd/root.go
+++ b/cmd/spoolbank/cmd/root.go
@@ -70,7 +70,7 @@
 			return &exitError{exitUsage, errors.New("no subcommand; `spoolbank help` shows examples")}
 		},
 	}
-	return r.finish(command, command.ParseAndRun(context.Background(), args, ff.WithEnvVarPrefix("SPOOLBANK")))
+	return r.exitCode(command, command.ParseAndRun(context.Background(), args, ff.WithEnvVarPrefix("SPOOLBANK")))
 }
 
 func newRoot(stdin io.Reader, stdout, stderr io.Writer) *root {
@@ -84,7 +84,7 @@
 	return r
 }
 
-func (r *root) finish(command *ff.Command, err error) int {
+func (r *root) exitCode(command *ff.Command, err error) int {
 	var exit *exitError
 	switch {
 	case err == nil:
@@ -100,7 +100,7 @@
 	return exitUsage
 }
 
-func (r *root) keys() (wire.Keys, error) {
+func (r *root) loadKeys() (wire.Keys, error) {
 	if r.plainText {
 		return wire.Keys{}, nil
 	}
--- a/cmd/spoolfake/main.go
+++ b/cmd/spoolfake/main.go
@@ -63,7 +63,7 @@
 	flags.IntVar(&o.Slots, 0, "slots", 24, "streams that its memory holds")
 	flags.BoolVar(&o.Fence, 0, "fence", "check the fence of orders")
 	flags.DurationVar(&o.LoadTime, 0, "load-time", 50*time.Millisecond, "time to load a range")
-	flags.DurationVar(&o.ReportLag, 0, "report-lag", 200*time.Millisecond, "age of load reports")
+	flags.DurationVar(&o.ReportInterval, 0, "report-lag", 200*time.Millisecond, "age of load reports")
 	flags.DurationVar(&o.LinkDelay, 0, "link-delay", 0, "delay of each hop")
 	return &ff.Command{Name: "engine", ShortHelp: "a model engine", Flags: flags, Exec: func(ctx context.Context, _ []string) error {
 		return serve(ctx, listen, fake.NewEngine(o).Handler())
@@ -131,9 +131,9 @@
 }
 
 func printReport(r load.Report) error {
-	fmt.Printf("took %.2fs  tokens %d  tokens/s %.0f  resumed %d\n", r.Took.Seconds(), r.Tokens, float64(r.Tokens)/r.Took.Seconds(), r.Resumed)
-	fmt.Printf("first token   p50 %6.1f ms  p95 %6.1f ms  max %6.1f ms\n", millis(r.First.ValueAtQuantile(50)), millis(r.First.ValueAtQuantile(95)), millis(r.First.Max()))
-	fmt.Printf("between       p50 %6.1f ms  p95 %6.1f ms  max %6.1f ms\n", millis(r.Gap.ValueAtQuantile(50)), millis(r.Gap.ValueAtQuantile(95)), millis(r.Gap.Max()))
+	fmt.Printf("took %.2fs  tokens %d  tokens/s %.0f  resumed %d\n", r.Elapsed.Seconds(), r.Tokens, float64(r.Tokens)/r.Elapsed.Seconds(), r.Resumed)
+	fmt.Printf("first token   p50 %6.1f ms  p95 %6.1f ms  max %6.1f ms\n", millis(r.FirstToken.ValueAtQuantile(50)), millis(r.FirstToken.ValueAtQuantile(95)), millis(r.FirstToken.Max()))
+	fmt.Printf("between       p50 %6.1f ms  p95 %6.1f ms  max %6.1f ms\n", millis(r.TokenGap.ValueAtQuantile(50)), millis(r.TokenGap.ValueAtQuantile(95)), millis(r.TokenGap.Max()))
 	for kind, count := range r.Refusals {
 		fmt.Printf("refused %-24s %d\n", kind, count)
 	}
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -25,8 +25,8 @@
 	Fence bool
 	// LoadTime is the time to load a range of layers.
 	LoadTime time.Duration
-	// ReportLag is the age that its load reports reach.
-	ReportLag time.Duration
+	// ReportInterval is the interval at which its load reports are refreshed.
+	ReportInterval time.Duration
 	// LinkDelay is added before each hop to the next engine.
 	LinkDelay time.Duration
 	// Hops carries messages between engines; nil uses HTTP.
@@ -168,13 +168,13 @@
 		return target.RunReply{Result: result, Target: stage.Target}
 	}
 	load := e.Load()
-	part := load.Busy * 1000 / max(load.Slots, 1)
+	loadThousandths := load.Busy * 1000 / max(load.Slots, 1)
 	if len(o.Chain) == 1 {
 		token, finish := decodeToken(outputs[len(outputs)-1])
-		return target.RunReply{Result: core.ResultDone, Next: o.Position + len(outputs), Token: token, Finish: finish, Load: part}
+		return target.RunReply{Result: core.ResultDone, Next: o.Position + len(outputs), Token: token, Finish: finish, Load: loadThousandths}
 	}
 	reply := e.forward(ctx, o, outputs, time.Since(began))
-	reply.Load = max(reply.Load, part)
+	reply.Load = max(reply.Load, loadThousandths)
 	return reply
 }
 
@@ -306,8 +306,8 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	present, ok := e.streams[o.Stream]
-	if ok && o.Epoch.Compare(present.epoch) < 0 {
+	existing, ok := e.streams[o.Stream]
+	if ok && o.Epoch.Compare(existing.epoch) < 0 {
 		return target.RebuildReply{Result: core.ResultStale, Target: o.Stage.Target}
 	}
 	if !e.holds(o.Model, o.Stage.Layers) {
@@ -421,12 +421,12 @@
 	return target.OrderDone
 }
 
-// Load returns the load report, whose counts are refreshed every ReportLag.
+// Load returns the load report, whose counts are refreshed every ReportInterval.
 func (e *Engine) Load() target.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if now := time.Now(); !now.Before(e.nextReport) {
-		e.nextReport = now.Add(e.options.ReportLag)
+		e.nextReport = now.Add(e.options.ReportInterval)
 		e.lastReport = target.LoadReport{Busy: e.busy(), Slots: e.options.Slots}
 	}
 	report := e.lastReport
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -48,10 +48,11 @@
 	// Resumed counts answers that were resumed at another entry VM or connection.
 	Resumed int
 	Tokens  int
-	Took    time.Duration
-	// First and Gap are the times to the first token and between tokens, in microseconds.
-	First *hdrhistogram.Histogram
-	Gap   *hdrhistogram.Histogram
+	Elapsed time.Duration
+	// FirstToken and TokenGap are the times to the first token and between tokens, in
+	// microseconds.
+	FirstToken *hdrhistogram.Histogram
+	TokenGap   *hdrhistogram.Histogram
 	// Refusals counts refusals by kind.
 	Refusals map[string]int
 	// Faults describes the first errors, up to maxFaults.
@@ -82,7 +83,7 @@
 	}}}
 	b.report = Report{
 		Asked: o.Requests, Refusals: make(map[string]int),
-		First: hdrhistogram.New(1, maxHistogramMicros, 3), Gap: hdrhistogram.New(1, maxHistogramMicros, 3),
+		FirstToken: hdrhistogram.New(1, maxHistogramMicros, 3), TokenGap: hdrhistogram.New(1, maxHistogramMicros, 3),
 	}
 	began := time.Now()
 	var wait sync.WaitGroup
@@ -99,7 +100,7 @@
 		})
 	}
 	wait.Wait()
-	b.report.Took = time.Since(began)
+	b.report.Elapsed = time.Since(began)
 	return b.report
 }
 
@@ -141,22 +142,22 @@
 	}
 	a.last = a.asked
 	deadline := a.asked.Add(b.options.Patience)
-	var last error
-	for turn := i; time.Now().Before(deadline) && ctx.Err() == nil; turn++ {
-		last = b.ask(ctx, a, b.entry(ctx, turn))
+	var lastErr error
+	for attempt := i; time.Now().Before(deadline) && ctx.Err() == nil; attempt++ {
+		lastErr = b.sendRequest(ctx, a, b.entry(ctx, attempt))
 		var refused *refusedError
 		switch {
-		case last == nil:
+		case lastErr == nil:
 			b.checkAnswer(a)
 			return
-		case errors.Is(last, errOutOfOrder):
-			b.recordFault(a, last)
+		case errors.Is(lastErr, errOutOfOrder):
+			b.recordFault(a, lastErr)
 			b.update(func(r *Report) { r.Doubled++ })
 			return
-		case errors.As(last, &refused) && (refused.ran != "no" && refused.kind != "taken_over"):
+		case errors.As(lastErr, &refused) && (refused.ran != "no" && refused.kind != "taken_over"):
 			b.recordRefusal(a, refused)
 			return
-		case errors.As(last, &refused):
+		case errors.As(lastErr, &refused):
 			b.pause(ctx, time.Until(refused.retryAt))
 		default:
 			b.expireEntries()
@@ -165,11 +166,11 @@
 		a.resumed = a.resumed || a.count > 0
 	}
 	var refused *refusedError
-	if errors.As(last, &refused) && a.count == 0 {
+	if errors.As(lastErr, &refused) && a.count == 0 {
 		b.recordRefusal(a, refused)
 		return
 	}
-	b.recordFault(a, last)
+	b.recordFault(a, lastErr)
 	b.update(func(r *Report) { r.Lost++ })
 }
 
@@ -210,8 +211,8 @@
 
 // checkAnswer compares a complete answer with the expected one.
 func (b *burst) checkAnswer(a *callerState) {
-	right := b.options.Expected(a.prompt) == a.text.String()
-	if !right {
+	correct := b.options.Expected(a.prompt) == a.text.String()
+	if !correct {
 		b.recordFault(a, fmt.Errorf("wrong text %q", a.text.String()))
 	}
 	b.update(func(r *Report) {
@@ -219,7 +220,7 @@
 		if a.resumed {
 			r.Resumed++
 		}
-		if right {
+		if correct {
 			r.Whole++
 			return
 		}
@@ -301,8 +302,8 @@
 	return &refusedError{kind: c.Error.Type, ran: c.Error.Ran, retryAt: c.Error.RetryAt}
 }
 
-// ask sends the request to an address and reads the answer.
-func (b *burst) ask(ctx context.Context, a *callerState, address string) error {
+// sendRequest sends the request to an address and reads the answer.
+func (b *burst) sendRequest(ctx context.Context, a *callerState, address string) error {
 	body, err := json.Marshal(struct {
 		Model     string `json:"model"`
 		Prompt    string `json:"prompt"`
@@ -390,9 +391,9 @@
 	a.last = now
 	b.update(func(r *Report) {
 		if a.count == 1 {
-			_ = r.First.RecordValue(max(micros, 1))
+			_ = r.FirstToken.RecordValue(max(micros, 1))
 			return
 		}
-		_ = r.Gap.RecordValue(max(micros, 1))
+		_ = r.TokenGap.RecordValue(max(micros, 1))
 	})
 }
--- a/internal/logreport/report.go
+++ b/internal/logreport/report.go
@@ -19,12 +19,12 @@
 
 // Bounds are the times above which an answer counts as late, and the interval of the rows.
 type Bounds struct {
-	// An answer is late if its first event takes longer than First, or if a pause between
-	// two events is longer than Pause.
-	First time.Duration
-	Pause time.Duration
-	// Every is the interval that a row covers.
-	Every time.Duration
+	// An answer is late if its first event takes longer than MaxFirstEvent, or if a pause
+	// between two events is longer than MaxPause.
+	MaxFirstEvent time.Duration
+	MaxPause      time.Duration
+	// Interval is the time that a row covers.
+	Interval time.Duration
 }
 
 // line holds the fields of a log line that the report uses. Lines with other messages may
@@ -149,15 +149,15 @@
 	}
 }
 
-func (r *Report) intervalOf(at time.Time) int { return int(at.Sub(r.start) / r.bounds.Every) }
+func (r *Report) intervalOf(at time.Time) int { return int(at.Sub(r.start) / r.bounds.Interval) }
 
 func (r *Report) addServed(l line) {
 	at := r.rowAt(l.Time)
 	at.served++
-	if l.FirstMS > r.bounds.First.Milliseconds() {
+	if l.FirstMS > r.bounds.MaxFirstEvent.Milliseconds() {
 		at.lateFirst++
 	}
-	long := l.PauseMS > r.bounds.Pause.Milliseconds()
+	long := l.PauseMS > r.bounds.MaxPause.Milliseconds()
 	if long {
 		at.longPause++
 	}
@@ -177,12 +177,12 @@
 // target of the path.
 func (r *Report) addFailed(l line) {
 	r.causes["try failed: "+maskAddresses(l.Cause)]++
-	named := addressPattern.FindString(l.Cause)
-	if passed := pathTargets(l.Path); named == "" && len(passed) > 0 {
-		named = passed[0]
+	failed := addressPattern.FindString(l.Cause)
+	if passed := pathTargets(l.Path); failed == "" && len(passed) > 0 {
+		failed = passed[0]
 	}
-	if named != "" {
-		r.target(named).failed++
+	if failed != "" {
+		r.target(failed).failed++
 	}
 }
 
@@ -227,7 +227,7 @@
 	fmt.Fprintln(w, "FROM\tSERVED\tLATE FIRST\tLONG PAUSE\tREPEATED\tREFUSED\tCUT")
 	for _, n := range slices.Sorted(maps.Keys(r.rows)) {
 		c := r.rows[n]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", time.Duration(n)*r.bounds.Every, c.served, c.lateFirst, c.longPause, c.retried, c.refused, c.cut)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\n", time.Duration(n)*r.bounds.Interval, c.served, c.lateFirst, c.longPause, c.retried, c.refused, c.cut)
 	}
 	r.writeControl(w)
 	fmt.Fprintln(w, "\nCOUNT\tCAUSE")
@@ -256,7 +256,7 @@
 	fmt.Fprintln(w, "\nFROM\tELECTED\tSTEPPED DOWN\tJOINED\tORDERS\tACCEPTED\tNOT DECIDED\tLEASES LOST\tRENEW ELSEWHERE")
 	for _, n := range slices.Sorted(maps.Keys(r.control)) {
 		c := r.control[n]
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", time.Duration(n)*r.bounds.Every, c.elected, c.stepDowns, c.joined, c.orders, c.accepted, c.notDecided, c.leasesLost, c.leaseSources)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", time.Duration(n)*r.bounds.Interval, c.elected, c.stepDowns, c.joined, c.orders, c.accepted, c.notDecided, c.leasesLost, c.leaseSources)
 	}
 }
 
--- a/internal/logreport/report_test.go
+++ b/internal/logreport/report_test.go
@@ -21,7 +21,7 @@
 `
 
 func TestReport(t *testing.T) {
-	r := logreport.New(logreport.Bounds{First: 500 * time.Millisecond, Pause: 200 * time.Millisecond, Every: 5 * time.Second})
+	r := logreport.New(logreport.Bounds{MaxFirstEvent: 500 * time.Millisecond, MaxPause: 200 * time.Millisecond, Interval: 5 * time.Second})
 	require.NoError(t, r.Read(strings.NewReader(requestLog)))
 	var out strings.Builder
 	require.NoError(t, r.Write(&out))
@@ -55,7 +55,7 @@
 `
 
 func TestReportOfControlVMs(t *testing.T) {
-	r := logreport.New(logreport.Bounds{Every: 5 * time.Second})
+	r := logreport.New(logreport.Bounds{Interval: 5 * time.Second})
 	require.NoError(t, r.Read(strings.NewReader(controlLog)))
 	var out strings.Builder
 	require.NoError(t, r.Write(&out))
@@ -65,7 +65,7 @@
 
 // Lines that are not log entries cause no error.
 func TestReportWithoutLogEntries(t *testing.T) {
-	r := logreport.New(logreport.Bounds{Every: time.Second})
+	r := logreport.New(logreport.Bounds{Interval: time.Second})
 	require.NoError(t, r.Read(strings.NewReader("no log\n{}\n")))
 	var out strings.Builder
 	require.NoError(t, r.Write(&out))
--- a/query/query.go
+++ b/query/query.go
@@ -185,20 +185,20 @@
 		return err
 	}
 	err = json.NewDecoder(bytes.NewReader(object)).Decode(target)
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return fmt.Errorf("give a %s", wrong.Type)
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return fmt.Errorf("give a %s", typeErr.Type)
 	}
 	return err
 }
 
 // fieldNames returns the fields that operators may set, sorted.
 func fieldNames(target any) []string {
-	hidden := []string{"name", "leaving", "down"}
+	excluded := []string{"name", "leaving", "down"}
 	var names []string
 	for _, f := range reflect.VisibleFields(reflect.TypeOf(target).Elem()) {
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
-		if !slices.Contains(hidden, name) {
+		if !slices.Contains(excluded, name) {
 			names = append(names, name)
 		}
 	}
@@ -277,15 +277,15 @@
 }
 
 func syntaxError(err error) error {
-	var parse participle.Error
-	if !errors.As(err, &parse) {
+	var parseErr participle.Error
+	if !errors.As(err, &parseErr) {
 		return &SyntaxError{1, err.Error()}
 	}
 	hint := "a statement begins with show, declare, set, remove, drain or admit"
-	if parse.Position().Column > 1 {
+	if parseErr.Position().Column > 1 {
 		hint = "`spoolbank help` shows examples"
 	}
-	return &SyntaxError{max(parse.Position().Column, 1), fmt.Sprintf("%s; %s", parse.Message(), hint)}
+	return &SyntaxError{max(parseErr.Position().Column, 1), fmt.Sprintf("%s; %s", parseErr.Message(), hint)}
 }
 
 func (s statementNode) statement() (Statement, error) {
--- a/settings/fault.go
+++ b/settings/fault.go
@@ -103,13 +103,13 @@
 	for i := range object.Members {
 		m := &object.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
-		at := path + "/" + name
+		memberPath := path + "/" + name
 		field, ok := fields[name]
 		if !ok {
-			c.fault(at, fmt.Sprintf("there is no setting %q here; use one of %s", name, strings.Join(sortedNames(fields), ", ")))
+			c.fault(memberPath, fmt.Sprintf("there is no setting %q here; use one of %s", name, strings.Join(sortedNames(fields), ", ")))
 			continue
 		}
-		c.checkField(at, &m.Value, field)
+		c.checkField(memberPath, &m.Value, field)
 	}
 }
 
@@ -118,13 +118,13 @@
 		c.checkFields(path, value, reflect.New(field).Elem().Interface())
 		return
 	}
-	standard := value.Clone()
-	standard.Standardize()
-	err := json.Unmarshal(standard.Pack(), reflect.New(field).Interface())
-	var wrong *json.UnmarshalTypeError
+	standardized := value.Clone()
+	standardized.Standardize()
+	err := json.Unmarshal(standardized.Pack(), reflect.New(field).Interface())
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &wrong):
-		c.fault(path, fmt.Sprintf("a %s does not go here; give a %s", wrong.Value, wrong.Type))
+	case errors.As(err, &typeErr):
+		c.fault(path, fmt.Sprintf("a %s does not go here; give a %s", typeErr.Value, typeErr.Type))
 	case err != nil:
 		c.fault(path, err.Error())
 	}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -138,13 +138,13 @@
 
 // Merge returns a copy of the policy in which the entries of other take precedence.
 func (p Policy) Merge(other Policy) Policy {
-	both := maps.Clone(other)
+	merged := maps.Clone(other)
 	for name, value := range p {
 		if _, named := other[name]; !named {
-			both[name] = value
+			merged[name] = value
 		}
 	}
-	return both
+	return merged
 }
 
 // LogLevel is the lowest severity that is logged.
@@ -232,11 +232,11 @@
 	if len(c.faults) > 0 {
 		return Settings{}, c.sorted()
 	}
-	standard, err := hujson.Standardize(bytes.Clone(text))
+	standardized, err := hujson.Standardize(bytes.Clone(text))
 	if err != nil {
 		return Settings{}, syntaxFaults(err)
 	}
-	if err := json.Unmarshal(standard, &s); err != nil {
+	if err := json.Unmarshal(standardized, &s); err != nil {
 		return Settings{}, syntaxFaults(err)
 	}
 	c.checkValues(s)
@@ -300,8 +300,8 @@
 }
 
 func (c *checker) checkTLS(t TLS) {
-	named := t.Certificate != "" && t.Key != "" && t.Authority != ""
-	c.require(named || t.PlainText, "/tls", "tls needs certificate, key and authority; or set plain_text to true to go without")
+	configured := t.Certificate != "" && t.Key != "" && t.Authority != ""
+	c.require(configured || t.PlainText, "/tls", "tls needs certificate, key and authority; or set plain_text to true to go without")
 	c.require(!t.PlainText || t.Certificate == "", "/tls/plain_text", "plain_text goes without a certificate; drop one of them")
 }
 
