--- a/cmd/spoolbank/cmd/apply.go
+++ b/cmd/spoolbank/cmd/apply.go
@@ -14,7 +14,7 @@
 	"github.com/spoolbank/spoolbank/query"
 )
 
-// applyCommand sends the statements of a file, one a line.
+// applyCommand sends the statements of a file, one per line.
 func (r *root) applyCommand() *ff.Command {
 	var c commandFlags
 	flags := ff.NewFlagSet("apply").SetParent(r.flags)
@@ -44,24 +44,24 @@
 	if err != nil {
 		return err
 	}
-	first := c.number
+	firstNumber := c.number
 	for i, l := range lines {
-		if first != 0 {
-			c.number = first + uint64(i)
+		if firstNumber != 0 {
+			c.number = firstNumber + uint64(i)
 		}
 		last := i == len(lines)-1
-		each := c
+		flags := c
 		if !last {
-			each.wait = 0
+			flags.wait = 0
 		}
-		if err := r.run(ctx, each, l.text); err != nil {
+		if err := r.run(ctx, flags, l.text); err != nil {
 			return fmt.Errorf("line %d: %w", l.number, err)
 		}
 	}
 	return nil
 }
 
-// readLines reads a whole file and parses it before anything is sent.
+// readLines reads and parses the whole file, so that nothing is sent if any line is invalid.
 func (r *root) readLines(path string) ([]line, error) {
 	input := r.stdin
 	if path != "-" {
--- a/cmd/spoolbank/cmd/policy.go
+++ b/cmd/spoolbank/cmd/policy.go
@@ -14,7 +14,7 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// policyCommand names the mechanisms of the decision logic.
+// policyCommand lists the mechanisms of the decision logic, or shows the policy of a VM.
 func (r *root) policyCommand() *ff.Command {
 	return &ff.Command{
 		Name:      "policy",
@@ -42,9 +42,9 @@
 	return t.Flush()
 }
 
-// showPolicy prints what differs from the default at a running VM.
+// showPolicy prints the switches of a running VM that differ from the default.
 func (r *root) showPolicy(ctx context.Context, vm string) error {
-	text, err := r.dumpOf(ctx, vm)
+	text, err := r.fetchDump(ctx, vm)
 	if err != nil {
 		return err
 	}
@@ -60,13 +60,13 @@
 	return nil
 }
 
-// dumpOf returns the state of a process as JSON.
-func (r *root) dumpOf(ctx context.Context, vm string) ([]byte, error) {
-	keys, err := r.keys()
+// fetchDump fetches the state of a process as JSON.
+func (r *root) fetchDump(ctx context.Context, vm string) ([]byte, error) {
+	keys, err := r.loadKeys()
 	if err != nil {
 		return nil, err
 	}
-	address, err := r.addressOf(ctx, vm)
+	address, err := r.resolveAddress(ctx, vm)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/spoolbank/cmd/run.go
+++ b/cmd/spoolbank/cmd/run.go
@@ -15,7 +15,7 @@
 	"github.com/spoolbank/spoolbank/query"
 )
 
-// commandFlags are the flags of whatever sends commands.
+// commandFlags are the flags of the subcommands that send statements.
 type commandFlags struct {
 	operator string
 	number   uint64
@@ -74,20 +74,20 @@
 	return r.print(c, result)
 }
 
-// showLocal asks each entry VM for what only it knows.
+// showLocal queries each entry VM for its own rows of a list and merges them.
 func (r *root) showLocal(ctx context.Context, c commandFlags, text string) error {
 	vms, err := r.operate(ctx, wire.OperateRequest{Text: "show vms where state != lost"})
 	if err != nil {
 		return err
 	}
-	keys, err := r.keys()
+	keys, err := r.loadKeys()
 	if err != nil {
 		return err
 	}
 	merged := core.Result{Kind: core.ResultTable, Revision: vms.Revision}
 	for _, row := range vms.Table.Rows {
 		address := row[len(row)-1]
-		reply, err := r.ask(ctx, keys, address, c.request(text))
+		reply, err := r.send(ctx, keys, address, c.request(text))
 		if err != nil {
 			fmt.Fprintf(r.stderr, "spoolbank: %s did not answer: %v\n", row[0], err)
 			continue
--- a/cmd/spoolfake/main.go
+++ b/cmd/spoolfake/main.go
@@ -1,5 +1,5 @@
-// Command spoolfake runs the stand-ins of the systems outside spoolbank, and
-// bursts of callers, for trials and the demo.
+// Command spoolfake runs fakes of the systems outside spoolbank, and a load
+// generator, for trials and the demo.
 package main
 
 import (
@@ -42,7 +42,7 @@
 	}
 }
 
-// serve serves until the process is asked to end.
+// serve serves HTTP until ctx is cancelled.
 func serve(ctx context.Context, address string, handler http.Handler) error {
 	server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 	context.AfterFunc(ctx, func() { server.Close() })
@@ -63,7 +63,7 @@
 	flags.IntVar(&o.Slots, 0, "slots", 24, "streams that its memory holds")
 	flags.BoolVar(&o.Fence, 0, "fence", "check the fence of orders")
 	flags.DurationVar(&o.LoadTime, 0, "load-time", 50*time.Millisecond, "time to load a range")
-	flags.DurationVar(&o.ReportLag, 0, "report-lag", 200*time.Millisecond, "age of load reports")
+	flags.DurationVar(&o.ReportInterval, 0, "report-lag", 200*time.Millisecond, "age of load reports")
 	flags.DurationVar(&o.LinkDelay, 0, "link-delay", 0, "delay of each hop")
 	return &ff.Command{Name: "engine", ShortHelp: "a model engine", Flags: flags, Exec: func(ctx context.Context, _ []string) error {
 		return serve(ctx, listen, fake.NewEngine(o).Handler())
@@ -94,19 +94,19 @@
 	}}
 }
 
-// loadFlags are the flags of a burst.
+// loadFlags are the flags of the load command.
 type loadFlags struct {
-	options load.Options
-	entries string
-	keys    int
-	layers  int
+	options       load.Options
+	entries       string
+	organisations int
+	layers        int
 }
 
 func loadCommand(parent *ff.FlagSet) *ff.Command {
 	var l loadFlags
 	flags := ff.NewFlagSet("load").SetParent(parent)
 	flags.StringVar(&l.entries, 0, "entries", "127.0.0.1:8001", "callers' addresses, with commas")
-	flags.IntVar(&l.keys, 0, "organisations", 10, "number of organisations, whose keys are key-0, key-1, ...")
+	flags.IntVar(&l.organisations, 0, "organisations", 10, "number of organisations, whose keys are key-0, key-1, ...")
 	flags.StringVar(&l.options.Pipeline, 0, "pipeline", "digest", "pipeline")
 	flags.IntVar(&l.options.Requests, 0, "requests", 500, "number of requests")
 	flags.DurationVar(&l.options.Spread, 0, "spread", time.Second, "time over which they arrive")
@@ -120,7 +120,7 @@
 
 func runLoad(ctx context.Context, l loadFlags) error {
 	l.options.Entries = strings.Split(l.entries, ",")
-	for i := range l.keys {
+	for i := range l.organisations {
 		l.options.Keys = append(l.options.Keys, fmt.Sprintf("key-%d", i))
 	}
 	l.options.Expected = func(prompt string) string {
@@ -131,9 +131,9 @@
 }
 
 func printReport(r load.Report) error {
-	fmt.Printf("took %.2fs  tokens %d  tokens/s %.0f  resumed %d\n", r.Took.Seconds(), r.Tokens, float64(r.Tokens)/r.Took.Seconds(), r.Resumed)
-	fmt.Printf("first token   p50 %6.1f ms  p95 %6.1f ms  max %6.1f ms\n", millis(r.First.ValueAtQuantile(50)), millis(r.First.ValueAtQuantile(95)), millis(r.First.Max()))
-	fmt.Printf("between       p50 %6.1f ms  p95 %6.1f ms  max %6.1f ms\n", millis(r.Gap.ValueAtQuantile(50)), millis(r.Gap.ValueAtQuantile(95)), millis(r.Gap.Max()))
+	fmt.Printf("took %.2fs  tokens %d  tokens/s %.0f  resumed %d\n", r.Elapsed.Seconds(), r.Tokens, float64(r.Tokens)/r.Elapsed.Seconds(), r.Resumed)
+	fmt.Printf("first token   p50 %6.1f ms  p95 %6.1f ms  max %6.1f ms\n", millis(r.FirstToken.ValueAtQuantile(50)), millis(r.FirstToken.ValueAtQuantile(95)), millis(r.FirstToken.Max()))
+	fmt.Printf("between       p50 %6.1f ms  p95 %6.1f ms  max %6.1f ms\n", millis(r.TokenGap.ValueAtQuantile(50)), millis(r.TokenGap.ValueAtQuantile(95)), millis(r.TokenGap.Max()))
 	for kind, count := range r.Refusals {
 		fmt.Printf("refused %-24s %d\n", kind, count)
 	}
