--- a/cmd/spoolbank/cmd/bound.go
+++ b/cmd/spoolbank/cmd/bound.go
@@ -88,13 +88,13 @@
 	t := tabwriter.NewWriter(r.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "\tanswers in progress\tanswers a second\ttime of one\tleast copies")
 	for _, lost := range []int{0, losses} {
-		most := f.Engine.MostAfter(targets, lost)
+		most := f.Engine.UpperBoundAfterLosses(targets, lost)
 		fmt.Fprintf(t, "at most, without %d\t%.0f\t%.0f by memory, %.0f by work\t\t\n", lost, most.Answers, most.RateByMemory, most.RateByWork)
-		holds := f.Engine.HoldAfter(held, lost)
+		holds := f.Engine.CapacityAfterLosses(held, lost)
 		fmt.Fprintf(t, "plan, without %d\t%.0f\t%.0f\t%s\t%d\n", lost, holds.Answers, holds.Rate, holds.Time.Round(10*time.Millisecond), holds.Copies)
 	}
 	if rate > 0 {
-		needed, borne := f.Engine.Needed(held, rate)
+		needed, borne := f.Engine.AnswersAtRate(held, rate)
 		if !borne {
 			fmt.Fprintf(t, "at the rate\tnot borne\t%.0f\t\t\n", rate)
 			return t.Flush()
--- a/cmd/spoolbank/cmd/client.go
+++ b/cmd/spoolbank/cmd/client.go
@@ -73,7 +73,7 @@
 	return hinted
 }
 
-func (r *root) send(ctx context.Context, keys wire.Keys, address string, request wire.OperateRequest) (wire.OperateReply, error) {
+func (r *root) send(ctx context.Context, keys wire.Credentials, address string, request wire.OperateRequest) (wire.OperateReply, error) {
 	wait := time.Duration(request.WaitMillis) * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+wait)
 	defer cancel()
--- a/cmd/spoolbank/cmd/root.go
+++ b/cmd/spoolbank/cmd/root.go
@@ -100,12 +100,12 @@
 	return exitUsage
 }
 
-func (r *root) loadKeys() (wire.Keys, error) {
+func (r *root) loadKeys() (wire.Credentials, error) {
 	if r.plainText {
-		return wire.Keys{}, nil
+		return wire.Credentials{}, nil
 	}
 	if r.certificate == "" {
-		return wire.Keys{}, &exitError{exitUsage, errors.New("no certificate; give --certificate, --key and --authority, or --plain-text")}
+		return wire.Credentials{}, &exitError{exitUsage, errors.New("no certificate; give --certificate, --key and --authority, or --plain-text")}
 	}
-	return wire.LoadKeys(r.certificate, r.key, r.authority)
+	return wire.LoadCredentials(r.certificate, r.key, r.authority)
 }
--- a/cmd/spoolfake/main.go
+++ b/cmd/spoolfake/main.go
@@ -111,7 +111,7 @@
 	flags.IntVar(&l.options.Requests, 0, "requests", 500, "number of requests")
 	flags.DurationVar(&l.options.Spread, 0, "spread", time.Second, "time over which they arrive")
 	flags.IntVar(&l.options.MaxTokens, 0, "max-tokens", 32, "length of an answer")
-	flags.DurationVar(&l.options.Patience, 0, "patience", 50*time.Second, "how long a caller goes on trying")
+	flags.DurationVar(&l.options.RetryTimeout, 0, "patience", 50*time.Second, "how long a caller goes on trying")
 	flags.IntVar(&l.layers, 0, "layers", 24, "layers of the model")
 	return &ff.Command{Name: "load", ShortHelp: "a burst of callers that check their answers", Flags: flags, Exec: func(ctx context.Context, _ []string) error {
 		return runLoad(ctx, l)
@@ -140,8 +140,8 @@
 	for _, f := range r.Faults {
 		fmt.Println("fault:", f)
 	}
-	fmt.Printf("demo: asked=%d whole=%d refused=%d lost=%d doubled=%d wrong=%d\n", r.Asked, r.Whole, r.Refused, r.Lost, r.Doubled, r.Wrong)
-	if r.Lost+r.Doubled+r.Wrong > 0 || r.Whole+r.Refused != r.Asked {
+	fmt.Printf("demo: asked=%d whole=%d refused=%d lost=%d doubled=%d wrong=%d\n", r.Asked, r.Completed, r.Refused, r.Lost, r.Duplicated, r.Wrong)
+	if r.Lost+r.Duplicated+r.Wrong > 0 || r.Completed+r.Refused != r.Asked {
 		return errors.New("answers were lost, doubled or wrong")
 	}
 	return nil
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -130,8 +130,8 @@
 // Err returns why suspensions of this VM can't be detected, or nil.
 func Err() error { return detectionErr }
 
-// Use makes this process read other clocks until restore is called, for tests.
-func Use(source Source) (restore func(), err error) {
+// SetSource makes this process read other clocks until restore is called, for tests.
+func SetSource(source Source) (restore func(), err error) {
 	s, err := NewSuspensions(source)
 	before := processSuspensions.Swap(s)
 	return func() { processSuspensions.Store(before) }, err
@@ -140,8 +140,8 @@
 // Now returns the time, including the suspensions that were sampled last.
 func Now() time.Time { return time.Now().Add(processSuspensions.Load().Total()) }
 
-// Sampled returns the time, after it has checked whether the VM was suspended.
-func Sampled() time.Time { return time.Now().Add(processSuspensions.Load().Sample()) }
+// SampleNow returns the time, after it has checked whether the VM was suspended.
+func SampleNow() time.Time { return time.Now().Add(processSuspensions.Load().Sample()) }
 
 // Suspended returns the total time that this VM was suspended since the process started, as
 // sampled last.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -63,13 +63,13 @@
 // monotonic clock was stopped.
 func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	m := &fakeClocks{}
-	restore, err := clock.Use(m.read)
+	restore, err := clock.SetSource(m.read)
 	require.NoError(t, err)
 	defer restore()
-	until := clock.Sampled().Add(3 * time.Second)
+	until := clock.SampleNow().Add(3 * time.Second)
 	require.True(t, clock.Now().Before(until))
 	m.boot += 4 * time.Second
-	require.False(t, clock.Sampled().Before(until))
+	require.False(t, clock.SampleNow().Before(until))
 	require.False(t, clock.Now().Before(until), "Now must include the suspension that Sampled found")
 	require.Negative(t, clock.Until(until))
 	require.False(t, clock.ToRuntime(until).After(time.Now()))
--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -16,8 +16,8 @@
 // within sweepEvery. A refusal here precedes every dispatch, so it states "ran: no",
 // and the request has left the queue for good.
 
-// waiting is work queued for a route: a stream or a call.
-type waiting struct {
+// queuedWork is work queued for a route: a stream or a call.
+type queuedWork struct {
 	organisation string
 	class        config.Class
 	// weight is the organisation's share; cost is the requested amount of work.
@@ -33,7 +33,7 @@
 	call   *call
 }
 
-func (w *waiting) isDropped() bool { return w.dropped }
+func (w *queuedWork) isDropped() bool { return w.dropped }
 
 // rankCount is the number of priorities of a queue: two for each class.
 const rankCount = 2 * config.ClassCount
@@ -41,7 +41,7 @@
 // rank returns the priority of queued work: by class, and within a class calls
 // that may not be repeated last, so that lookups are served while submissions
 // pile up.
-func (w *waiting) rank() int {
+func (w *queuedWork) rank() int {
 	rank := 2 * int(w.class)
 	if w.isSubmission() {
 		rank++
@@ -50,7 +50,7 @@
 }
 
 // isSubmission reports whether the work is a call that may not be repeated.
-func (w *waiting) isSubmission() bool { return w.call != nil && !w.call.repeatable }
+func (w *queuedWork) isSubmission() bool { return w.call != nil && !w.call.repeatable }
 
 // queueLimit bounds the queued work of one pool.
 const queueLimit = 20000
@@ -60,11 +60,11 @@
 func (n *Node) checkServing() (Refusal, bool) {
 	if n.stopping && !n.now.Before(n.entry.leaveAt) {
 		return refusal(RefusedLeaving, RanNo, "this entry VM is being stopped", "send the request to one of the other addresses").
-			WithRetryAt(n.now).WithOthers(n.others()), false
+			WithRetryAt(n.now).WithOthers(n.otherEntryAddresses()), false
 	}
 	if !n.hasLease() {
 		return refusal(RefusedNoLease, RanNo, "this entry VM has no lease from the control VMs", "send the request to one of the other addresses, or come back").
-			WithRetryAt(n.now.Add(n.settings.Timing.RenewEvery)).WithOthers(n.others()), false
+			WithRetryAt(n.now.Add(n.settings.Timing.RenewInterval)).WithOthers(n.otherEntryAddresses()), false
 	}
 	return Refusal{}, true
 }
@@ -81,7 +81,7 @@
 }
 
 // admit queues work, or returns the refusal.
-func (n *Node) admit(p *pool, w *waiting) (Refusal, bool) {
+func (n *Node) admit(p *pool, w *queuedWork) (Refusal, bool) {
 	org, _ := n.entry.config.Organisations.Get(w.organisation)
 	if !n.now.Before(w.deadline) {
 		return refusal(RefusedDeadline, RanNo, "the deadline has passed", "send it again with a later deadline"), false
@@ -91,15 +91,15 @@
 			WithRetryAt(n.retryTime(p)), false
 	}
 	wait := p.waitTime(n.now, p.queue.costAhead(w.rank(), w.organisation, w.weight))
-	if p.queue.length >= queueLimit || n.now.Add(wait).After(p.latest(w)) {
+	if p.queue.length >= queueLimit || n.now.Add(wait).After(p.latestStart(w)) {
 		return refusal(RefusedOverload, RanNo, "it could not be served before its deadline", "come back at the given time, or give a later deadline").
 			WithRetryAt(n.retryTime(p)), false
 	}
-	if refusal, backoffs := n.poolBackoffs(p, w); backoffs {
+	if refusal, backoffs := n.poolBackoffRefusal(p, w); backoffs {
 		return refusal, false
 	}
 	n.wantPermits(p)
-	if refusal, limited := n.poolLimited(p, w, float64(p.queue.length)); limited {
+	if refusal, limited := n.poolLimitRefusal(p, w, float64(p.queue.length)); limited {
 		return refusal, false
 	}
 	p.queue.push(w.rank(), w.organisation, w.weight, w.cost, w)
@@ -110,7 +110,7 @@
 
 // readmit queues work again after a target refused it. It has no cost this time,
 // since its flow has already been charged for it.
-func (p *pool) readmit(w *waiting, avoid string) *waiting {
+func (p *pool) readmit(w *queuedWork, avoid string) *queuedWork {
 	again := *w
 	again.avoid = avoid
 	p.queue.push(again.rank(), again.organisation, again.weight, 0, &again)
@@ -148,7 +148,7 @@
 	}
 }
 
-func (n *Node) startWork(p *pool, r *route, w *waiting) {
+func (n *Node) startWork(p *pool, r *route, w *queuedWork) {
 	name, stages := r.name, r.stages
 	n.reserve(p.name, name, stages)
 	if w.stream != nil {
@@ -184,23 +184,23 @@
 	n.startQueued(p)
 }
 
-// latest returns the latest start that meets the deadline. Work started later would
+// latestStart returns the latest start that meets the deadline. Work started later would
 // take capacity from work that can still succeed, and then be discarded.
-func (p *pool) latest(w *waiting) time.Time { return w.deadline.Add(-p.serviceTime(w.cost)) }
+func (p *pool) latestStart(w *queuedWork) time.Time { return w.deadline.Add(-p.serviceTime(w.cost)) }
 
-func (n *Node) expire(p *pool, w *waiting) {
-	if refusal, backoffs := n.poolBackoffs(p, w); backoffs && !w.dropped {
+func (n *Node) expire(p *pool, w *queuedWork) {
+	if refusal, backoffs := n.poolBackoffRefusal(p, w); backoffs && !w.dropped {
 		n.refuseQueued(w, refusal)
 		return
 	}
-	if w.dropped || n.now.Before(p.latest(w)) {
+	if w.dropped || n.now.Before(p.latestStart(w)) {
 		return
 	}
 	n.refuseQueued(w, refusal(RefusedDeadline, RanNo, "it waited until it could no longer be served before its deadline", "come back at the given time").WithRetryAt(n.retryTime(p)))
 }
 
 // refuseQueued refuses work that has not begun.
-func (n *Node) refuseQueued(w *waiting, r Refusal) {
+func (n *Node) refuseQueued(w *queuedWork, r Refusal) {
 	w.dropped = true
 	if w.stream != nil {
 		n.failStream(w.stream, r)
--- a/internal/core/backoffs.go
+++ b/internal/core/backoffs.go
@@ -29,7 +29,7 @@
 func (n *Node) backoffsTable() Table {
 	t := Table{Columns: []string{"vm", "target", "until"}}
 	for _, r := range n.entry.findings.BackedOff {
-		t.add(n.settings.Self.VM, r.Target, wall(r.Until).Format(time.RFC3339))
+		t.add(n.settings.Self.VM, r.Target, wallClock(r.Until).Format(time.RFC3339))
 	}
 	return t
 }
@@ -52,25 +52,25 @@
 	t := n.target(name)
 	if until.After(t.backoffUntil) {
 		t.backoffUntil = until
-		n.note("target has asked this VM to back off until "+wall(until).Format(time.RFC3339), name)
+		n.note("target has asked this VM to back off until "+wallClock(until).Format(time.RFC3339), name)
 	}
 }
 
-// backoffs reports whether a target currently accepts no calls from this VM.
-func (n *Node) backoffs(name string) bool {
+// backedOff reports whether a target currently accepts no calls from this VM.
+func (n *Node) backedOff(name string) bool {
 	t, ok := n.entry.targets[name]
 	return ok && n.now.Before(t.backoffUntil)
 }
 
-func (n *Node) routeBackoffs(r *route) bool {
-	return slices.ContainsFunc(r.stages, func(s Stage) bool { return n.backoffs(s.Target) })
+func (n *Node) routeBackedOff(r *route) bool {
+	return slices.ContainsFunc(r.stages, func(s Stage) bool { return n.backedOff(s.Target) })
 }
 
 // backoffEnds returns when the first route of a pool is past its backoff, and whether all of
 // its routes have one.
 func (n *Node) backoffEnds(p *pool) (first time.Time, all bool) {
 	for _, r := range p.routes {
-		if !n.routeBackoffs(r) {
+		if !n.routeBackedOff(r) {
 			return time.Time{}, false
 		}
 		end := n.now
@@ -91,12 +91,12 @@
 	return a
 }
 
-// poolBackoffs returns the refusal of work that can't start in time because every route of the
+// poolBackoffRefusal returns the refusal of work that can't start in time because every route of the
 // pool has a backoff. The caller is to retry after the first backoff ends, spread over the same
 // time again.
-func (n *Node) poolBackoffs(p *pool, w *waiting) (Refusal, bool) {
+func (n *Node) poolBackoffRefusal(p *pool, w *queuedWork) (Refusal, bool) {
 	first, all := n.backoffEnds(p)
-	if !all || first.Before(p.latest(w)) {
+	if !all || first.Before(p.latestStart(w)) {
 		return Refusal{}, false
 	}
 	spread := max(first.Sub(n.now), time.Second)
--- a/internal/core/backoffs_test.go
+++ b/internal/core/backoffs_test.go
@@ -38,7 +38,7 @@
 // Each entry VM shows the targets that it backs off from.
 func TestShowBackoffs(t *testing.T) {
 	f := started(t, smallFleet)
-	f.found["e0-0"] = relay.Findings{BackedOff: []relay.TargetBackedOff{{Target: "i-1", Until: f.now.Add(time.Hour)}}}
+	f.found["e0-0"] = relay.Findings{BackedOff: []relay.BackedOffTarget{{Target: "i-1", Until: f.now.Add(time.Hour)}}}
 	f.run(time.Second)
 	statement, err := query.Parse("show backoffs")
 	require.NoError(t, err)
@@ -56,7 +56,7 @@
 func TestRunnerInBackoffReceivesNoCalls(t *testing.T) {
 	w := newWorld(t, 41, 3, 1)
 	w.setUp()
-	w.settled()
+	w.waitForVoters()
 	w.backoffs["s1"] = w.now.Add(30 * time.Second)
 	for i := range 40 {
 		a := w.lookUp("vm4", fmt.Sprintf("first%d", i))
--- a/internal/core/bed_test.go
+++ b/internal/core/bed_test.go
@@ -213,7 +213,7 @@
 	state := b.state
 	b.step(i, core.Received{Envelope: core.Envelope{From: core.ReplicaID{VM: "c1"}, Body: core.Message{Grant: &core.Grant{
 		To:   1,
-		Term: 1, Number: number, Revision: state.Revision, State: &state, ViewVersion: 1, View: benchView(len(b.nodes)), ViewWhole: true,
+		Term: 1, Number: number, Revision: state.Revision, State: &state, ViewVersion: 1, View: benchView(len(b.nodes)), ViewComplete: true,
 	}}}})
 }
 
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -96,7 +96,7 @@
 	r.step(core.Tick{})
 	r.step(core.Received{Envelope: core.Envelope{From: core.ReplicaID{VM: "c1"}, To: "vm000", Body: core.Message{Grant: &core.Grant{
 		To:   1,
-		Term: 1, Number: r.asked, Revision: state.Revision, State: &state, ViewVersion: 1, View: view, ViewWhole: true,
+		Term: 1, Number: r.asked, Revision: state.Revision, State: &state, ViewVersion: 1, View: view, ViewComplete: true,
 	}}}})
 	return r
 }
@@ -119,7 +119,7 @@
 		case core.Emit:
 			r.shown += len(e.Tokens)
 		case core.Watch:
-			replies = append(replies, core.Watched{Report: core.TargetReport{Target: e.Target, Reached: true, Holding: 7}})
+			replies = append(replies, core.Watched{Report: core.TargetReport{Target: e.Target, Reached: true, AppliedSequence: 7}})
 		case core.Send:
 			r.sent++
 			if e.Envelope.Body.Renew != nil {
@@ -224,7 +224,7 @@
 func newLeaderRig(t require.TestingT, targets, entries int) (*rig, []core.Envelope) {
 	r := &rig{t: t, now: epochStart}
 	self := core.ReplicaID{VM: "c1", Incarnation: 1}
-	machine := core.Machine{Config: benchConfig(t, targets, 330)}
+	machine := core.StateMachine{Config: benchConfig(t, targets, 330)}
 	r.node = core.New(core.Settings{
 		Self: self, Cluster: "c", Control: true, ControlVMs: []core.VMName{"c1"}, Voters: 1, SnapshotEvery: 1000, Timing: core.DefaultTiming(), Seed: 1,
 	}, core.Recovered{Snapshot: core.Snapshot{Index: 1, Term: 1, Members: core.NewMembership(self), Machine: machine}}, r.now)
--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -29,7 +29,7 @@
 	service      config.Service
 	repeatable   bool
 	phase        phase
-	queued       *waiting
+	queued       *queuedWork
 	pool         string
 	route        string
 	stages       []Stage
@@ -75,7 +75,7 @@
 	if !ok || p == nil {
 		if r, ok := n.checkServing(); !ok {
 			if a.Returnable {
-				r = r.WithDoubt()
+				r = r.WithUnknownOutcome()
 			}
 			n.emit(Refuse{Conn: a.Conn, ID: a.ID, Refusal: r})
 			return
@@ -96,7 +96,7 @@
 		return
 	}
 	n.entry.budget.earn()
-	c.queued = &waiting{
+	c.queued = &queuedWork{
 		organisation: org.Name,
 		class:        service.Class,
 		weight:       n.weightOf(org.Name),
@@ -156,7 +156,7 @@
 
 func (n *Node) requestClaim(c *call) {
 	c.retryAt = n.now.Add(claimRetryInterval)
-	leader := n.entry.tenure.leader
+	leader := n.entry.lease.leader
 	if leader == "" {
 		return
 	}
@@ -221,7 +221,7 @@
 // asked to back off since it was picked, or has set a limit since and this VM has no permit.
 func (n *Node) dispatchCall(c *call) {
 	runner := c.stages[0].Target
-	if n.backoffs(runner) || !c.permitted && !n.entry.limits.Take(runnerID(runner), n.now) {
+	if n.backedOff(runner) || !c.permitted && !n.entry.limits.Take(runnerID(runner), n.now) {
 		n.retryCall(c, runner)
 		return
 	}
@@ -233,7 +233,7 @@
 		Target:   c.stages[0].Target,
 		Address:  c.stages[0].Address,
 		Deadline: c.asked.Deadline,
-		NotAfter: n.entry.tenure.until,
+		NotAfter: n.entry.lease.until,
 	})
 }
 
@@ -244,7 +244,7 @@
 		return
 	}
 	n.backOffTarget(e.Target, e.BackoffUntil)
-	n.hearLimit(e.Target, e.Limit)
+	n.recordLimit(e.Target, e.Limit)
 	p := n.entry.pools[c.pool]
 	switch e.Result {
 	case ResultDone:
@@ -335,14 +335,14 @@
 
 // peek queries the state of a claim before a refusal is sent.
 func (n *Node) peek(c *call, r Refusal) {
-	leader := n.entry.tenure.leader
+	leader := n.entry.lease.leader
 	if leader == "" || c.busy || c.phase == phaseClaiming {
-		n.endCall(c, r.WithDoubt())
+		n.endCall(c, r.WithUnknownOutcome())
 		return
 	}
 	c.phase = phasePeeking
 	c.refusal = &r
-	c.retryAt = n.now.Add(n.settings.Timing.PeerReply)
+	c.retryAt = n.now.Add(n.settings.Timing.PeerReplyTimeout)
 	n.deliver(leader, Message{Claim: &ClaimRequest{ID: c.asked.ID, Digest: c.asked.Digest, Peek: true}})
 }
 
@@ -358,7 +358,7 @@
 	case ClaimUnknown:
 		n.endCall(c, unknownRefusal())
 	default:
-		n.endCall(c, c.refusal.WithDoubt())
+		n.endCall(c, c.refusal.WithUnknownOutcome())
 	}
 }
 
@@ -402,7 +402,7 @@
 	for _, conn := range slices.Sorted(maps.Keys(n.entry.calls)) {
 		c := n.entry.calls[conn]
 		if c.phase == phasePeeking && !n.now.Before(c.retryAt) {
-			n.endCall(c, c.refusal.WithDoubt())
+			n.endCall(c, c.refusal.WithUnknownOutcome())
 			continue
 		}
 		if c.phase != phaseClaiming {
@@ -432,7 +432,7 @@
 
 func (n *Node) sendRecord(p *pendingRecord) {
 	p.retryAt = n.now.Add(claimRetryInterval)
-	if leader := n.entry.tenure.leader; leader != "" {
+	if leader := n.entry.lease.leader; leader != "" {
 		request := p.request
 		n.deliver(leader, Message{Record: &request})
 	}
--- a/internal/core/change_log.go
+++ b/internal/core/change_log.go
@@ -39,8 +39,8 @@
 	return changeLog[V]{first: first, last: first, sent: make(map[relay.TargetKey]sentValue[V]), differs: differs}
 }
 
-// take numbers the values that differ from those sent, in the order of the targets' keys.
-func (l *changeLog[V]) take(values map[relay.TargetKey]V) {
+// update numbers the values that differ from those sent, in the order of the targets' keys.
+func (l *changeLog[V]) update(values map[relay.TargetKey]V) {
 	var changed []relay.TargetKey
 	for key, now := range values {
 		if sent, known := l.sent[key]; !known || l.differs(sent.value, now) {
--- a/internal/core/change_log_test.go
+++ b/internal/core/change_log_test.go
@@ -21,7 +21,7 @@
 	lost := make(map[relay.TargetKey]bool)
 	for _, id := range f.ids {
 		if e := f.engines[id]; e.target.Hall == "hall2" {
-			e.beatAt = f.now.Add(time.Hour)
+			e.heartbeatAt = f.now.Add(time.Hour)
 			lost[id.Key()] = true
 		}
 	}
@@ -36,7 +36,7 @@
 	f.run(time.Second)
 	require.Less(t, f.kinds["Grant"], len(f.entries())*2000, "bytes of leases in a second")
 	for _, id := range f.ids {
-		f.engines[id].beatAt = f.now
+		f.engines[id].heartbeatAt = f.now
 	}
 	f.run(3 * time.Second)
 	for _, vm := range f.entries() {
@@ -95,8 +95,8 @@
 	}
 	f.until("all engines hold layers", 20*time.Second, func() bool {
 		for _, e := range f.engines {
-			if e.left > 0 {
-				e.left, e.beatAt = 1, f.now // loads immediately and reports it immediately
+			if e.remaining > 0 {
+				e.remaining, e.heartbeatAt = 1, f.now // loads immediately and reports it immediately
 			}
 		}
 		requireNoneMoving()
--- a/internal/core/common_start.go
+++ b/internal/core/common_start.go
@@ -99,19 +99,19 @@
 	r.commonStart.nextAsk = n.now.Add(commonStartEvery)
 	r.commonStart.lastAsk++
 	for _, id := range r.otherVoters() {
-		n.send(id.VM, Message{StartAsk: &StartAsk{Incarnation: n.settings.Seed, Number: r.commonStart.lastAsk}})
+		n.send(id.VM, Message{StartAsk: &StartQuery{Incarnation: n.settings.Seed, Number: r.commonStart.lastAsk}})
 	}
 }
 
 // handleStartAsk replies to another voter if this one has had no leader in its incarnation.
-func (n *Node) handleStartAsk(from ReplicaID, a StartAsk) {
+func (n *Node) handleStartAsk(from ReplicaID, a StartQuery) {
 	r := &n.replica
 	if r.commonStart.leaderSeen || !r.members.IsVoter(from) || !r.members.IsVoter(r.id) {
 		return
 	}
 	end := r.end()
 	n.sendAfterSync(from.VM, Message{StartReply: &StartReply{
-		AskedBy: a.Incarnation, Number: a.Number, Incarnation: n.settings.Seed, LastTerm: end.term, LastIndex: end.index,
+		RequesterIncarnation: a.Incarnation, Number: a.Number, Incarnation: n.settings.Seed, LastTerm: end.term, LastIndex: end.index,
 	}})
 }
 
@@ -119,7 +119,7 @@
 // start is confirmed and this voter takes precedence.
 func (n *Node) handleStartReply(from ReplicaID, s StartReply) {
 	r := &n.replica
-	if r.commonStart.leaderSeen || n.stopping || s.AskedBy != n.settings.Seed {
+	if r.commonStart.leaderSeen || n.stopping || s.RequesterIncarnation != n.settings.Seed {
 		return
 	}
 	if r.commonStart.started == nil {
--- a/internal/core/control_test.go
+++ b/internal/core/control_test.go
@@ -36,8 +36,8 @@
 	return count
 }
 
-// settled waits for a leader with three committed voters.
-func (w *world) settled() core.VMName {
+// waitForVoters waits for a leader with three committed voters.
+func (w *world) waitForVoters() core.VMName {
 	w.until("three voters", 60*time.Second, func() bool {
 		l := w.leader()
 		return l != "" && w.voters(l) == 3
@@ -48,7 +48,7 @@
 func TestCommandsAcceptedAfterLeaderCrash(t *testing.T) {
 	w := newWorld(t, 1, 3, 1)
 	w.setUp()
-	old := w.settled()
+	old := w.waitForVoters()
 	w.crash(old)
 	took := w.until("another leader", 10*time.Second, func() bool { return w.leader() != "" })
 	require.Equal(t, core.ResultAccepted, w.must("set organisation o weight=2", 100).Kind)
@@ -58,7 +58,7 @@
 func TestSuspendedLeaderServesNothingAfterResume(t *testing.T) {
 	w := newWorld(t, 2, 3, 1)
 	w.setUp()
-	old := w.settled()
+	old := w.waitForVoters()
 	w.suspend(old)
 	// This is the first event that the leader processes after it resumes, before
 	// any message of its successor.
@@ -76,7 +76,7 @@
 func TestVoterWithLostDiskRejoinsAndSecondLossIsTolerated(t *testing.T) {
 	w := newWorld(t, 3, 3, 1)
 	w.setUp()
-	leader := w.settled()
+	leader := w.waitForVoters()
 	lost := core.VMName("vm1")
 	if leader == lost {
 		lost = "vm2"
@@ -104,7 +104,7 @@
 func TestSpareReplacesLostVoter(t *testing.T) {
 	w := newWorld(t, 4, 4, 0)
 	w.setUp()
-	leader := w.settled()
+	leader := w.waitForVoters()
 	lost := core.VMName("")
 	for _, m := range w.vms[leader].node.Status().Members {
 		if m.Voter && m.ID.VM != leader {
@@ -131,7 +131,7 @@
 func TestConcurrentCommandsUnderOneNumber(t *testing.T) {
 	w := newWorld(t, 5, 3, 1)
 	w.setUp()
-	leader := w.settled()
+	leader := w.waitForVoters()
 	a := w.command(leader, "set organisation o weight=2", "op", 7, 0)
 	b := w.command(leader, "set organisation o weight=3", "op", 7, 0)
 	again := w.command(leader, "set organisation o weight=2", "op", 7, 0)
@@ -153,7 +153,7 @@
 func TestRestartOfAllVMsAfterHundredsOfChanges(t *testing.T) {
 	w := newWorld(t, 6, 3, 1)
 	w.setUp()
-	w.settled()
+	w.waitForVoters()
 	for i := range 300 {
 		w.command(w.leader(), "set organisation o weight=4", "op", uint64(i+1), 0)
 		if i%50 == 0 {
@@ -181,8 +181,8 @@
 func TestPlannedStopTransfersLeadershipAndCompletes(t *testing.T) {
 	w := newWorld(t, 7, 3, 1)
 	w.setUp()
-	old := w.settled()
-	requests := []*ask{w.stream(old, "a", "one two three", 0), w.stream(old, "b", "four", 0)}
+	old := w.waitForVoters()
+	requests := []*callerRequest{w.stream(old, "a", "one two three", 0), w.stream(old, "b", "four", 0)}
 	w.step(old, core.Stopping{})
 	took := w.until("another leader", 5*time.Second, func() bool { l := w.leader(); return l != "" && l != old })
 	require.Less(t, took, testTiming().ElectionMin, "a leadership transfer needs no election timeout")
@@ -206,7 +206,7 @@
 func TestLeaderWithQuorumKeepsLeadership(t *testing.T) {
 	w := newWorld(t, 16, 3, 0)
 	w.setUp()
-	leader := w.settled()
+	leader := w.waitForVoters()
 	follower := core.VMName("vm1")
 	if leader == follower {
 		follower = "vm2"
@@ -258,7 +258,7 @@
 func TestIsolatedEntryVMRefusesWhileOthersServe(t *testing.T) {
 	w := newWorld(t, 8, 3, 1)
 	w.setUp()
-	w.settled()
+	w.waitForVoters()
 	w.isolate("vm4", true)
 	w.advance(4 * time.Second)
 	a := w.stream("vm4", "x", "hello", 0)
@@ -274,7 +274,7 @@
 func TestStreamHasKeeperWhenPeersAreSlow(t *testing.T) {
 	w := newWorld(t, 9, 3, 1)
 	w.setUp()
-	w.settled()
+	w.waitForVoters()
 	a := w.stream("vm4", "slow", "a prompt", 0)
 	for _, other := range w.names[:3] {
 		w.cut[[2]core.VMName{"vm4", other}] = true
@@ -354,7 +354,7 @@
 func TestReplacedVoterReturnsAsSpare(t *testing.T) {
 	w := newWorld(t, 17, 4, 0)
 	w.setUp()
-	leader := w.settled()
+	leader := w.waitForVoters()
 	var lost core.VMName
 	for _, m := range w.vms[leader].node.Status().Members {
 		if m.Voter && m.ID.VM != leader {
@@ -388,7 +388,7 @@
 func TestRefusalReleasesNoSlotOfOrganisationLimit(t *testing.T) {
 	w := newWorld(t, 18, 3, 1)
 	w.setUp()
-	w.settled()
+	w.waitForVoters()
 	require.Equal(t, core.ResultAccepted, w.must("set organisation o limit=2", 500).Kind)
 	w.advance(time.Second)
 	for name := range w.engines {
--- a/internal/core/document.go
+++ b/internal/core/document.go
@@ -56,8 +56,8 @@
 		n.emit(Answer{Conn: p.Conn, Result: n.notLeader()})
 		return
 	}
-	if n.leading.documents.inFlight > 0 {
-		n.leading.documents.waiting = append(n.leading.documents.waiting, p)
+	if n.leader.documents.inFlight > 0 {
+		n.leader.documents.waiting = append(n.leader.documents.waiting, p)
 		return
 	}
 	current := n.machine.Config
@@ -67,14 +67,14 @@
 	}
 	// With a sole voter and a fast disk the entry may be applied before propose
 	// returns, so the document is recorded as in flight first.
-	n.leading.documents.inFlight = n.replica.log.last() + 1
-	n.leading.operators[n.leading.documents.inFlight] = &waiter{conn: p.Conn}
+	n.leader.documents.inFlight = n.replica.log.last() + 1
+	n.leader.operators[n.leader.documents.inFlight] = &waiter{conn: p.Conn}
 	n.propose(Entry{Changes: []config.Change{current.Document.Change(p.Document)}})
 }
 
 // documentApplied continues with the next queued document.
 func (n *Node) documentApplied(index Index) {
-	p := &n.leading.documents
+	p := &n.leader.documents
 	if p.inFlight != index || index == 0 {
 		return
 	}
@@ -88,10 +88,10 @@
 
 // dropDocuments answers the operators of queued documents that this VM does not lead.
 func (n *Node) dropDocuments() {
-	for _, p := range n.leading.documents.waiting {
+	for _, p := range n.leader.documents.waiting {
 		n.emit(Answer{Conn: p.Conn, Result: n.notLeader()})
 	}
-	n.leading.documents = documentQueue{}
+	n.leader.documents = documentQueue{}
 }
 
 // canAnswer reports whether this VM may answer for the control state. A new cluster
@@ -113,8 +113,8 @@
 	n.emit(DocumentAnswer{Conn: a.Conn, Result: Result{Kind: ResultAccepted, Revision: c.Revision}, Document: c.Document})
 }
 
-// decoded caches the newest document that was decoded.
-type decoded struct {
+// documentCache caches the newest document that was decoded.
+type documentCache struct {
 	version  uint64
 	document *relay.Document
 }
@@ -122,7 +122,7 @@
 // read decodes a document, once for each version. An accepted text that cannot be
 // decoded means that two VMs run different versions of the program: this is logged, and
 // the previous document stays.
-func (d *decoded) read(n *Node, doc config.Document) *relay.Document {
+func (d *documentCache) read(n *Node, doc config.Document) *relay.Document {
 	if doc.Version == d.version || n.settings.DecodeDocument == nil {
 		return d.document
 	}
@@ -136,8 +136,8 @@
 	return next
 }
 
-// documentTaken gives the runtime a new document that arrived with a lease.
-func (n *Node) documentTaken() {
+// documentReceived gives the runtime a new document that arrived with a lease.
+func (n *Node) documentReceived() {
 	newest := n.entry.config.Document
 	if newest.Version == 0 || newest.Version == n.entry.decoded.version {
 		return
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -55,7 +55,7 @@
 		if f.silent || f.now.Before(f.beatAt) {
 			continue
 		}
-		f.beatAt = f.now.Add(engineBeat)
+		f.beatAt = f.now.Add(heartbeatInterval)
 		f.target.Call++
 		f.speak(f.heartbeatsTo, f.target)
 	}
@@ -171,7 +171,7 @@
 	ready := f.target
 	ready.Call += 100
 	ready.Slots = 12
-	news := core.TargetNews{Incarnation: 99, Upto: 1, Targets: []relay.Target{ready}}
+	news := core.RegistryUpdate{Incarnation: 99, Upto: 1, Targets: []relay.Target{ready}}
 	f.step("e0-0", core.Received{Envelope: core.Envelope{From: core.ReplicaID{VM: "c1-1", Incarnation: 99}, To: "e0-0", Body: core.Message{TargetNews: &news}}})
 	require.Equal(t, ready.Slots, f.learned["e0-0"][drainingTarget].Slots)
 	require.True(t, f.learned["e0-0"][drainingTarget].Leaving)
--- a/internal/core/effect.go
+++ b/internal/core/effect.go
@@ -80,8 +80,8 @@
 	Class  config.Class
 	// Deadline is when the caller no longer needs the answer.
 	Deadline time.Time
-	// Silence is when the chain counts as failed unless it has answered.
-	Silence time.Time
+	// ReplyDeadline is when the chain counts as failed unless it has answered.
+	ReplyDeadline time.Time
 	// NotAfter is when the permission to start this run expires: a process that
 	// was suspended and resumes later must not start it.
 	NotAfter time.Time
@@ -106,8 +106,8 @@
 	Source *Stage
 	Prompt string
 	Tokens []Token
-	// Silence is when the engine counts as lost unless it has answered.
-	Silence time.Time
+	// ReplyDeadline is when the engine counts as lost unless it has answered.
+	ReplyDeadline time.Time
 }
 
 // Release informs engines that a stream has ended or was abandoned.
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -64,9 +64,9 @@
 	role       Role
 	leader     ReplicaID
 	electionAt time.Time
-	// heardAt is when a leader's message last arrived, or when this process started.
-	heardAt time.Time
-	votes   map[ReplicaID]bool
+	// lastContact is when a leader's message last arrived, or when this process started.
+	lastContact time.Time
+	votes       map[ReplicaID]bool
 	// nextJoin is when a replica without a leader asks again to join.
 	nextJoin time.Time
 
@@ -109,9 +109,9 @@
 	r.synced = r.log.last()
 	r.baseMembers = rec.Snapshot.Members
 	r.reloadMembers()
-	r.heardAt = n.now
+	r.lastContact = n.now
 	n.resetElection()
-	n.leading.snapshot = rec.Snapshot
+	n.leader.snapshot = rec.Snapshot
 	if rec.Snapshot.Index > 0 {
 		n.machine = rec.Snapshot.Machine.clone()
 	}
@@ -162,7 +162,7 @@
 // away, and then no leader contacts it. A leader ignores such requests of its members.
 func (n *Node) tickJoin() {
 	r := &n.replica
-	inContact := n.now.Before(r.heardAt.Add(n.settings.Timing.ElectionMax))
+	inContact := n.now.Before(r.lastContact.Add(n.settings.Timing.ElectionMax))
 	if n.now.Before(r.nextJoin) || r.members.Has(r.id) && inContact {
 		return
 	}
@@ -296,7 +296,7 @@
 	if r.role == Leader {
 		return n.now.Before(r.leaseUntil)
 	}
-	return n.now.Before(r.heardAt.Add(n.settings.Timing.ElectionMin))
+	return n.now.Before(r.lastContact.Add(n.settings.Timing.ElectionMin))
 }
 
 func (n *Node) wouldVote(from ReplicaID, v Vote) bool {
--- a/internal/core/engine_fleet_test.go
+++ b/internal/core/engine_fleet_test.go
@@ -28,17 +28,17 @@
 // loadingEngine is an engine that may be applying an order.
 type loadingEngine struct {
 	target relay.Target
-	// speaks is the control VM that the engine reports to.
-	speaks core.VMName
-	order  core.OrderLayers
-	// left is the remaining time of a load at full speed.
-	left   time.Duration
-	beatAt time.Time
+	// reportsTo is the control VM that the engine reports to.
+	reportsTo core.VMName
+	order     core.OrderLayers
+	// remaining is the remaining time of a load at full speed.
+	remaining   time.Duration
+	heartbeatAt time.Time
 }
 
 const (
-	// engineBeat is the users' heartbeat interval.
-	engineBeat = 1200 * time.Millisecond
+	// heartbeatInterval is the users' heartbeat interval.
+	heartbeatInterval = 1200 * time.Millisecond
 	// engineLoad is the load time of all layers before the first request: a tenth of
 	// the users' 14 s.
 	engineLoad = 1400 * time.Millisecond
@@ -74,9 +74,9 @@
 		hall := i / 10 % size.halls
 		f.ids = append(f.ids, id)
 		f.engines[id] = &loadingEngine{
-			target: relay.Target{ID: id, Service: "s", Address: fmt.Sprintf("10.1.%d.%d:8607", i/250, i%250), Hall: fmt.Sprintf("hall%d", hall), Accelerator: kind, Slots: 192},
-			speaks: core.VMName(fmt.Sprintf("c%d-%d", hall, i/10/size.halls%size.controls)),
-			beatAt: f.now.Add(engineBeat * time.Duration(i) / time.Duration(engines)),
+			target:      relay.Target{ID: id, Service: "s", Address: fmt.Sprintf("10.1.%d.%d:8607", i/250, i%250), Hall: fmt.Sprintf("hall%d", hall), Accelerator: kind, Slots: 192},
+			reportsTo:   core.VMName(fmt.Sprintf("c%d-%d", hall, i/10/size.halls%size.controls)),
+			heartbeatAt: f.now.Add(heartbeatInterval * time.Duration(i) / time.Duration(engines)),
 		}
 	}
 	slices.Sort(f.ids)
@@ -100,10 +100,10 @@
 	for _, o := range orders {
 		e := f.engines[o.Target]
 		outcome := core.OrderRefused
-		if e.left <= 0 {
+		if e.remaining <= 0 {
 			outcome = core.OrderBegun
 			e.order = o.OrderLayers
-			e.left = engineLoad * time.Duration(o.Layers.Len()) / 80
+			e.remaining = engineLoad * time.Duration(o.Layers.Len()) / 80
 			f.loads++
 			f.loading++
 		}
@@ -113,23 +113,23 @@
 
 func (f *engineFleet) tickEngine(e *loadingEngine) {
 	f.load(e)
-	if f.now.Before(e.beatAt) {
+	if f.now.Before(e.heartbeatAt) {
 		return
 	}
-	e.beatAt = f.now.Add(engineBeat)
+	e.heartbeatAt = f.now.Add(heartbeatInterval)
 	e.target.Call++
-	f.step(e.speaks, core.TargetSpoke{Conn: 1, Target: e.target})
+	f.step(e.reportsTo, core.TargetSpoke{Conn: 1, Target: e.target})
 }
 
 // load advances a load by one tick.
 func (f *engineFleet) load(e *loadingEngine) {
-	if e.left <= 0 {
+	if e.remaining <= 0 {
 		return
 	}
-	e.left -= tickEvery / time.Duration(max(1, (f.loading+f.atOnce-1)/max(f.atOnce, 1)*min(f.atOnce, 1)))
-	if e.left <= 0 {
+	e.remaining -= tickEvery / time.Duration(max(1, (f.loading+f.atOnce-1)/max(f.atOnce, 1)*min(f.atOnce, 1)))
+	if e.remaining <= 0 {
 		e.target.Layers = e.order.Layers
-		e.beatAt = f.now
+		e.heartbeatAt = f.now
 		f.loading--
 	}
 }
@@ -193,7 +193,7 @@
 	require.NoError(f.t, err)
 	var engines []relay.Target
 	for _, id := range f.ids {
-		if target := f.engines[id].target; target.Takes() {
+		if target := f.engines[id].target; target.AcceptsWork() {
 			engines = append(engines, target)
 		}
 	}
@@ -204,7 +204,7 @@
 		require.Equal(f.t, f.engines[id].target.Layers, known.Layers, "%s at %s", id, vm)
 		require.Equal(f.t, f.engines[id].target.Leaving, known.Leaving, "%s at %s", id, vm)
 	}
-	require.Less(f.t, len(f.learned[vm]), 3*3*relay.ShortlistLeast, "the shortlists of three halls, and two replacements for each engine")
+	require.Less(f.t, len(f.learned[vm]), 3*3*relay.MinShortlist, "the shortlists of three halls, and two replacements for each engine")
 }
 
 // Guards against late first copies of the model when 3,000 empty engines start and the weight
@@ -240,12 +240,12 @@
 		return d, err
 	}
 	for i, id := range f.ids {
-		f.engines[id].beatAt = f.now.Add(5*time.Second + time.Second*time.Duration(i)/320)
+		f.engines[id].heartbeatAt = f.now.Add(5*time.Second + time.Second*time.Duration(i)/320)
 	}
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
 	f.run(time.Second)
 	f.put(1)
-	f.run(f.engines[f.ids[0]].beatAt.Sub(f.now))
+	f.run(f.engines[f.ids[0]].heartbeatAt.Sub(f.now))
 	took := f.until("each hall has three copies", 20*time.Second, func() bool {
 		return f.copies("hall0") >= 3 && f.copies("hall1") >= 3 && f.copies("hall2") >= 3
 	})
@@ -301,7 +301,7 @@
 	f.run(3 * time.Second)
 	leaving := f.engines[f.ids[7]]
 	leaving.target.Leaving = true
-	leaving.beatAt = f.now
+	leaving.heartbeatAt = f.now
 	f.run(time.Second)
 	t.Log("bytes of messages on targets in 4 s", f.kinds["TargetNews"])
 	require.Less(t, f.kinds["TargetNews"], 6_000_000, "bytes of messages on targets in 4 s")
--- a/internal/core/entries.go
+++ b/internal/core/entries.go
@@ -53,8 +53,8 @@
 	return addresses[:min(len(addresses), maxEntryAddresses)]
 }
 
-// others returns the addresses of other entry VMs for callers.
-func (n *Node) others() []string {
+// otherEntryAddresses returns the addresses of other entry VMs for callers.
+func (n *Node) otherEntryAddresses() []string {
 	var addresses []string
 	for _, a := range n.preferredEntries(n.settings.Address.Hall) {
 		if a.VM != n.settings.Self.VM {
--- a/internal/core/entries_test.go
+++ b/internal/core/entries_test.go
@@ -59,9 +59,9 @@
 func TestNoEntryAddressesWithoutLease(t *testing.T) {
 	e := newEntryNode(core.Settings{})
 	view := []core.EntryView{{Address: core.EntryAddress{VM: "e2", Hall: "h", Callers: "10.0.0.2:80", Peers: "10.0.0.2:81"}}}
-	e.lease(t, core.Grant{To: 1, ViewVersion: 1, View: view, ViewWhole: true})
+	e.lease(t, core.Grant{To: 1, ViewVersion: 1, View: view, ViewComplete: true})
 	require.Len(t, e.addresses(t), 1)
-	e.now = e.now.Add(core.DefaultTiming().LeaseTerm)
+	e.now = e.now.Add(core.DefaultTiming().LeaseDuration)
 	require.Empty(t, e.addresses(t))
 }
 
@@ -75,7 +75,7 @@
 		name := core.VMName(fmt.Sprintf("e%04d", i))
 		view = append(view, core.EntryView{Address: core.EntryAddress{VM: name, Hall: fmt.Sprint("hall", i%halls), Callers: string(name)}, LoadLevel: i / halls % 2})
 	}
-	e.lease(t, core.Grant{To: 1, ViewVersion: 1, View: view, ViewWhole: true})
+	e.lease(t, core.Grant{To: 1, ViewVersion: 1, View: view, ViewComplete: true})
 	named := make(map[core.VMName]bool)
 	for range 200 {
 		for _, effect := range e.step(core.EntriesAsked{Conn: 1, Hall: "HALL3"}) {
@@ -112,12 +112,12 @@
 		}
 		return 0
 	}
-	e.lease(t, core.Grant{To: 1, ViewVersion: 1, View: view(false, "e2", "e3", "e4"), ViewWhole: true})
+	e.lease(t, core.Grant{To: 1, ViewVersion: 1, View: view(false, "e2", "e3", "e4"), ViewComplete: true})
 	require.Equal(t, 5*time.Second, kept())
 	e.lease(t, core.Grant{To: 1, ViewVersion: 2, View: view(true, "e4")})
-	e.lease(t, core.Grant{To: 1, ViewVersion: 3, Gone: []core.VMName{"e4"}})
+	e.lease(t, core.Grant{To: 1, ViewVersion: 3, Removed: []core.VMName{"e4"}})
 	require.Equal(t, 5*time.Second, kept(), "a draining VM isn't lost")
-	e.lease(t, core.Grant{To: 1, ViewVersion: 4, Gone: []core.VMName{"e3"}})
+	e.lease(t, core.Grant{To: 1, ViewVersion: 4, Removed: []core.VMName{"e3"}})
 	require.Equal(t, 9*time.Second, kept())
 	e.lease(t, core.Grant{To: 1, ViewVersion: 5, View: view(false, "e3")})
 	require.Equal(t, 5*time.Second, kept(), "the lost VM is back")
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -113,10 +113,10 @@
 	Target string
 	Result RunResult
 	Answer CallAnswer
-	// BackoffUntil is the end of the backoff that the target requests of this VM; zero where
+	// ParseBackoff is the end of the backoff that the target requests of this VM; zero where
 	// it requests none.
 	BackoffUntil time.Time
-	// Limit is the rate limit that the target reports; its HeardAt is zero where it reports none.
+	// Limit is the rate limit that the target reports; its ReceivedAt is zero where it reports none.
 	Limit relay.LimitAnswer
 }
 
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -19,7 +19,7 @@
 type client struct {
 	id, prompt string
 	call       bool
-	requests   []*ask
+	requests   []*callerRequest
 	// processed counts the requests whose outcome has been processed.
 	processed int
 	nextVM    int
@@ -64,7 +64,7 @@
 }
 
 // collect adds the results of a request to those of its client.
-func (w *world) collect(c *client, a *ask) {
+func (w *world) collect(c *client, a *callerRequest) {
 	c.text += a.text.String()
 	c.count = max(c.count, a.count)
 	switch {
@@ -108,7 +108,7 @@
 
 // onlyNotRun reports whether every attempt was reported as not run.
 func (w *world) onlyNotRun(c *client) bool {
-	return !slices.ContainsFunc(c.requests, func(a *ask) bool { return a.refusal == nil || a.refusal.Ran != core.RanNo })
+	return !slices.ContainsFunc(c.requests, func(a *callerRequest) bool { return a.refusal == nil || a.refusal.Ran != core.RanNo })
 }
 
 // injectFault injects or undoes a random fault.
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -41,9 +41,9 @@
 	// maxTargetsPerBatch bounds the targets in one batch; a control VM is sent all of them only
 	// after an election.
 	maxTargetsPerBatch = 2048
-	// workSettle is how long after its election a leader knows the work of all entry VMs: they
+	// workReportDelay is how long after its election a leader knows the work of all entry VMs: they
 	// renew every 0.5 s and find a new leader within two renewals.
-	workSettle = 1200 * time.Millisecond
+	workReportDelay = 1200 * time.Millisecond
 	// controlsEvery is the interval between two checks for live control VMs.
 	controlsEvery = 300 * time.Millisecond
 )
@@ -67,16 +67,16 @@
 // fleetState returns the fleet state that this VM reports to its holders: its own sums if it
 // leads, otherwise what it last received from the leader.
 func (n *Node) fleetState() *fleetReport {
-	if !n.leads() {
+	if !n.canGrant() {
 		return &n.forwarding.report
 	}
-	f := n.leading.fleetNow(n)
+	f := n.leader.fleetNow(n)
 	report := &fleetReport{
 		term: n.replica.hard.Term, leader: n.settings.Self.VM, vms: f.vms,
-		workKnown: n.knowsWork(), work: n.leading.work, marks: n.leading.marks, usage: f.usage, usageBy: f.usageBy,
+		workKnown: n.knowsWork(), work: n.leader.work, marks: n.leader.marks, usage: f.usage, usageBy: f.usageBy,
 	}
-	if !n.now.Before(n.leading.viewFrom) {
-		report.view = n.leading.view
+	if !n.now.Before(n.leader.viewCompleteAt) {
+		report.view = n.leader.view
 	}
 	return report
 }
@@ -85,15 +85,15 @@
 func (t *fleetReport) addToGrant(g *Grant, to Renew) {
 	g.VMs = t.vms
 	marks := t.marks.since(to.MarksSeen, maxMarksPerGrant)
-	g.Marks, g.MarksUpto, g.MarksWhole = marks.values, marks.upto, marks.whole
+	g.Marks, g.MarksThrough, g.MarksComplete = marks.values, marks.upto, marks.whole
 	if !t.workKnown {
-		g.WorkUpto = to.WorkSeen
+		g.WorkThrough = to.WorkSeen
 		return
 	}
 	g.WorkReported = true
-	g.Usage, g.UsageBy = t.usage, t.usageBy
+	g.Usage, g.UsageVMs = t.usage, t.usageBy
 	work := t.work.since(to.WorkSeen, maxWorkPerGrant)
-	g.Others, g.WorkUpto, g.OthersWhole = work.values, work.upto, work.whole
+	g.Others, g.WorkThrough, g.OthersComplete = work.values, work.upto, work.whole
 	for key, w := range g.Others {
 		g.Others[key] = w.Minus(to.Work[key])
 	}
@@ -101,43 +101,43 @@
 
 // addWork adds to a batch the leader's state of all entry VMs and targets.
 func (n *Node) addWork(b RenewBatch, g *GrantBatch) {
-	f := n.leading.fleetNow(n)
+	f := n.leader.fleetNow(n)
 	g.VMs = f.vms
-	marks := n.leading.marks.since(b.MarksSeen, maxTargetsPerBatch)
-	g.Marks, g.MarksUpto, g.MarksWhole = marks.values, marks.upto, marks.whole
+	marks := n.leader.marks.since(b.MarksSeen, maxTargetsPerBatch)
+	g.Marks, g.MarksThrough, g.MarksComplete = marks.values, marks.upto, marks.whole
 	if !n.knowsWork() {
-		g.WorkUpto = b.WorkSeen
+		g.WorkThrough = b.WorkSeen
 		return
 	}
 	g.WorkReported = true
-	g.Usage, g.UsageBy = f.usage, f.usageBy
-	work := n.leading.work.since(b.WorkSeen, maxTargetsPerBatch)
-	g.Work, g.WorkUpto, g.WorkWhole = work.values, work.upto, work.whole
+	g.Usage, g.UsageVMs = f.usage, f.usageBy
+	work := n.leader.work.since(b.WorkSeen, maxTargetsPerBatch)
+	g.Work, g.WorkThrough, g.WorkComplete = work.values, work.upto, work.whole
 }
 
 // knowsWork reports whether this leader knows the work of all entry VMs.
 func (n *Node) knowsWork() bool {
-	return !n.now.Before(n.leading.workFrom) || n.allHaveReported()
+	return !n.now.Before(n.leader.workCompleteAt) || n.allHaveReported()
 }
 
 // allHaveReported reports whether each control VM that follows this one has reported its entry
 // VMs, and each entry VM has renewed since the election. After a loss of all VMs that is the
-// case one second before workSettle ends, and all entry VMs choose by their own work alone
+// case one second before workReportDelay ends, and all entry VMs choose by their own work alone
 // until then.
 func (n *Node) allHaveReported() bool {
 	for vm, f := range n.registry.followers {
-		if _, heard := n.leading.parts[vm]; f.control && n.now.Before(f.until) && !heard {
+		if _, heard := n.leader.parts[vm]; f.control && n.now.Before(f.until) && !heard {
 			return false
 		}
 	}
-	settled := !n.now.Before(n.leading.workFrom.Add(-workSettle + n.settings.Timing.RenewEvery))
+	settled := !n.now.Before(n.leader.workCompleteAt.Add(-workReportDelay + n.settings.Timing.RenewInterval))
 	return settled && n.hasEntryFollowers() && n.leasesHeld() == n.entriesKnown()
 }
 
 // hasEntryFollowers reports whether any entry VM follows a control VM, as those that renew do.
 func (n *Node) hasEntryFollowers() bool {
 	following := n.entryFollowers()
-	for _, p := range n.leading.parts {
+	for _, p := range n.leader.parts {
 		following += p.following
 	}
 	return following > 0
@@ -147,13 +147,13 @@
 // a lease.
 func (n *Node) entriesKnown() int {
 	known := make(map[VMName]bool)
-	for vm, l := range n.leading.leases {
+	for vm, l := range n.leader.leases {
 		if n.now.Before(l.until) {
 			known[vm] = true
 		}
 	}
 	expected := n.expectedHolders()
-	for _, p := range n.leading.parts {
+	for _, p := range n.leader.parts {
 		if n.now.Before(p.at.Add(n.partValidFor())) {
 			expected = append(expected, p.expected...)
 		}
@@ -167,7 +167,7 @@
 // leasesHeld counts the leases that haven't expired.
 func (n *Node) leasesHeld() int {
 	held := 0
-	for _, l := range n.leading.leases {
+	for _, l := range n.leader.leases {
 		if n.now.Before(l.until) {
 			held++
 		}
@@ -177,7 +177,7 @@
 
 // partValidFor is how long a control VM's report on its holders is valid; by then its holders
 // renew elsewhere.
-func (n *Node) partValidFor() time.Duration { return n.settings.Timing.listedFor() }
+func (n *Node) partValidFor() time.Duration { return n.settings.Timing.listedDuration() }
 
 // fleet is the sum over all entry VMs. It is cached, since hundreds of leases per second carry
 // it.
@@ -196,7 +196,7 @@
 // fleetMaxAge is the age at which the sum is recomputed.
 const fleetMaxAge = 100 * time.Millisecond
 
-func (l *leading) fleetNow(n *Node) fleet {
+func (l *leaderState) fleetNow(n *Node) fleet {
 	if n.now.Before(l.fleet.at.Add(fleetMaxAge)) {
 		return l.fleet
 	}
@@ -204,7 +204,7 @@
 	dead := make(map[relay.TargetKey]int)
 	sound := make(map[relay.TargetKey]int)
 	var slow []relay.TargetKey
-	add := func(part FleetPart) {
+	add := func(part FleetAggregate) {
 		l.fleet.usageBy += part.VMs
 		for service, s := range part.Usage {
 			l.fleet.usage[service] = l.fleet.usage[service].Plus(s)
@@ -212,10 +212,10 @@
 		for id, w := range part.Work {
 			l.fleet.work[id] = l.fleet.work[id].Plus(w)
 		}
-		for id, vms := range part.Dead {
+		for id, vms := range part.Failed {
 			dead[id] += vms
 		}
-		for id, vms := range part.Sound {
+		for id, vms := range part.Healthy {
 			sound[id] += vms
 		}
 		slow = append(slow, part.Slow...)
@@ -223,11 +223,11 @@
 	add(n.sumHolders())
 	for _, part := range l.parts {
 		if n.now.Before(part.at.Add(n.partValidFor())) {
-			add(part.FleetPart)
+			add(part.FleetAggregate)
 		}
 	}
 	l.fleet.vms = n.entriesKnown()
-	l.work.take(l.fleet.work)
+	l.work.update(l.fleet.work)
 	l.fleet.marks = n.marksOf(dead, sound)
 	for _, key := range slow {
 		l.fleet.marks[key] = l.fleet.marks[key].With(relay.MarkSlow)
@@ -236,7 +236,7 @@
 	for _, key := range l.lender.Limited() {
 		l.fleet.marks[key] = l.fleet.marks[key].With(relay.MarkLimited)
 	}
-	l.marks.take(l.fleet.marks)
+	l.marks.update(l.fleet.marks)
 	return l.fleet
 }
 
@@ -254,7 +254,7 @@
 			marks[key] = relay.MarkSilent
 		}
 	}
-	for id, order := range n.leading.placing.orders {
+	for id, order := range n.leader.placing.orders {
 		// An engine that reports the ordered layers has moved, though its order is checked up
 		// to half a second later. Marked until then, it would receive no requests for that
 		// time.
@@ -267,14 +267,14 @@
 
 // applyFleet applies the fleet state that came with a lease.
 func (n *Node) applyFleet(g Grant) {
-	if len(g.Control) > 0 {
-		n.entry.controls = g.Control
+	if len(g.ControlVMs) > 0 {
+		n.entry.controls = g.ControlVMs
 		n.preferFirstOfHall()
 	}
 	n.applyPermits(g)
 	if !n.followsTargets() {
 		return
 	}
-	n.entry.workSeen, n.entry.marksSeen = g.WorkUpto, g.MarksUpto
-	n.emit(FleetLearned{LeaseUntil: n.entry.tenure.until, VMs: g.VMs, Others: g.Others, OthersWhole: g.OthersWhole, OthersReported: g.WorkReported, Usage: g.Usage, UsageBy: g.UsageBy, Marks: g.Marks, MarksWhole: g.MarksWhole})
+	n.entry.workSeen, n.entry.marksSeen = g.WorkThrough, g.MarksThrough
+	n.emit(FleetLearned{LeaseUntil: n.entry.lease.until, VMs: g.VMs, Others: g.Others, OthersWhole: g.OthersComplete, OthersReported: g.WorkReported, Usage: g.Usage, UsageBy: g.UsageVMs, Marks: g.Marks, MarksWhole: g.MarksComplete})
 }
--- a/internal/core/fleet_bench_test.go
+++ b/internal/core/fleet_bench_test.go
@@ -50,7 +50,7 @@
 	f.node = core.New(core.Settings{
 		Self: self, Cluster: "c", Control: true, ControlVMs: []core.VMName{"c1"}, Voters: 1, SnapshotEvery: 100,
 		Timing: core.DefaultTiming(), Seed: 3, DecodeDocument: engineDocument,
-	}, core.Recovered{Snapshot: core.Snapshot{Index: 1, Term: 1, Members: members, Machine: core.Machine{Config: state}}}, f.now)
+	}, core.Recovered{Snapshot: core.Snapshot{Index: 1, Term: 1, Members: members, Machine: core.StateMachine{Config: state}}}, f.now)
 	f.now = lead(f.node, f.now)
 	for i := range 10 * vms {
 		first := 8 * (i % 10)
@@ -90,13 +90,13 @@
 		sound = append(sound, id)
 	}
 	text, err := wire.Marshal(from(name, core.Message{Renew: &core.Renew{
-		Number: f.asked[vm], Address: core.EntryAddress{VM: name, Hall: "hall1", Callers: string(name), Peers: string(name)}, WorkSeen: f.seen[vm], Work: work, Sound: sound,
+		Number: f.asked[vm], Address: core.EntryAddress{VM: name, Hall: "hall1", Callers: string(name), Peers: string(name)}, WorkSeen: f.seen[vm], Work: work, Healthy: sound,
 	}}).Envelope)
 	require.NoError(f.b, err)
 	var e core.Envelope
 	require.NoError(f.b, wire.Unmarshal(text, &e))
 	for _, g := range f.send(f.node.Step(f.now, core.Received{Envelope: e})) {
-		f.seen[vm] = g.WorkUpto
+		f.seen[vm] = g.WorkThrough
 	}
 }
 
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -209,7 +209,7 @@
 	}
 	for _, f := range []*sizedFleet{small, large} {
 		for _, vm := range f.entries() {
-			require.Less(t, len(f.learned[vm]), 3*sizedHalls*relay.ShortlistLeast, vm)
+			require.Less(t, len(f.learned[vm]), 3*sizedHalls*relay.MinShortlist, vm)
 		}
 	}
 }
--- a/internal/core/followers.go
+++ b/internal/core/followers.go
@@ -17,7 +17,7 @@
 	if !n.settings.Control {
 		return
 	}
-	if f.Came {
+	if f.Acknowledge {
 		n.updateAcknowledged(id, f)
 		return
 	}
@@ -42,7 +42,7 @@
 		n.sendAll(from, known, f.Digest)
 		return
 	}
-	n.sendUpdate(from, known, n.changedAfter(known.after, true), TargetNews{})
+	n.sendUpdate(from, known, n.changedAfter(known.after, true), RegistryUpdate{})
 }
 
 // updateAcknowledged handles a follower's acknowledgement. What changed meanwhile is sent with
@@ -54,7 +54,7 @@
 	if !ok || known.id != id || !known.acknowledge(f.positionIn(n.settings.Seed), n.now) {
 		return
 	}
-	n.registry.news = n.registry.news || n.registry.targets.Change() > known.after
+	n.registry.changesPending = n.registry.changesPending || n.registry.targets.Change() > known.after
 }
 
 // positionIn returns the last change of an incarnation that the asker has, or 0 if it has none.
@@ -106,12 +106,12 @@
 		inFlight[t.ID] = true
 	}
 	heartbeats := slices.DeleteFunc(n.registry.targets.HeartbeatsSince(f.heartbeatsAt), func(b relay.Heartbeat) bool { return inFlight[b.ID] })
-	n.send(vm, Message{TargetNews: &TargetNews{Incarnation: n.settings.Seed, After: f.acknowledged, Upto: f.acknowledged, Heartbeats: heartbeats}})
+	n.send(vm, Message{TargetNews: &RegistryUpdate{Incarnation: n.settings.Seed, After: f.acknowledged, Upto: f.acknowledged, Heartbeats: heartbeats}})
 }
 
 // noteLeaving records that some of the given targets are leaving.
 func (n *Node) noteLeaving(targets []relay.Target) {
-	if slices.ContainsFunc(targets, func(t relay.Target) bool { return !t.Takes() }) {
+	if slices.ContainsFunc(targets, func(t relay.Target) bool { return !t.AcceptsWork() }) {
 		n.registry.leavingChange = n.registry.targets.Change()
 	}
 }
@@ -126,9 +126,9 @@
 		return // no cost while no target leaves
 	}
 	f.leaving = n.registry.targets.Change()
-	leaving := slices.DeleteFunc(n.changedAfter(after, f.control), func(t relay.Target) bool { return t.Takes() })
+	leaving := slices.DeleteFunc(n.changedAfter(after, f.control), func(t relay.Target) bool { return t.AcceptsWork() })
 	if len(leaving) > 0 {
-		n.send(vm, Message{TargetNews: &TargetNews{Incarnation: n.settings.Seed, After: f.acknowledged, Upto: f.acknowledged, Targets: leaving}})
+		n.send(vm, Message{TargetNews: &RegistryUpdate{Incarnation: n.settings.Seed, After: f.acknowledged, Upto: f.acknowledged, Targets: leaving}})
 	}
 }
 
@@ -140,13 +140,13 @@
 	targets := n.changedAfter(f.after, false)
 	switch {
 	case f.control:
-		targets = n.live(n.registry.targets.Since(f.after))
+		targets = n.live(n.registry.targets.ChangedSince(f.after))
 	case whole && len(d) > 0:
-		targets = n.registry.targets.Unlike(d)
+		targets = n.registry.targets.Differing(d)
 	case whole:
 		targets = n.live(targets)
 	}
-	n.sendUpdate(vm, f, targets, TargetNews{Whole: whole})
+	n.sendUpdate(vm, f, targets, RegistryUpdate{Whole: whole})
 }
 
 // push sends changes to all followers: all of them to entry VMs, and those that this VM
@@ -187,7 +187,7 @@
 			updates[at] = targets
 		}
 		if len(targets) > 0 {
-			n.sendUpdate(vm, f, targets, TargetNews{})
+			n.sendUpdate(vm, f, targets, RegistryUpdate{})
 		}
 	}
 }
@@ -199,9 +199,9 @@
 		return nil
 	}
 	if control {
-		return n.registry.targets.OwnSince(change)
+		return n.registry.targets.DirectChangedSince(change)
 	}
-	return n.registry.targets.ListedSince(change)
+	return n.registry.targets.ListedChangedSince(change)
 }
 
 const (
@@ -219,13 +219,13 @@
 
 // sendUpdate sends a follower an update of the given targets, which brings it to the newest
 // change.
-func (n *Node) sendUpdate(vm VMName, f *follower, targets []relay.Target, update TargetNews) {
+func (n *Node) sendUpdate(vm VMName, f *follower, targets []relay.Target, update RegistryUpdate) {
 	update.Incarnation = n.settings.Seed
 	update.After = f.after
 	update.Upto = n.registry.targets.Change()
-	update.Missed = n.registry.targets.Missed()
+	update.Missed = n.registry.targets.AbsenceNotes()
 	for _, t := range targets {
-		if n.registry.targets.Introduced(t.ID, f.after) {
+		if n.registry.targets.UpdateSuffices(t.ID, f.after) {
 			update.Updates = append(update.Updates, t.Update())
 			continue
 		}
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -20,8 +20,8 @@
 	// OwnOnly asks only for the targets that report to the receiver: the asker has already
 	// received all others.
 	OwnOnly bool `cbor:"own_only,omitempty"`
-	// Came acknowledges the last update and asks for none.
-	Came bool `cbor:"came,omitempty"`
+	// Acknowledge acknowledges the last update and asks for none.
+	Acknowledge bool `cbor:"came,omitempty"`
 	// Digest is set if the asker knows targets but has received none from the receiver.
 	Digest relay.Digest `cbor:"digest,omitempty"`
 	// Hall is the asker's data hall. Away reports that no control VM of that hall has answered
@@ -30,8 +30,8 @@
 	Away bool   `cbor:"away,omitempty"`
 }
 
-// TargetNews carries the changes of a registry after After, up to Upto.
-type TargetNews struct {
+// RegistryUpdate carries the changes of a registry after After, up to Upto.
+type RegistryUpdate struct {
 	Incarnation uint64         `cbor:"life"`
 	After       uint64         `cbor:"after,omitempty"`
 	Upto        uint64         `cbor:"upto"`
@@ -40,7 +40,7 @@
 	Updates    []relay.TargetUpdate `cbor:"updates,omitempty"`
 	Heartbeats []relay.Heartbeat    `cbor:"beats,omitempty"`
 	// Missed are incarnations that aren't current although they began last.
-	Missed []relay.Missed `cbor:"missed,omitempty"`
+	Missed []relay.AbsenceNote `cbor:"missed,omitempty"`
 	// Whole reports that these are all targets that the sender knows.
 	Whole bool `cbor:"whole,omitempty"`
 }
@@ -74,12 +74,12 @@
 		n.followControls()
 		return
 	}
-	source := n.entry.tenure.source
+	source := n.entry.lease.source
 	if source == "" || source == n.settings.Self.VM {
 		return
 	}
 	at, known := n.registry.followed[source]
-	ask := Follow{Incarnation: at.incarnation, After: at.after, Hall: n.settings.Address.Hall, Away: !n.entry.tenure.ownHallRetryAt.IsZero()}
+	ask := Follow{Incarnation: at.incarnation, After: at.after, Hall: n.settings.Address.Hall, Away: !n.entry.lease.ownHallRetryAt.IsZero()}
 	if !known && n.registry.fullState {
 		ask.Digest = n.registry.targets.Digest()
 	}
@@ -118,21 +118,21 @@
 }
 
 // acknowledgeUpdate acknowledges a control VM's update, so that it sends the next one.
-func (n *Node) acknowledgeUpdate(from VMName, update TargetNews) {
+func (n *Node) acknowledgeUpdate(from VMName, update RegistryUpdate) {
 	if len(update.Targets) == 0 && len(update.Updates) == 0 {
 		return
 	}
 	at := n.registry.followed[from]
-	ask := Follow{Incarnation: at.incarnation, After: at.after, Heartbeats: n.settings.Control, OwnOnly: true, Came: true, Hall: n.settings.Address.Hall}
+	ask := Follow{Incarnation: at.incarnation, After: at.after, Heartbeats: n.settings.Control, OwnOnly: true, Acknowledge: true, Hall: n.settings.Address.Hall}
 	if !n.settings.Control {
 		ask.OwnOnly = false
-		ask.Away = !n.entry.tenure.ownHallRetryAt.IsZero()
+		ask.Away = !n.entry.lease.ownHallRetryAt.IsZero()
 	}
 	n.send(from, Message{Follow: &ask})
 }
 
 // applyUpdate applies an update from a control VM.
-func (n *Node) applyUpdate(from VMName, update TargetNews) {
+func (n *Node) applyUpdate(from VMName, update RegistryUpdate) {
 	at := n.registry.followed[from]
 	if update.After == 0 || update.Incarnation == at.incarnation && update.After <= at.after {
 		// Otherwise an earlier update was lost, and is asked for again.
@@ -140,7 +140,7 @@
 	}
 	n.registry.fullState = n.registry.fullState || update.Whole
 	for _, m := range update.Missed {
-		n.registry.targets.Miss(m, n.now)
+		n.registry.targets.ReceiveAbsence(m, n.now)
 	}
 	var learned []relay.Target
 	for _, u := range update.Updates {
@@ -153,21 +153,21 @@
 		update.Targets = append(update.Targets, t.With(u))
 	}
 	for _, t := range update.Targets {
-		if n.registry.targets.Learn(t, n.now) {
+		if n.registry.targets.ReceiveForwarded(t, n.now) {
 			// The sender may not know of a draining notice that this VM has received before.
 			known, _ := n.registry.targets.Get(t.ID)
 			learned = append(learned, known)
 		}
 	}
 	for _, b := range update.Heartbeats {
-		n.registry.targets.Alive(b.ID, b.Call, n.now)
+		n.registry.targets.ReceiveHeartbeat(b.ID, b.Call, n.now)
 	}
 	n.acknowledgeUpdate(from, update)
 	ended, again := n.registry.targets.TakeTransitions()
 	n.endIncarnations(ended, from)
-	learned = slices.DeleteFunc(append(learned, again...), func(t relay.Target) bool { return !n.registry.targets.Counts(t.ID) })
+	learned = slices.DeleteFunc(append(learned, again...), func(t relay.Target) bool { return !n.registry.targets.IsCurrent(t.ID) })
 	n.noteLeaving(learned)
-	n.registry.news = n.registry.news || len(learned) > 0
+	n.registry.changesPending = n.registry.changesPending || len(learned) > 0
 	if len(learned) > 0 && n.settings.Entry {
 		n.emit(TargetsLearned{Targets: learned})
 	}
@@ -178,9 +178,9 @@
 	if len(ended) == 0 {
 		return
 	}
-	n.registry.news = true
+	n.registry.changesPending = true
 	for _, s := range ended {
-		delete(n.leading.placing.orders, s.Old)
+		delete(n.leader.placing.orders, s.Old)
 	}
-	n.emit(TargetsEnded{Ended: ended, Teller: reportedBy})
+	n.emit(TargetsEnded{Ended: ended, ReportedBy: reportedBy})
 }
--- a/internal/core/forming.go
+++ b/internal/core/forming.go
@@ -27,7 +27,7 @@
 // delegateBootstrap asks the first replica with a disk that wants to join to bootstrap the
 // cluster.
 func (n *Node) delegateBootstrap(from ReplicaID, j Join) {
-	if !n.settings.Delegates || n.cluster != "" || j.Volatile || !j.For.IsZero() {
+	if !n.settings.DelegatesBootstrap || n.cluster != "" || j.Volatile || !j.For.IsZero() {
 		return
 	}
 	if n.delegate.IsZero() {
--- a/internal/core/forming_test.go
+++ b/internal/core/forming_test.go
@@ -30,7 +30,7 @@
 func TestSeedWithoutDiskDelegatesBootstrapToOneVM(t *testing.T) {
 	now := time.Unix(100, 0)
 	settings := core.Settings{
-		Self: core.ReplicaID{VM: "c1", Incarnation: 1}, Control: true, Volatile: true, Delegates: true,
+		Self: core.ReplicaID{VM: "c1", Incarnation: 1}, Control: true, Volatile: true, DelegatesBootstrap: true,
 		ControlVMs: []core.VMName{"c1"}, Voters: 3, SnapshotEvery: 100, Timing: core.DefaultTiming(), Seed: 3,
 	}
 	n := core.New(settings, core.Recovered{}, now)
--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -148,24 +148,24 @@
 	return 1<<62 | seed%incarnations<<32
 }
 
-// leads reports whether this VM may grant leases.
-func (n *Node) leads() bool { return n.holdsLease() && n.replica.committedOwnTerm() }
+// canGrant reports whether this VM may grant leases.
+func (n *Node) canGrant() bool { return n.holdsLease() && n.replica.committedOwnTerm() }
 
-// renewAsked handles the renewal of an entry VM: grants it, queues it for the next batch to the
+// handleRenew handles the renewal of an entry VM: grants it, queues it for the next batch to the
 // leader, or redirects the entry VM.
-func (n *Node) renewAsked(from ReplicaID, r Renew) {
-	if controls := n.betterControls(r.Address.Hall, r.Away); len(controls) > 0 {
+func (n *Node) handleRenew(from ReplicaID, r Renew) {
+	if controls := n.betterControls(r.Address.Hall, r.HallUnreachable); len(controls) > 0 {
 		n.deliver(from.VM, Message{Redirect: &Redirect{Controls: controls}})
 		return
 	}
-	if !n.leads() && !n.hasOtherLeader() {
+	if !n.canGrant() && !n.hasOtherLeader() {
 		n.deliver(from.VM, Message{Redirect: &Redirect{Leader: n.leaderHint()}})
 		return
 	}
-	n.crashesHeard(r.Crashed, r.Survived)
-	n.drainingHeard(r.Draining, from.VM)
+	n.crashesReported(r.Crashed, r.Survived)
+	n.drainingReported(r.Draining, from.VM)
 	h := n.recordRenewal(from, r)
-	if n.leads() {
+	if n.canGrant() {
 		n.renewLease(n.settings.Self.VM, r.renewal(from))
 		h.granted = r.Number
 		h.permits, h.permitsNumber = n.grantPermits(from, r.Number, r.Limits), r.Number
@@ -235,16 +235,16 @@
 func (n *Node) tickForwarding() {
 	f := &n.forwarding
 	for vm, h := range f.holders {
-		if !n.now.Before(h.renewedAt.Add(n.settings.Timing.listedFor())) {
+		if !n.now.Before(h.renewedAt.Add(n.settings.Timing.listedDuration())) {
 			delete(f.holders, vm)
 		}
 	}
-	n.handOnGrants()
+	n.forwardGrants()
 	if !n.hasOtherLeader() || n.now.Before(f.batchAt) || len(f.waiting) == 0 && n.now.Before(f.idleAt) {
 		return
 	}
 	f.batchAt = n.now.Add(time.Duration(len(n.replica.members.Members)) * batchIntervalPerMember)
-	f.idleAt = n.now.Add(n.settings.Timing.RenewEvery)
+	f.idleAt = n.now.Add(n.settings.Timing.RenewInterval)
 	n.sendBatch()
 }
 
@@ -254,7 +254,7 @@
 	delete(f.batches, f.number-maxBatchesInFlight)
 	b := RenewBatch{
 		Number: f.number, ViewVersion: f.report.viewSeen, WorkSeen: f.report.total.seen, MarksSeen: f.report.marked.seen,
-		Following: n.entryFollowers(), Expected: n.expectedHolders(), Part: n.partDue(),
+		Following: n.entryFollowers(), Expected: n.expectedHolders(), Aggregate: n.partDue(),
 		Crashed: f.crashes.reports(n.now), Survived: f.crashes.cleared(n.now),
 	}
 	f.crashes = crashes{}
@@ -274,7 +274,7 @@
 }
 
 // partDue returns the sums over holders if they are to be sent to the leader now.
-func (n *Node) partDue() *FleetPart {
+func (n *Node) partDue() *FleetAggregate {
 	f := &n.forwarding
 	if f.partAcknowledged && f.partTo == n.replica.leader && n.now.Before(f.partAt) {
 		return nil
@@ -310,10 +310,10 @@
 }
 
 // sumHolders sums the work and findings of the holders.
-func (n *Node) sumHolders() FleetPart {
-	part := FleetPart{
+func (n *Node) sumHolders() FleetAggregate {
+	part := FleetAggregate{
 		Work: make(map[relay.TargetKey]relay.Work), Usage: make(map[string]relay.Usage), VMs: len(n.forwarding.holders),
-		Dead: make(map[relay.TargetKey]int), Sound: make(map[relay.TargetKey]int),
+		Failed: make(map[relay.TargetKey]int), Healthy: make(map[relay.TargetKey]int),
 	}
 	for _, h := range n.forwarding.holders {
 		for service, s := range h.renew.Usage {
@@ -322,11 +322,11 @@
 		for id, w := range h.renew.Work {
 			part.Work[id] = part.Work[id].Plus(w)
 		}
-		for _, id := range h.renew.Dead {
-			part.Dead[id]++
+		for _, id := range h.renew.Failed {
+			part.Failed[id]++
 		}
-		for _, id := range h.renew.Sound {
-			part.Sound[id]++
+		for _, id := range h.renew.Healthy {
+			part.Healthy[id]++
 		}
 		part.Slow = append(part.Slow, h.renew.Slow...)
 	}
@@ -335,8 +335,8 @@
 	return part
 }
 
-// grantBatchTaken handles the leader's reply to a batch.
-func (n *Node) grantBatchTaken(from ReplicaID, b GrantBatch) {
+// handleGrantBatch handles the leader's reply to a batch.
+func (n *Node) handleGrantBatch(from ReplicaID, b GrantBatch) {
 	f := &n.forwarding
 	if b.Term < f.report.term || n.replica.role == Leader {
 		return
@@ -344,30 +344,30 @@
 	f.partAcknowledged = f.partAcknowledged || from == f.partTo && b.Number == f.partNumber
 	f.report.update(from.VM, b)
 	f.held = append(f.held, b)
-	n.handOnGrants()
+	n.forwardGrants()
 }
 
 // update records the fleet state in a leader's batch.
 func (t *fleetReport) update(leader VMName, b GrantBatch) {
 	t.term, t.leader = b.Term, leader
 	t.vms = b.VMs
-	t.marked.apply(b.Marks, b.MarksUpto, b.MarksWhole)
-	t.marks.take(t.marked.values)
-	t.usage, t.usageBy = b.Usage, b.UsageBy
+	t.marked.apply(b.Marks, b.MarksThrough, b.MarksComplete)
+	t.marks.update(t.marked.values)
+	t.usage, t.usageBy = b.Usage, b.UsageVMs
 	if b.ViewVersion > t.viewSeen {
 		t.viewSeen = b.ViewVersion
-		t.view.merge(b.View, b.Gone, b.ViewWhole)
+		t.view.merge(b.View, b.Removed, b.ViewComplete)
 	}
 	t.workKnown = b.WorkReported
 	if !b.WorkReported {
 		return
 	}
-	t.total.apply(b.Work, b.WorkUpto, b.WorkWhole)
-	t.work.take(t.total.values)
+	t.total.apply(b.Work, b.WorkThrough, b.WorkComplete)
+	t.work.update(t.total.values)
 }
 
-// handOnGrants forwards the leader's grants whose revision this VM has applied.
-func (n *Node) handOnGrants() {
+// forwardGrants forwards the leader's grants whose revision this VM has applied.
+func (n *Node) forwardGrants() {
 	f := &n.forwarding
 	waiting := f.held[:0]
 	for _, b := range f.held {
@@ -406,7 +406,7 @@
 	fleet := n.fleetState()
 	g := Grant{To: h.id.Incarnation, Term: fleet.term, Leader: fleet.leader, Number: h.granted, Revision: c.Revision, Cluster: n.cluster}
 	base := n.deltaBase(h)
-	if deltas, ok := n.leading.deltas.since(base, c.Revision); ok {
+	if deltas, ok := n.leader.deltas.since(base, c.Revision); ok {
 		g.Deltas = deltas
 	} else {
 		g.State = &c
@@ -417,7 +417,7 @@
 	fleet.view.grantTo(h.renew, &g)
 	if n.refreshControls(); h.controlsVersionSent != n.forwarding.controlsVersion {
 		h.controlsVersionSent = n.forwarding.controlsVersion
-		g.Control = n.forwarding.controls
+		g.ControlVMs = n.forwarding.controls
 	}
 	if n.followsTargets() {
 		fleet.addToGrant(&g, h.renew)
--- a/internal/core/grants.go
+++ b/internal/core/grants.go
@@ -12,7 +12,7 @@
 // the control VMs that they renew with.
 //
 // An entry VM accepts new work only while it has a lease, and a grant always
-// brings it to the revision that the leader has at that moment. LeaseTerm after
+// brings it to the revision that the leader has at that moment. LeaseDuration after
 // a change was accepted, every entry VM therefore either has the change or
 // refuses work. This is what "in force everywhere" means, and it needs no reply
 // from a VM that cannot give one. docs/DESIGN.md discusses the alternative, to
@@ -24,60 +24,60 @@
 
 // renewLease records a renewal of an entry VM that arrived through the control VM via.
 func (n *Node) renewLease(via VMName, r Renewal) {
-	l, ok := n.leading.leases[r.From.VM]
+	l, ok := n.leader.leases[r.From.VM]
 	if !ok || l.holder != r.From {
 		l = &lease{holder: r.From}
-		n.leading.leases[r.From.VM] = l
+		n.leader.leases[r.From.VM] = l
 	}
 	l.via = via
 	l.renewal = r
 	l.renewedAt = n.now
-	l.until = n.now.Add(n.settings.Timing.Lengthened(n.settings.Timing.LeaseTerm))
+	l.until = n.now.Add(n.settings.Timing.Lengthened(n.settings.Timing.LeaseDuration))
 	for _, report := range r.Reports {
 		n.recordReport(r.From.VM, report)
 	}
-	n.leading.view.set(n.viewOf(l))
+	n.leader.view.set(n.viewOf(l))
 }
 
 // handleRenewBatch grants the renewals that a control VM has gathered. A VM that cannot grant
 // does not reply: the sender learns from the log which VM leads.
 func (n *Node) handleRenewBatch(from ReplicaID, b RenewBatch) {
-	if !n.leads() {
+	if !n.canGrant() {
 		return
 	}
 	for _, r := range b.Renewals {
 		n.renewLease(from.VM, r)
 	}
 	n.recordPart(from, b)
-	n.crashesHeard(b.Crashed, b.Survived)
+	n.crashesReported(b.Crashed, b.Survived)
 	g := GrantBatch{Term: n.replica.hard.Term, Number: b.Number, Revision: n.machine.Config.Revision}
-	if !n.now.Before(n.leading.viewFrom) {
-		n.leading.view.sinceBatch(b.ViewVersion, &g)
+	if !n.now.Before(n.leader.viewCompleteAt) {
+		n.leader.view.sinceBatch(b.ViewVersion, &g)
 	}
 	if n.followsTargets() {
 		n.addWork(b, &g)
 	}
-	g.Permits = n.lendToBatch(b.Limits)
+	g.Permits = n.grantBatchPermits(b.Limits)
 	n.send(from.VM, Message{GrantBatch: &g})
 }
 
 // recordPart records what a control VM reports of its holders. It ignores a control VM until
 // that one has sent its first part to this leader.
 func (n *Node) recordPart(from ReplicaID, b RenewBatch) {
-	part, heard := n.leading.parts[from.VM]
-	if b.Part != nil {
-		part.FleetPart = *b.Part
+	part, heard := n.leader.parts[from.VM]
+	if b.Aggregate != nil {
+		part.FleetAggregate = *b.Aggregate
 	}
-	if b.Part == nil && !heard {
+	if b.Aggregate == nil && !heard {
 		return
 	}
 	part.following, part.expected, part.at = b.Following, b.Expected, n.now
-	n.leading.parts[from.VM] = part
+	n.leader.parts[from.VM] = part
 }
 
 func (n *Node) isLeaving(l *lease) bool {
 	vm, _ := n.machine.Config.VMs.Get(string(l.holder.VM))
-	return l.renewal.Leaving || vm.Drain || n.leading.platformLeaving[string(l.holder.VM)]
+	return l.renewal.Leaving || vm.Drain || n.leader.platformLeaving[string(l.holder.VM)]
 }
 
 // loadLevels is the number of levels of loadLevel.
@@ -88,10 +88,10 @@
 
 func (n *Node) tickLeases() {
 	n.refreshView()
-	for _, vm := range slices.Sorted(maps.Keys(n.leading.leases)) {
-		l := n.leading.leases[vm]
-		if n.now.After(l.until.Add(n.settings.Timing.KeepAnswer)) {
-			delete(n.leading.leases, vm)
+	for _, vm := range slices.Sorted(maps.Keys(n.leader.leases)) {
+		l := n.leader.leases[vm]
+		if n.now.After(l.until.Add(n.settings.Timing.AnswerRetention)) {
+			delete(n.leader.leases, vm)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 // countInForce counts the entry VMs that may accept work, and those of them that may
 // do so at an older revision than the given one.
 func (n *Node) countInForce(revision config.Revision) (vms, waiting int) {
-	for _, l := range n.leading.leases {
+	for _, l := range n.leader.leases {
 		if !n.now.Before(l.until) {
 			continue
 		}
@@ -108,7 +108,7 @@
 			waiting++
 		}
 	}
-	if n.now.Before(n.leading.formerLeasesUntil) {
+	if n.now.Before(n.leader.formerLeasesUntil) {
 		// A lease that a former leader granted may be in force, unknown to this one.
 		waiting = max(waiting, 1)
 	}
@@ -117,7 +117,7 @@
 
 // emitPeerAddress gives the runtime the address of an entry VM that is to be replied to.
 func (n *Node) emitPeerAddress(vm VMName) {
-	if l, ok := n.leading.leases[vm]; ok {
+	if l, ok := n.leader.leases[vm]; ok {
 		n.emit(PeerFound{VM: vm, Address: l.renewal.Address.Peers})
 	}
 }
@@ -125,7 +125,7 @@
 // handleClaim makes a claim durable, or replies with the state of an earlier one.
 func (n *Node) handleClaim(from ReplicaID, c ClaimRequest) {
 	n.emitPeerAddress(from.VM)
-	if !n.leads() {
+	if !n.canGrant() {
 		n.deliver(from.VM, Message{Redirect: &Redirect{Leader: n.leaderHint()}})
 		return
 	}
@@ -138,9 +138,9 @@
 		n.replyClaim(from, c, n.claimOutcome(existing, from, c.Digest))
 		return
 	}
-	op := ClaimOp{ID: c.ID, Holder: from, Attempt: c.Attempt, Digest: c.Digest, DropAt: wall(n.now.Add(n.settings.Timing.KeepClaim))}
+	op := ClaimOp{ID: c.ID, Holder: from, Attempt: c.Attempt, Digest: c.Digest, DropAt: wallClock(n.now.Add(n.settings.Timing.ClaimRetention))}
 	index := n.propose(Entry{Claim: &op})
-	n.leading.claims[index] = claimWaiter{from: from, request: c}
+	n.leader.claims[index] = claimWaiter{from: from, request: c}
 }
 
 // claimOutcome returns the outcome of a request by asker for a claim that exists. The
@@ -151,9 +151,9 @@
 	if outcome != ClaimBusy {
 		return outcome
 	}
-	l, ok := n.leading.leases[c.Holder.VM]
+	l, ok := n.leader.leases[c.Holder.VM]
 	alive := ok && l.holder == c.Holder && n.now.Before(l.until)
-	if alive || !ok && n.now.Before(n.leading.formerLeasesUntil) {
+	if alive || !ok && n.now.Before(n.leader.formerLeasesUntil) {
 		return ClaimBusy
 	}
 	return ClaimUnknown
@@ -168,11 +168,11 @@
 }
 
 func (n *Node) claimApplied(index Index, op ClaimOp, outcome ClaimOutcome) {
-	w, ok := n.leading.claims[index]
+	w, ok := n.leader.claims[index]
 	if !ok {
 		return
 	}
-	delete(n.leading.claims, index)
+	delete(n.leader.claims, index)
 	if outcome == ClaimBusy {
 		outcome = n.claimOutcome(n.machine.Claims[op.ID], w.from, op.Digest)
 	}
@@ -181,7 +181,7 @@
 
 func (n *Node) handleRecord(from ReplicaID, r RecordRequest) {
 	n.emitPeerAddress(from.VM)
-	if !n.leads() {
+	if !n.canGrant() {
 		n.deliver(from.VM, Message{Redirect: &Redirect{Leader: n.leaderHint()}})
 		return
 	}
@@ -191,24 +191,24 @@
 		return
 	}
 	index := n.propose(Entry{Record: &RecordOp{ID: r.ID, Holder: from, Attempt: r.Attempt, Ran: r.Ran, Answer: r.Answer}})
-	n.leading.records[index] = recordWaiter{from: from, request: r}
+	n.leader.records[index] = recordWaiter{from: from, request: r}
 }
 
 func (n *Node) recordApplied(index Index, op RecordOp) {
-	w, ok := n.leading.records[index]
+	w, ok := n.leader.records[index]
 	if !ok {
 		return
 	}
-	delete(n.leading.records, index)
+	delete(n.leader.records, index)
 	n.deliver(w.from.VM, Message{RecordReply: &RecordReply{ID: op.ID, Attempt: op.Attempt}})
 }
 
 // recordReport keeps a watcher's report of a target.
 func (n *Node) recordReport(watcher VMName, report TargetReport) {
-	byWatcher, ok := n.leading.reports[report.Target]
+	byWatcher, ok := n.leader.reports[report.Target]
 	if !ok {
 		byWatcher = make(map[VMName]receivedReport)
-		n.leading.reports[report.Target] = byWatcher
+		n.leader.reports[report.Target] = byWatcher
 	}
 	byWatcher[watcher] = receivedReport{report: report, at: n.now}
 }
@@ -220,21 +220,21 @@
 	for _, name := range p.Leaving {
 		listed[name] = true
 	}
-	n.leading.platformLeaving = listed
+	n.leader.platformLeaving = listed
 }
 
 // tickConditions derives the conditions that entry VMs route by from the reports and
 // the platform's list.
 func (n *Node) tickConditions() {
 	t := n.settings.Timing
-	if !n.now.Before(n.leading.platformAt) {
-		n.leading.platformAt = n.now.Add(t.WatchEvery)
+	if !n.now.Before(n.leader.platformAt) {
+		n.leader.platformAt = n.now.Add(t.ProbeInterval)
 		n.emit(ListPlatform{})
 	}
-	if n.now.Before(n.leading.conditionsAt) || n.leading.planPending > n.replica.commit {
+	if n.now.Before(n.leader.conditionsAt) || n.leader.planPending > n.replica.commit {
 		return
 	}
-	n.leading.conditionsAt = n.now.Add(t.WatchEvery)
+	n.leader.conditionsAt = n.now.Add(t.ProbeInterval)
 	var changes []config.Change
 	for _, target := range n.machine.Config.Targets.Sorted() {
 		seen := n.conditionOf(target)
@@ -244,7 +244,7 @@
 		}
 	}
 	if len(changes) > 0 {
-		n.leading.planPending = n.propose(Entry{Changes: changes})
+		n.leader.planPending = n.propose(Entry{Changes: changes})
 	}
 }
 
@@ -262,10 +262,10 @@
 // at least one watcher cannot reach it and none can, and leaving when the platform or a
 // report states so. Without a recent report Down does not change.
 func (n *Node) conditionOf(target config.Target) config.Condition {
-	c := config.Condition{Target: target.Name, Leaving: n.leading.platformLeaving[target.Name], Down: target.Down}
-	fresh := n.now.Add(-4 * n.settings.Timing.WatchEvery)
+	c := config.Condition{Target: target.Name, Leaving: n.leader.platformLeaving[target.Name], Down: target.Down}
+	fresh := n.now.Add(-4 * n.settings.Timing.ProbeInterval)
 	reached, missed := false, false
-	for _, s := range n.leading.reports[target.Name] {
+	for _, s := range n.leader.reports[target.Name] {
 		if s.at.Before(fresh) {
 			continue
 		}
@@ -279,12 +279,12 @@
 	return c
 }
 
-// holding returns the sequence of the order that the target held in the newest report that
+// heldOrder returns the sequence of the order that the target held in the newest report that
 // reached it, and the time of that report.
-func (n *Node) holding(target string) (sequence uint64, at time.Time) {
-	for _, s := range n.leading.reports[target] {
+func (n *Node) heldOrder(target string) (sequence uint64, at time.Time) {
+	for _, s := range n.leader.reports[target] {
 		if s.report.Reached && s.at.After(at) {
-			sequence, at = s.report.Holding, s.at
+			sequence, at = s.report.AppliedSequence, s.at
 		}
 	}
 	return sequence, at
--- a/internal/core/halls_test.go
+++ b/internal/core/halls_test.go
@@ -192,7 +192,7 @@
 			}
 		case core.FleetLearned:
 			f.takeFleet(vm, e)
-		case core.PermitsLent:
+		case core.PermitsGranted:
 			if limits, ok := f.limits[vm]; ok {
 				limits.Grant(e.Number, e.Permits, e.Until, f.now)
 			}
@@ -224,7 +224,7 @@
 		f.others[vm][id] = w
 	}
 	if limits, ok := f.limits[vm]; ok {
-		limits.TakeMarks(e.Marks, e.MarksWhole, f.now)
+		limits.ApplyMarks(e.Marks, e.MarksWhole, f.now)
 	}
 	if e.MarksWhole {
 		clear(f.marks[vm])
@@ -286,9 +286,9 @@
 	}
 }
 
-func (f *hallFleet) permitAsks(vm core.VMName) []relay.PermitAsk {
+func (f *hallFleet) permitAsks(vm core.VMName) []relay.PermitRequest {
 	if limits, ok := f.limits[vm]; ok {
-		return limits.Asks(f.now)
+		return limits.PermitRequests(f.now)
 	}
 	return nil
 }
--- a/internal/core/hints_test.go
+++ b/internal/core/hints_test.go
@@ -75,7 +75,7 @@
 		return asks
 	}
 	require.GreaterOrEqual(t, asks(now.Add(280*time.Millisecond)), 2)
-	n.Step(now, from(asked, core.Message{TargetNews: &core.TargetNews{Incarnation: 1, Upto: 1, Whole: true}}))
+	n.Step(now, from(asked, core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 1, Upto: 1, Whole: true}}))
 	for range 10 {
 		n.Step(now, from(asked, core.Message{Grant: &core.Grant{To: 1, Term: 1, Number: renewal}}))
 		require.Zero(t, asks(now.Add(200*time.Millisecond)))
@@ -234,7 +234,7 @@
 		Self: self, Cluster: "c", Control: true, ControlVMs: []core.VMName{"c1"}, Voters: 1, SnapshotEvery: 100,
 		Timing: core.DefaultTiming(), Seed: 4,
 		DecodeDocument: func([]byte) (*relay.Document, error) { return document, nil },
-	}, core.Recovered{Snapshot: core.Snapshot{Index: 1, Term: 1, Members: core.NewMembership(self), Machine: core.Machine{Config: config.State{Document: config.Document{Version: 1, Source: []byte("x")}}}}}, now)
+	}, core.Recovered{Snapshot: core.Snapshot{Index: 1, Term: 1, Members: core.NewMembership(self), Machine: core.StateMachine{Config: config.State{Document: config.Document{Version: 1, Source: []byte("x")}}}}}, now)
 	born := now
 	var ordered time.Time
 	for call := uint64(1); ordered.IsZero() && call < 500; call++ {
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -25,7 +25,7 @@
 		late = append(late, last)
 		delete(f.engines, id)
 		e.target.ID = relay.NewTargetID(id.Name(), born)
-		e.target.Call, e.target.Layers, e.left = 0, config.Range{}, 0
+		e.target.Call, e.target.Layers, e.remaining = 0, config.Range{}, 0
 		f.ids[i] = e.target.ID
 		f.engines[e.target.ID] = e
 	}
@@ -71,8 +71,8 @@
 	f.run(700 * time.Millisecond)
 	f.dead[old] = true
 	for _, e := range f.engines {
-		if e.speaks == old {
-			e.speaks = f.otherControl(old)
+		if e.reportsTo == old {
+			e.reportsTo = f.otherControl(old)
 		}
 	}
 	for i, message := range late {
@@ -139,7 +139,7 @@
 		return all
 	}
 	require.Empty(t, ended(incarnationOf(100, 5)))
-	require.Equal(t, []core.TargetsEnded{{Ended: []relay.Succession{{Old: incarnationOf(100, 0).ID, New: incarnationOf(200, 0).ID}}, Teller: "c1"}}, ended(incarnationOf(200, 1)))
+	require.Equal(t, []core.TargetsEnded{{Ended: []relay.Succession{{Old: incarnationOf(100, 0).ID, New: incarnationOf(200, 0).ID}}, ReportedBy: "c1"}}, ended(incarnationOf(200, 1)))
 	require.Empty(t, ended(incarnationOf(100, 6)))
 	require.Empty(t, ended(incarnationOf(200, 2)))
 }
@@ -171,7 +171,7 @@
 			}
 			f.hallFleet.run(500 * time.Millisecond)
 			for _, o := range f.orders {
-				borns = append(borns, o.Target.Born())
+				borns = append(borns, o.Target.StartMillis())
 			}
 			f.orders = nil
 		}
@@ -263,7 +263,7 @@
 				id := l.id(name)
 				require.Equal(t, l.truth[id].Layers, l.learned[vm][id].Layers, "%s of %s", id, vm)
 				for other := range l.learned[vm] {
-					beside := other.Name() == name && other.Born() < id.Born()
+					beside := other.Name() == name && other.StartMillis() < id.StartMillis()
 					require.False(t, beside, "%s counts beside %s at %s", other, id, vm)
 				}
 			}
--- a/internal/core/invariant.go
+++ b/internal/core/invariant.go
@@ -36,8 +36,8 @@
 func (n *Node) checkEntry() []error {
 	var broken []error
 	for id, s := range n.entry.streams {
-		if s.shown > s.kept && s.kept > 0 && s.epoch.Owner == 0 {
-			broken = append(broken, fmt.Errorf("stream %s has sent %d tokens to its caller and its keeper has %d; report it with a dump", id, s.shown, s.kept))
+		if s.emitted > s.acked && s.acked > 0 && s.epoch.Owner == 0 {
+			broken = append(broken, fmt.Errorf("stream %s has sent %d tokens to its caller and its keeper has %d; report it with a dump", id, s.emitted, s.acked))
 		}
 		if s.inFlight && !s.registered {
 			broken = append(broken, fmt.Errorf("stream %s has a run in flight but is not registered with its keeper; report it with a dump", id))
@@ -51,8 +51,8 @@
 		}
 	}
 	for name, t := range n.entry.targets {
-		if t.used < 0 {
-			broken = append(broken, fmt.Errorf("target %s has a negative count of %d in use; report it with a dump", name, t.used))
+		if t.inFlight < 0 {
+			broken = append(broken, fmt.Errorf("target %s has a negative count of %d in use; report it with a dump", name, t.inFlight))
 		}
 	}
 	return broken
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -27,7 +27,7 @@
 // the greater one.
 //
 // Known limits: an answer is lost when owner and keeper are lost within the
-// time it takes to update a new keeper, about PeerReply; the caller then gets a
+// time it takes to update a new keeper, about PeerReplyTimeout; the caller then gets a
 // refusal that states so. With a single entry VM there is no keeper.
 
 // rendezvousWidth is the number of VMs that are asked for a stream in any hall.
@@ -82,9 +82,9 @@
 	return rank
 }
 
-// findKeepers assigns keepers to streams that have none because no other entry VM
+// assignKeepers assigns keepers to streams that have none because no other entry VM
 // was known when they began, for example right after a deployment starts.
-func (n *Node) findKeepers() {
+func (n *Node) assignKeepers() {
 	if len(n.entry.view) < 2 {
 		return
 	}
@@ -146,8 +146,8 @@
 
 // acknowledgeAll treats everything as kept, for a stream without a keeper.
 func (n *Node) acknowledgeAll(s *stream) {
-	s.kept = len(s.tokens)
-	s.finishKept = s.finish != ""
+	s.acked = len(s.tokens)
+	s.finishAcked = s.finish != ""
 	n.resumeAfterKeep(s)
 }
 
@@ -189,7 +189,7 @@
 	n.entry.keepNumber++
 	l.number = n.entry.keepNumber
 	l.inFlight = true
-	l.answerBy = n.now.Add(n.settings.Timing.PeerReply)
+	l.answerBy = n.now.Add(n.settings.Timing.PeerReplyTimeout)
 	l.sent = l.outbox
 	l.outbox = nil
 	n.send(vm, Message{Keep: &Keep{Number: l.number, Updates: l.sent}})
@@ -215,8 +215,8 @@
 		case slices.Contains(r.Missing, u.ID):
 			n.keepFullRecord(s)
 		default:
-			s.kept = max(s.kept, u.From+len(u.Tokens))
-			s.finishKept = s.finishKept || u.Finish != ""
+			s.acked = max(s.acked, u.From+len(u.Tokens))
+			s.finishAcked = s.finishAcked || u.Finish != ""
 			n.resumeAfterKeep(s)
 		}
 	}
@@ -298,7 +298,7 @@
 }
 
 func (n *Node) keepUntil(r KeepRecord) time.Time {
-	return r.Request.Deadline.Add(n.settings.Timing.KeepAnswer)
+	return r.Request.Deadline.Add(n.settings.Timing.AnswerRetention)
 }
 
 func (n *Node) sweepKept() {
@@ -326,11 +326,11 @@
 		n.takeOverStream(s, n.transferRecord(k, n.settings.Self))
 		return true
 	}
-	f := &find{noRecord: make(map[VMName]bool), expiresAt: n.now.Add(n.settings.Timing.PeerReply)}
-	if s.shown > 0 {
+	f := &find{noRecord: make(map[VMName]bool), expiresAt: n.now.Add(n.settings.Timing.PeerReplyTimeout)}
+	if s.emitted > 0 {
 		// Some VM has kept it. A dead VM leaves the list of entry VMs when its
 		// lease expires; a slow one answers until then.
-		f.expiresAt = n.now.Add(2 * n.settings.Timing.LeaseTerm)
+		f.expiresAt = n.now.Add(2 * n.settings.Timing.LeaseDuration)
 	}
 	if len(n.pendingKeepers(s, f)) == 0 {
 		return false
@@ -351,7 +351,7 @@
 	var pending []VMName
 	for place, vm := range order {
 		hall := n.entry.halls[vm]
-		likely := s.shown > 0 || place < rendezvousWidth || !seen[hall]
+		likely := s.emitted > 0 || place < rendezvousWidth || !seen[hall]
 		seen[hall] = true
 		if likely && vm != n.settings.Self.VM && !f.noRecord[vm] {
 			pending = append(pending, vm)
@@ -361,7 +361,7 @@
 }
 
 func (n *Node) sendFinds(s *stream, f *find) {
-	f.retryAt = n.now.Add(n.settings.Timing.PeerReply)
+	f.retryAt = n.now.Add(n.settings.Timing.PeerReplyTimeout)
 	for _, vm := range n.pendingKeepers(s, f) {
 		n.send(vm, Message{Find: &Find{ID: s.id}})
 	}
--- a/internal/core/leading.go
+++ b/internal/core/leading.go
@@ -9,9 +9,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// leading is the leader's volatile state, in addition to the replicated state. It is lost
+// leaderState is the leader's volatile state, in addition to the replicated state. It is lost
 // with the leadership and rebuilt by the next leader.
-type leading struct {
+type leaderState struct {
 	snapshot Snapshot
 	// operators, claims and records hold the waiters for the log entry at an index.
 	operators map[Index]*waiter
@@ -20,9 +20,9 @@
 	leases    map[VMName]*lease
 	deltas    deltaRing
 	view      entryList
-	// viewFrom is when the list of entry VMs is complete after an election: until
+	// viewCompleteAt is when the list of entry VMs is complete after an election: until
 	// then holders keep the list of the former leader.
-	viewFrom time.Time
+	viewCompleteAt time.Time
 	// formerLeasesUntil is when the leases granted by former leaders have expired.
 	formerLeasesUntil time.Time
 	// reports holds the newest report of each target by each watcher.
@@ -50,9 +50,9 @@
 	suspects     relay.Suspects
 	quarantining map[relay.Fingerprint]bool
 	// lender grants the permits of rate-limited targets to entry VMs.
-	lender *relay.Lender[ReplicaID]
-	// workFrom is when the work of all entry VMs is known after an election.
-	workFrom time.Time
+	lender *relay.PermitAllocator[ReplicaID]
+	// workCompleteAt is when the work of all entry VMs is known after an election.
+	workCompleteAt time.Time
 }
 
 type claimWaiter struct {
@@ -80,7 +80,7 @@
 
 // receivedPart is a control VM's report on its holders, with the time of its arrival.
 type receivedPart struct {
-	FleetPart
+	FleetAggregate
 	following int
 	expected  []VMName
 	at        time.Time
@@ -93,10 +93,10 @@
 }
 
 // reset clears the leader's state. The snapshot and the deltas, which any replica has, stay.
-func (l *leading) reset() {
+func (l *leaderState) reset() {
 	snapshot := l.snapshot
 	deltas := l.deltas
-	*l = leading{
+	*l = leaderState{
 		snapshot:  snapshot,
 		deltas:    deltas,
 		operators: make(map[Index]*waiter),
@@ -109,30 +109,30 @@
 		reports:         make(map[string]map[VMName]receivedReport),
 		platformLeaving: make(map[string]bool),
 		orders:          make(map[string]*orderState),
-		placing:         placing{orders: make(map[relay.TargetID]layerOrder), underWay: make(map[relay.TargetID]bool), queued: make(map[string][]relay.Assignment), noted: make(map[string]planNotes), holds: make(map[string]relay.Capacity), holdsAt: make(map[string]time.Time)},
+		placing:         placing{orders: make(map[relay.TargetID]layerOrder), inFlight: make(map[relay.TargetID]bool), queued: make(map[string][]relay.Assignment), logged: make(map[string]planLog), capacity: make(map[string]relay.Capacity), capacityAt: make(map[string]time.Time)},
 	}
 }
 
 func (n *Node) startLeading() {
-	n.leading.reset()
-	n.leading.lender = relay.NewLender[ReplicaID](n.rand.Uint64(), n.settings.Timing.Lengthened(relay.PermitLife), n.now)
-	n.leading.formerLeasesUntil = n.now.Add(n.settings.Timing.Lengthened(n.settings.Timing.LeaseTerm))
-	n.leading.view = newEntryList(uint64(n.replica.hard.Term) << 32)
-	n.leading.work = newWorkLog(uint64(n.replica.hard.Term) << 32)
-	n.leading.marks = newMarkLog(uint64(n.replica.hard.Term) << 32)
-	n.leading.workFrom = n.now.Add(workSettle)
-	n.leading.viewFrom = n.now.Add(n.settings.Timing.listedFor())
-	n.leading.conditionsAt = n.now.Add(n.settings.Timing.LeaseTerm)
+	n.leader.reset()
+	n.leader.lender = relay.NewPermitAllocator[ReplicaID](n.rand.Uint64(), n.settings.Timing.Lengthened(relay.PermitTTL), n.now)
+	n.leader.formerLeasesUntil = n.now.Add(n.settings.Timing.Lengthened(n.settings.Timing.LeaseDuration))
+	n.leader.view = newEntryList(uint64(n.replica.hard.Term) << 32)
+	n.leader.work = newWorkLog(uint64(n.replica.hard.Term) << 32)
+	n.leader.marks = newMarkLog(uint64(n.replica.hard.Term) << 32)
+	n.leader.workCompleteAt = n.now.Add(workReportDelay)
+	n.leader.viewCompleteAt = n.now.Add(n.settings.Timing.listedDuration())
+	n.leader.conditionsAt = n.now.Add(n.settings.Timing.LeaseDuration)
 }
 
 func (n *Node) stopLeading() {
 	n.failOperators()
 	n.dropDocuments()
-	n.leading.reset()
+	n.leader.reset()
 }
 
 func (n *Node) tickLeading() {
-	if !n.leads() {
+	if !n.canGrant() {
 		return
 	}
 	n.tickLeases()
@@ -140,8 +140,8 @@
 	n.tickPlan()
 	n.tickOrders()
 	n.tickPlacing()
-	for _, index := range slices.Sorted(maps.Keys(n.leading.operators)) {
-		n.answerIfDue(index, n.leading.operators[index])
+	for _, index := range slices.Sorted(maps.Keys(n.leader.operators)) {
+		n.answerIfDue(index, n.leader.operators[index])
 	}
 }
 
@@ -174,12 +174,12 @@
 // configChanged keeps a change for the entry VMs, and sends it immediately to those that
 // renew with this VM.
 func (n *Node) configChanged(revision config.Revision, changes []config.Change, accepted bool) {
-	last := len(n.leading.deltas.deltas) - 1
-	known := last >= 0 && n.leading.deltas.deltas[last].Revision >= revision
+	last := len(n.leader.deltas.deltas) - 1
+	known := last >= 0 && n.leader.deltas.deltas[last].Revision >= revision
 	if !accepted || known {
 		return
 	}
-	n.leading.deltas.add(Delta{Revision: revision, Changes: changes})
+	n.leader.deltas.add(Delta{Revision: revision, Changes: changes})
 	n.pushChange()
-	n.handOnGrants()
+	n.forwardGrants()
 }
--- a/internal/core/leaving_test.go
+++ b/internal/core/leaving_test.go
@@ -29,7 +29,7 @@
 		t.Run(sign.name, func(t *testing.T) {
 			w := newWorld(t, 11, 3, 1)
 			w.setUp()
-			w.settled()
+			w.waitForVoters()
 			running := w.stream("vm4", "before", "a prompt before the sign", 0)
 			sign.give(w)
 			w.until("the stream in flight is complete", 10*time.Second, func() bool { return running.finished })
@@ -50,7 +50,7 @@
 func TestRepeatableCallIsRetriedOnAnotherRunner(t *testing.T) {
 	w := newWorld(t, 12, 3, 1)
 	w.setUp()
-	w.settled()
+	w.waitForVoters()
 	w.dead["s1"] = true
 	for i := range 20 {
 		a := w.lookUp("vm4", fmt.Sprintf("look%d", i))
@@ -64,7 +64,7 @@
 func TestRefusalChecksClaimFirst(t *testing.T) {
 	w := newWorld(t, 13, 3, 1)
 	w.setUp()
-	w.settled()
+	w.waitForVoters()
 	first := w.call("vm4", "same")
 	w.advance(time.Second)
 	require.NotNil(t, first.answer)
@@ -98,7 +98,7 @@
 func TestLookupsAreNotDelayedBySubmissions(t *testing.T) {
 	w := newWorld(t, 14, 3, 1)
 	w.setUp()
-	w.settled()
+	w.waitForVoters()
 	w.slow = time.Second
 	for i := range 200 {
 		w.call("vm4", fmt.Sprintf("submission%d", i))
@@ -116,10 +116,10 @@
 func TestVersionChangeIsRolledOut(t *testing.T) {
 	w := newWorld(t, 15, 3, 1)
 	w.setUp()
-	w.settled()
+	w.waitForVoters()
 	require.Equal(t, core.ResultAccepted, w.must("set model m versions=[v1, v2]", 500).Kind)
 	require.Equal(t, core.ResultAccepted, w.must("set pipeline p version=v2", 501).Kind)
-	var requests []*ask
+	var requests []*callerRequest
 	w.until("all chains hold the new version", 60*time.Second, func() bool {
 		requests = append(requests, w.stream(w.names[len(requests)%4], fmt.Sprintf("roll%d", len(requests)), "a prompt", 0))
 		w.advance(20 * time.Millisecond)
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -13,7 +13,7 @@
 // the renewals and leases of entry VMs, via the control VM that they renew with.
 
 // LimitAsk is an entry VM's report of one target with a limit, and its request for permits: a
-// relay.PermitAsk with ages in place of times, since clocks differ.
+// relay.PermitRequest with ages in place of times, since clocks differ.
 type LimitAsk struct {
 	// The fields are encoded without names, since these values are sent often.
 	_      struct{}        `cbor:",toarray"`
@@ -51,11 +51,11 @@
 }
 
 // PermitsWanted reports that requests wait for permits: the leader is to be asked now.
-type PermitsWanted struct{ Asks []relay.PermitAsk }
+type PermitsWanted struct{ Asks []relay.PermitRequest }
 
-// PermitsLent passes to the runtime the permits of the lease that answers renewal Number. They
+// PermitsGranted passes to the runtime the permits of the lease that answers renewal Number. They
 // expire at Until.
-type PermitsLent struct {
+type PermitsGranted struct {
 	Number  uint64
 	Permits []relay.Permits
 	Until   time.Time
@@ -63,7 +63,7 @@
 
 func (PermitsWanted) isEvent() {}
 
-func (PermitsLent) isEffect() {}
+func (PermitsGranted) isEffect() {}
 
 // permitsEvery is the minimum time between two renewals that only ask for permits. A target
 // that takes ten requests a second yields permits as often.
@@ -77,7 +77,7 @@
 
 // renewForPermits renews the lease, at most once per permitsEvery.
 func (n *Node) renewForPermits() {
-	t := &n.entry.tenure
+	t := &n.entry.lease
 	if !n.settings.Entry || !n.hasLease() || n.now.Before(t.permitsAt) {
 		return
 	}
@@ -96,25 +96,25 @@
 
 // limitAsks returns this VM's permit requests and limits for the leader.
 func (n *Node) limitAsks() []LimitAsk {
-	known := slices.Concat(n.entry.permitAsks, n.entry.limits.Asks(n.now))
+	known := slices.Concat(n.entry.permitAsks, n.entry.limits.PermitRequests(n.now))
 	asks := make([]LimitAsk, len(known))
 	for i, a := range known {
 		asks[i] = LimitAsk{
-			Target: a.Target, Heard: !a.Answer.HeardAt.IsZero(), Limited: a.Answer.Limited, PerSecond: a.Answer.PerSecond,
+			Target: a.Target, Heard: !a.Answer.ReceivedAt.IsZero(), Limited: a.Answer.Limited, PerSecond: a.Answer.PerSecond,
 			Wanted: a.Wanted, Left: a.Left, Taken: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned,
 		}
 		if asks[i].Heard {
-			asks[i].SentMillis, asks[i].HeardMillis = age(a.Answer.SentAt, n.now), age(a.Answer.HeardAt, n.now)
+			asks[i].SentMillis, asks[i].HeardMillis = age(a.Answer.SentAt, n.now), age(a.Answer.ReceivedAt, n.now)
 		}
 	}
 	return asks
 }
 
 // permitAsk converts the ages of an ask to times of this VM's clock.
-func (a LimitAsk) permitAsk(now time.Time) relay.PermitAsk {
-	ask := relay.PermitAsk{Target: a.Target, Wanted: a.Wanted, Left: a.Left, Taken: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned}
+func (a LimitAsk) permitAsk(now time.Time) relay.PermitRequest {
+	ask := relay.PermitRequest{Target: a.Target, Wanted: a.Wanted, Left: a.Left, Taken: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned}
 	if a.Heard {
-		ask.Answer = relay.LimitAnswer{Limited: a.Limited, PerSecond: a.PerSecond, SentAt: timeOfAge(a.SentMillis, now), HeardAt: timeOfAge(a.HeardMillis, now)}
+		ask.Answer = relay.LimitAnswer{Limited: a.Limited, PerSecond: a.PerSecond, SentAt: timeOfAge(a.SentMillis, now), ReceivedAt: timeOfAge(a.HeardMillis, now)}
 	}
 	return ask
 }
@@ -123,15 +123,15 @@
 func (n *Node) grantPermits(to ReplicaID, number uint64, asks []LimitAsk) []relay.Permits {
 	var permits []relay.Permits
 	for _, a := range asks {
-		if p, ok := n.leading.lender.Ask(to, number, a.permitAsk(n.now), n.now); ok {
+		if p, ok := n.leader.lender.Request(to, number, a.permitAsk(n.now), n.now); ok {
 			permits = append(permits, p)
 		}
 	}
 	return permits
 }
 
-// lendToBatch answers the permit requests in a control VM's batch.
-func (n *Node) lendToBatch(asks []HolderAsks) []HolderPermits {
+// grantBatchPermits answers the permit requests in a control VM's batch.
+func (n *Node) grantBatchPermits(asks []HolderAsks) []HolderPermits {
 	var granted []HolderPermits
 	for _, a := range asks {
 		if permits := n.grantPermits(a.From, a.Number, a.Asks); len(permits) > 0 {
@@ -162,11 +162,11 @@
 // applyPermits records the permits that came with a lease, and passes them to the runtime if
 // the deployment has registered targets.
 func (n *Node) applyPermits(g Grant) {
-	sent, ok := n.entry.tenure.sentAt[g.Number]
+	sent, ok := n.entry.lease.sentAt[g.Number]
 	if !ok || len(g.Permits) == 0 {
 		return
 	}
-	granted := PermitsLent{Number: g.Number, Permits: g.Permits, Until: sent.Add(n.settings.Timing.Shortened(relay.PermitLife))}
+	granted := PermitsGranted{Number: g.Number, Permits: g.Permits, Until: sent.Add(n.settings.Timing.Shortened(relay.PermitTTL))}
 	n.entry.limits.Grant(granted.Number, granted.Permits, granted.Until, n.now)
 	if n.followsTargets() {
 		n.emit(granted)
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -52,8 +52,8 @@
 		f.answers = nil
 		for _, a := range answers {
 			if !f.dead[a.to] {
-				a.said.HeardAt = f.now
-				f.limits[a.to].Hear(limiting, a.said)
+				a.said.ReceivedAt = f.now
+				f.limits[a.to].Observe(limiting, a.said)
 			}
 		}
 		for _, vm := range f.entries() {
@@ -65,7 +65,7 @@
 }
 
 func (f *limitedFleet) ask(vm core.VMName) {
-	f.limits[vm].Want(limiting, f.now)
+	f.limits[vm].NoteDemand(limiting, f.now)
 	if !f.limits[vm].Take(limiting, f.now) {
 		return
 	}
@@ -215,10 +215,10 @@
 func TestRunnerRateLimitIsKept(t *testing.T) {
 	w := newWorld(t, 43, 3, 3)
 	w.setUp()
-	w.settled()
+	w.waitForVoters()
 	w.limits["s1"] = 2
 	lookUps := func(times int) (answered int) {
-		var asks []*ask
+		var asks []*callerRequest
 		for i := range times {
 			for _, vm := range []core.VMName{"vm4", "vm5", "vm6"} {
 				asks = append(asks, w.lookUp(vm, fmt.Sprintf("%v-%s-%d", w.now, vm, i)))
@@ -243,7 +243,7 @@
 	w.advance(time.Second)
 	lookUps(20)
 	began := w.clock(w.vms["vm4"])
-	var asks []*ask
+	var asks []*callerRequest
 	for i := range 200 {
 		asks = append(asks, w.lookUp("vm4", fmt.Sprintf("many%d", i)))
 	}
--- a/internal/core/machine.go
+++ b/internal/core/machine.go
@@ -9,8 +9,8 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// Machine is the replicated state machine. Its state is a pure function of the log.
-type Machine struct {
+// StateMachine is the replicated state machine. Its state is a pure function of the log.
+type StateMachine struct {
 	// At is the time of the newest entry.
 	At        time.Time                  `cbor:"at"`
 	Config    config.State               `cbor:"config"`
@@ -125,15 +125,15 @@
 	Answer  CallAnswer `cbor:"answer"`
 }
 
-func newMachine() Machine {
-	return Machine{
+func newMachine() StateMachine {
+	return StateMachine{
 		Operators: make(map[string]OperatorHistory),
 		Claims:    make(map[RequestID]Claim),
 	}
 }
 
 // clone returns a copy that shares only values that are never modified in place.
-func (m Machine) clone() Machine {
+func (m StateMachine) clone() StateMachine {
 	operators := make(map[string]OperatorHistory, len(m.Operators))
 	for name, history := range m.Operators {
 		operators[name] = OperatorHistory{Results: maps.Clone(history.Results), Lowest: history.Lowest}
@@ -173,7 +173,7 @@
 }
 
 // applyCommand changes the configuration, once for each number of an operator.
-func (m *Machine) applyCommand(c Command) Result {
+func (m *StateMachine) applyCommand(c Command) Result {
 	history := m.Operators[c.Operator]
 	if first, ok := history.Results[c.Number]; ok {
 		if first.Digest != c.Digest {
@@ -190,11 +190,11 @@
 	return result
 }
 
-func (m *Machine) conflict(message string) Result {
+func (m *StateMachine) conflict(message string) Result {
 	return Result{Kind: ResultConflict, Revision: m.Config.Revision, Message: message}
 }
 
-func (m *Machine) change(expect config.Revision, changes []config.Change) Result {
+func (m *StateMachine) change(expect config.Revision, changes []config.Change) Result {
 	if expect != 0 && expect != m.Config.Revision {
 		return m.conflict(fmt.Sprintf("the configuration is at revision %d, not %d; look at what changed and send the command again expecting %d", m.Config.Revision, expect, m.Config.Revision))
 	}
@@ -206,7 +206,7 @@
 	return Result{Kind: ResultAccepted, Revision: next.Revision}
 }
 
-func (m *Machine) keepResult(c Command, r Result) {
+func (m *StateMachine) keepResult(c Command, r Result) {
 	history, ok := m.Operators[c.Operator]
 	if !ok {
 		history.Results = make(map[uint64]KeptResult)
@@ -221,7 +221,7 @@
 }
 
 // applyClaim decides who may dispatch a request that may not be repeated.
-func (m *Machine) applyClaim(serial Index, op ClaimOp) ClaimOutcome {
+func (m *StateMachine) applyClaim(serial Index, op ClaimOp) ClaimOutcome {
 	c, ok := m.Claims[op.ID]
 	if !ok {
 		m.Claims[op.ID] = Claim{Holder: op.Holder, Attempt: op.Attempt, Digest: op.Digest, Serial: serial}
@@ -254,7 +254,7 @@
 
 // applyRecord stores the outcome of a claimed request. If the request provably did
 // not run, its claim is released.
-func (m *Machine) applyRecord(op RecordOp) {
+func (m *StateMachine) applyRecord(op RecordOp) {
 	c, ok := m.Claims[op.ID]
 	if !ok || c.Holder != op.Holder || c.Attempt != op.Attempt || c.Ended {
 		return
@@ -273,7 +273,7 @@
 }
 
 // expireClaims drops the claims that have expired.
-func (m *Machine) expireClaims() {
+func (m *StateMachine) expireClaims() {
 	for len(m.ClaimOrder) > 0 && !m.At.Before(m.ClaimOrder[0].DropAt) {
 		oldest := m.ClaimOrder[0]
 		m.ClaimOrder = m.ClaimOrder[1:]
--- a/internal/core/membership.go
+++ b/internal/core/membership.go
@@ -179,7 +179,7 @@
 		from = j.For
 	}
 	if !r.members.Has(from) {
-		n.leading.joining[from] = Member{ID: from, Volatile: j.Volatile}
+		n.leader.joining[from] = Member{ID: from, Volatile: j.Volatile}
 	}
 }
 
@@ -189,20 +189,20 @@
 // VM is removed.
 func (n *Node) addLearners() bool {
 	r := &n.replica
-	if len(n.leading.joining) == 0 {
+	if len(n.leader.joining) == 0 {
 		return false
 	}
 	members := r.members
-	for _, id := range slices.SortedFunc(maps.Keys(n.leading.joining), compareReplicas) {
+	for _, id := range slices.SortedFunc(maps.Keys(n.leader.joining), compareReplicas) {
 		for _, m := range members.Members {
 			if m.ID.VM == id.VM && m.ID != id && !m.Voter {
 				members = members.Without(m.ID)
 			}
 		}
-		members = members.With(n.leading.joining[id])
+		members = members.With(n.leader.joining[id])
 		n.note("learner joins", id.String())
 	}
-	clear(n.leading.joining)
+	clear(n.leader.joining)
 	n.proposeMembers(members)
 	return true
 }
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -22,31 +22,31 @@
 
 // Message is the union of all messages. Exactly one field is set, apart from Receipt.
 type Message struct {
-	Vote        *Vote          `cbor:"vote,omitempty"`
-	VoteReply   *VoteReply     `cbor:"vote_reply,omitempty"`
-	StartAsk    *StartAsk      `cbor:"start_ask,omitempty"`
-	StartReply  *StartReply    `cbor:"start_reply,omitempty"`
-	Append      *Append        `cbor:"append,omitempty"`
-	AppendReply *AppendReply   `cbor:"append_reply,omitempty"`
-	Install     *Install       `cbor:"install,omitempty"`
-	TimeoutNow  *TimeoutNow    `cbor:"timeout_now,omitempty"`
-	Join        *Join          `cbor:"join,omitempty"`
-	Renew       *Renew         `cbor:"renew,omitempty"`
-	Grant       *Grant         `cbor:"grant,omitempty"`
-	Redirect    *Redirect      `cbor:"redirect,omitempty"`
-	RenewBatch  *RenewBatch    `cbor:"renew_batch,omitempty"`
-	GrantBatch  *GrantBatch    `cbor:"grant_batch,omitempty"`
-	Claim       *ClaimRequest  `cbor:"claim,omitempty"`
-	ClaimReply  *ClaimReply    `cbor:"claim_reply,omitempty"`
-	Record      *RecordRequest `cbor:"record,omitempty"`
-	RecordReply *RecordReply   `cbor:"record_reply,omitempty"`
-	Keep        *Keep          `cbor:"keep,omitempty"`
-	KeepReply   *KeepReply     `cbor:"keep_reply,omitempty"`
-	Find        *Find          `cbor:"find,omitempty"`
-	FindReply   *FindReply     `cbor:"find_reply,omitempty"`
-	Follow      *Follow        `cbor:"follow,omitempty"`
-	TargetNews  *TargetNews    `cbor:"target_news,omitempty"`
-	Begin       *Begin         `cbor:"begin,omitempty"`
+	Vote        *Vote           `cbor:"vote,omitempty"`
+	VoteReply   *VoteReply      `cbor:"vote_reply,omitempty"`
+	StartAsk    *StartQuery     `cbor:"start_ask,omitempty"`
+	StartReply  *StartReply     `cbor:"start_reply,omitempty"`
+	Append      *Append         `cbor:"append,omitempty"`
+	AppendReply *AppendReply    `cbor:"append_reply,omitempty"`
+	Install     *Install        `cbor:"install,omitempty"`
+	TimeoutNow  *TimeoutNow     `cbor:"timeout_now,omitempty"`
+	Join        *Join           `cbor:"join,omitempty"`
+	Renew       *Renew          `cbor:"renew,omitempty"`
+	Grant       *Grant          `cbor:"grant,omitempty"`
+	Redirect    *Redirect       `cbor:"redirect,omitempty"`
+	RenewBatch  *RenewBatch     `cbor:"renew_batch,omitempty"`
+	GrantBatch  *GrantBatch     `cbor:"grant_batch,omitempty"`
+	Claim       *ClaimRequest   `cbor:"claim,omitempty"`
+	ClaimReply  *ClaimReply     `cbor:"claim_reply,omitempty"`
+	Record      *RecordRequest  `cbor:"record,omitempty"`
+	RecordReply *RecordReply    `cbor:"record_reply,omitempty"`
+	Keep        *Keep           `cbor:"keep,omitempty"`
+	KeepReply   *KeepReply      `cbor:"keep_reply,omitempty"`
+	Find        *Find           `cbor:"find,omitempty"`
+	FindReply   *FindReply      `cbor:"find_reply,omitempty"`
+	Follow      *Follow         `cbor:"follow,omitempty"`
+	TargetNews  *RegistryUpdate `cbor:"target_news,omitempty"`
+	Begin       *Begin          `cbor:"begin,omitempty"`
 	// Receipt belongs to the runtime. It may be set alone or together with another field.
 	Receipt *Receipt `cbor:"rc,omitempty"`
 }
@@ -59,8 +59,8 @@
 	Number uint64 `cbor:"number"`
 	// Seen is the highest number that the sender has received from this VM.
 	Seen uint64 `cbor:"seen"`
-	// Ask requests an immediate reply on the same connection.
-	Ask bool `cbor:"ask"`
+	// ReplyNow requests an immediate reply on the same connection.
+	ReplyNow bool `cbor:"ask"`
 }
 
 // Kind returns the name of the field that is set, for logs and metrics.
@@ -86,22 +86,22 @@
 	StartedIn uint64 `cbor:"started_in,omitempty"`
 }
 
-// StartAsk asks a voter whether it too has received nothing from a leader in its current
+// StartQuery asks a voter whether it too has received nothing from a leader in its current
 // incarnation. A voter that has does not reply. Incarnation is the sender's, and Number counts
 // its requests.
-type StartAsk struct {
+type StartQuery struct {
 	Incarnation uint64 `cbor:"life"`
 	Number      uint64 `cbor:"number"`
 }
 
-// StartReply answers the StartAsk of incarnation AskedBy with the sender's incarnation and
+// StartReply answers the StartQuery of incarnation RequesterIncarnation with the sender's incarnation and
 // the end of its log.
 type StartReply struct {
-	AskedBy     uint64 `cbor:"asked_by"`
-	Number      uint64 `cbor:"number"`
-	Incarnation uint64 `cbor:"life"`
-	LastTerm    Term   `cbor:"last_term"`
-	LastIndex   Index  `cbor:"last_index"`
+	RequesterIncarnation uint64 `cbor:"asked_by"`
+	Number               uint64 `cbor:"number"`
+	Incarnation          uint64 `cbor:"life"`
+	LastTerm             Term   `cbor:"last_term"`
+	LastIndex            Index  `cbor:"last_index"`
 }
 
 // VoteReply answers a Vote.
@@ -168,8 +168,8 @@
 	Target  string `cbor:"target"`
 	Reached bool   `cbor:"reached"`
 	Leaving bool   `cbor:"leaving"`
-	// Holding is the sequence of the last placement order that the engine has applied.
-	Holding uint64 `cbor:"holding"`
+	// AppliedSequence is the sequence of the last placement order that the engine has applied.
+	AppliedSequence uint64 `cbor:"holding"`
 }
 
 // Renew asks the leader for a lease and reports the state of the entry VM.
@@ -180,11 +180,11 @@
 	// ViewVersion is the version of the sender's list of entry VMs, and ViewSum its checksum.
 	ViewVersion uint64 `cbor:"view_version"`
 	ViewSum     uint64 `cbor:"view_sum,omitempty"`
-	// Away is set when no control VM of the sender's hall has answered it.
-	Away bool `cbor:"away,omitempty"`
+	// HallUnreachable is set when no control VM of the sender's hall has answered it.
+	HallUnreachable bool `cbor:"away,omitempty"`
 	// Leaving asks to be left out of the addresses given to callers.
 	Leaving bool `cbor:"leaving"`
-	// InProgress is the number of requests in progress. Load is in thousandths of capacity.
+	// AnswersInProgress is the number of requests in progress. Load is in thousandths of capacity.
 	InProgress int            `cbor:"in_progress"`
 	Load       int            `cbor:"load"`
 	Reports    []TargetReport `cbor:"reports,omitempty"`
@@ -196,10 +196,10 @@
 	Work map[relay.TargetKey]relay.Work `cbor:"work,omitempty"`
 	// Usage is the entry VM's requests and repeats in the last window, by service.
 	Usage map[string]relay.Usage `cbor:"usage,omitempty"`
-	// Dead lists the targets that failed recently without a success since, Sound
+	// Failed lists the targets that failed recently without a success since, Sound
 	// those that served successfully.
-	Dead  []relay.TargetKey `cbor:"dead,omitempty"`
-	Sound []relay.TargetKey `cbor:"well,omitempty"`
+	Failed  []relay.TargetKey `cbor:"dead,omitempty"`
+	Healthy []relay.TargetKey `cbor:"well,omitempty"`
 	// Slow lists the targets that report themselves as slow.
 	Slow []relay.TargetKey `cbor:"slow,omitempty"`
 	// Draining lists the targets that announced in a notice that they leave.
@@ -233,15 +233,15 @@
 	Reports    []TargetReport  `cbor:"reports"`
 }
 
-// FleetPart aggregates the renewals of the entry VMs that renew with one control VM.
-type FleetPart struct {
+// FleetAggregate aggregates the renewals of the entry VMs that renew with one control VM.
+type FleetAggregate struct {
 	Work map[relay.TargetKey]relay.Work `cbor:"work,omitempty"`
 	// Usage is the sum of their requests and repeats, VMs the number of entry VMs.
 	Usage map[string]relay.Usage `cbor:"usage,omitempty"`
 	VMs   int                    `cbor:"vms"`
-	// Dead and Sound count the entry VMs that reported a target as such.
-	Dead  map[relay.TargetKey]int `cbor:"dead,omitempty"`
-	Sound map[relay.TargetKey]int `cbor:"well,omitempty"`
+	// Failed and Sound count the entry VMs that reported a target as such.
+	Failed  map[relay.TargetKey]int `cbor:"dead,omitempty"`
+	Healthy map[relay.TargetKey]int `cbor:"well,omitempty"`
 	// Slow lists the targets that report themselves as slow to any of them, sorted.
 	Slow []relay.TargetKey `cbor:"slow,omitempty"`
 }
@@ -262,8 +262,8 @@
 	Expected  []VMName `cbor:"expected,omitempty"`
 	// Limits holds the permit requests of the renewals, for targets with limits.
 	Limits []HolderAsks `cbor:"limits,omitempty"`
-	// Part is nil while the last one sent is still valid.
-	Part *FleetPart `cbor:"part,omitempty"`
+	// Aggregate is nil while the last one sent is still valid.
+	Aggregate *FleetAggregate `cbor:"part,omitempty"`
 	// Crashed and Survived come from the renewals since the last batch.
 	Crashed  []CrashReport    `cbor:"crashed,omitempty"`
 	Survived []SurvivalReport `cbor:"survived,omitempty"`
@@ -273,27 +273,27 @@
 // above, and brings the control VM to the newest state of the fleet. The fields are those of
 // Grant.
 type GrantBatch struct {
-	Term        Term            `cbor:"term"`
-	Number      uint64          `cbor:"number"`
-	Revision    config.Revision `cbor:"revision"`
-	ViewVersion uint64          `cbor:"view_version"`
-	View        []EntryView     `cbor:"view,omitempty"`
-	Gone        []VMName        `cbor:"gone,omitempty"`
-	ViewWhole   bool            `cbor:"view_whole,omitempty"`
+	Term         Term            `cbor:"term"`
+	Number       uint64          `cbor:"number"`
+	Revision     config.Revision `cbor:"revision"`
+	ViewVersion  uint64          `cbor:"view_version"`
+	View         []EntryView     `cbor:"view,omitempty"`
+	Removed      []VMName        `cbor:"gone,omitempty"`
+	ViewComplete bool            `cbor:"view_whole,omitempty"`
 	// Work is what all entry VMs together have in flight, for the targets where it has
-	// changed since the WorkSeen of the batch. With WorkWhole all other targets have none.
+	// changed since the WorkSeen of the batch. With WorkComplete all other targets have none.
 	Work         map[relay.TargetKey]relay.Work `cbor:"work,omitempty"`
-	WorkWhole    bool                           `cbor:"work_whole,omitempty"`
-	WorkUpto     uint64                         `cbor:"work_upto,omitempty"`
+	WorkComplete bool                           `cbor:"work_whole,omitempty"`
+	WorkThrough  uint64                         `cbor:"work_upto,omitempty"`
 	WorkReported bool                           `cbor:"work_reported,omitempty"`
 	// Marks holds the target marks that have changed since the MarksSeen of the batch. With
-	// MarksWhole all other targets have none.
-	Marks      map[relay.TargetKey]relay.Mark `cbor:"marks,omitempty"`
-	MarksWhole bool                           `cbor:"marks_whole,omitempty"`
-	MarksUpto  uint64                         `cbor:"marks_upto,omitempty"`
-	VMs        int                            `cbor:"vms,omitempty"`
-	Usage      map[string]relay.Usage         `cbor:"usage,omitempty"`
-	UsageBy    int                            `cbor:"usage_by,omitempty"`
+	// MarksComplete all other targets have none.
+	Marks         map[relay.TargetKey]relay.Mark `cbor:"marks,omitempty"`
+	MarksComplete bool                           `cbor:"marks_whole,omitempty"`
+	MarksThrough  uint64                         `cbor:"marks_upto,omitempty"`
+	VMs           int                            `cbor:"vms,omitempty"`
+	Usage         map[string]relay.Usage         `cbor:"usage,omitempty"`
+	UsageVMs      int                            `cbor:"usage_by,omitempty"`
 	// Permits answers the batch's Limits.
 	Permits []HolderPermits `cbor:"permits,omitempty"`
 }
@@ -326,37 +326,37 @@
 	State    *config.State   `cbor:"state,omitempty"`
 	// ViewVersion is the version of the list of entry VMs after View and Gone
 	// are applied, which hold the changes since the holder's version. With
-	// ViewWhole, View is the whole list.
-	ViewVersion uint64      `cbor:"view_version"`
-	View        []EntryView `cbor:"view,omitempty"`
-	Gone        []VMName    `cbor:"gone,omitempty"`
-	ViewWhole   bool        `cbor:"view_whole,omitempty"`
+	// ViewComplete, View is the whole list.
+	ViewVersion  uint64      `cbor:"view_version"`
+	View         []EntryView `cbor:"view,omitempty"`
+	Removed      []VMName    `cbor:"gone,omitempty"`
+	ViewComplete bool        `cbor:"view_whole,omitempty"`
 	// ViewSame is set when the holder's list equals the newest one under another version.
 	ViewSame bool   `cbor:"view_same,omitempty"`
 	Cluster  string `cbor:"cluster"`
-	// Control lists the live control VMs.
-	Control []ControlVM `cbor:"control,omitempty"`
+	// ControlVMs lists the live control VMs.
+	ControlVMs []ControlVM `cbor:"control,omitempty"`
 	// Leader is the VM that granted the lease.
 	Leader VMName `cbor:"leader,omitempty"`
 	// Others is what all other entry VMs have in flight. VMs counts the entry VMs.
 	Others map[relay.TargetKey]relay.Work `cbor:"others,omitempty"`
-	// OthersWhole: targets missing in Others have no work or come with the next lease.
-	// WorkUpto is what the holder sends as WorkSeen from then on.
-	OthersWhole bool   `cbor:"others_whole,omitempty"`
-	WorkUpto    uint64 `cbor:"work_upto,omitempty"`
+	// OthersComplete: targets missing in Others have no work or come with the next lease.
+	// WorkThrough is what the holder sends as WorkSeen from then on.
+	OthersComplete bool   `cbor:"others_whole,omitempty"`
+	WorkThrough    uint64 `cbor:"work_upto,omitempty"`
 	// WorkReported is set once Others is known: a new leader has to receive reports first.
 	WorkReported bool `cbor:"work_reported,omitempty"`
-	// Marks holds the target marks that have changed. With MarksWhole, targets missing in it
-	// have none or come with the next lease. MarksUpto is what the holder sends as MarksSeen
+	// Marks holds the target marks that have changed. With MarksComplete, targets missing in it
+	// have none or come with the next lease. MarksThrough is what the holder sends as MarksSeen
 	// from then on.
-	Marks      map[relay.TargetKey]relay.Mark `cbor:"marks,omitempty"`
-	MarksWhole bool                           `cbor:"marks_whole,omitempty"`
-	MarksUpto  uint64                         `cbor:"marks_upto,omitempty"`
-	VMs        int                            `cbor:"vms,omitempty"`
-	// Usage sums the requests and repeats of UsageBy entry VMs in the last window, by
+	Marks         map[relay.TargetKey]relay.Mark `cbor:"marks,omitempty"`
+	MarksComplete bool                           `cbor:"marks_whole,omitempty"`
+	MarksThrough  uint64                         `cbor:"marks_upto,omitempty"`
+	VMs           int                            `cbor:"vms,omitempty"`
+	// Usage sums the requests and repeats of UsageVMs entry VMs in the last window, by
 	// service. It comes with WorkReported.
-	Usage   map[string]relay.Usage `cbor:"usage,omitempty"`
-	UsageBy int                    `cbor:"usage_by,omitempty"`
+	Usage    map[string]relay.Usage `cbor:"usage,omitempty"`
+	UsageVMs int                    `cbor:"usage_by,omitempty"`
 	// Permits are granted for targets with limits, with the lease that answers the renewal
 	// which requested them.
 	Permits []relay.Permits `cbor:"permits,omitempty"`
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -31,9 +31,9 @@
 	// Volatile is set on a control VM without a disk: it follows the log and serves
 	// entry VMs from it, and never gets a vote.
 	Volatile bool
-	// Delegates is set on a VM that would bootstrap the cluster but has no disk: it
+	// DelegatesBootstrap is set on a VM that would bootstrap the cluster but has no disk: it
 	// delegates this to another VM; see forming.go.
-	Delegates bool
+	DelegatesBootstrap bool
 	// DecodeDocument decodes a document; nil where the deployment has none. Its result
 	// must depend on the text alone.
 	DecodeDocument func(source []byte) (*relay.Document, error)
@@ -60,8 +60,8 @@
 	cluster     string
 	persistence persistence
 	replica     replica
-	machine     Machine
-	leading     leading
+	machine     StateMachine
+	leader      leaderState
 	entry       entry
 	registry    registry
 	forwarding  forwarding
@@ -137,7 +137,7 @@
 	case DocumentAsked:
 		n.documentAsked(ev)
 	case TargetSpoke:
-		n.targetSpoke(ev)
+		n.targetReported(ev)
 	case WorkCounted:
 		n.entry.work, n.entry.usage = ev.Work, ev.Usage
 		n.entry.findings, n.entry.permitAsks = ev.Findings, ev.Limits
@@ -145,7 +145,7 @@
 		n.permitsWanted(ev)
 	case TargetDrains:
 		if n.settings.Control {
-			n.drainingHeard([]relay.TargetID{ev.Target}, n.settings.Self.VM)
+			n.drainingReported([]relay.TargetID{ev.Target}, n.settings.Self.VM)
 		}
 	case RunsCrashed:
 		n.runsCrashed(ev)
@@ -269,7 +269,7 @@
 		n.transferLeadership()
 	}
 	if n.settings.Entry {
-		n.leaveEntry()
+		n.drainEntry()
 	}
 }
 
--- a/internal/core/operate.go
+++ b/internal/core/operate.go
@@ -49,13 +49,13 @@
 		Expect:   o.Expect,
 		Changes:  changes,
 	}})
-	n.leading.operators[index] = &waiter{conn: o.Conn, waitUntil: o.WaitUntil}
+	n.leader.operators[index] = &waiter{conn: o.Conn, waitUntil: o.WaitUntil}
 }
 
 func (n *Node) notLeader() Result {
 	hint := n.leaderHint()
 	if !n.settings.Control {
-		hint = n.entry.tenure.leader
+		hint = n.entry.lease.leader
 	}
 	return Result{Kind: ResultNotLeader, Leader: hint,
 		Message: "this VM does not lead the control VMs; ask the one that does, or wait for an election"}
@@ -154,7 +154,7 @@
 // commandApplied records the result for the operator that waits for the entry at index,
 // and answers it if due.
 func (n *Node) commandApplied(index Index, result Result) {
-	w, ok := n.leading.operators[index]
+	w, ok := n.leader.operators[index]
 	if !ok {
 		return
 	}
@@ -173,13 +173,13 @@
 		return
 	}
 	n.emit(Answer{Conn: w.conn, Result: w.result.WithInForce(vms, waiting)})
-	delete(n.leading.operators, index)
+	delete(n.leader.operators, index)
 }
 
 // failOperators answers the operators whose commands are undecided when this VM loses
 // leadership: the outcome is unknown.
 func (n *Node) failOperators() {
-	for _, w := range n.leading.operators {
+	for _, w := range n.leader.operators {
 		n.emit(Answer{Conn: w.conn, Result: Result{Kind: ResultInterrupted,
 			Message: "the leader changed before the command was decided; send it again under the same number: it takes effect once"}})
 	}
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -16,7 +16,7 @@
 //
 //   - fence=true: the target refuses an order whose (term, sequence) is before
 //     one it has applied.
-//   - fence=false: each order expires OrderLife after its issue, and a new
+//   - fence=false: each order expires OrderLifetime after its issue, and a new
 //     leader sends such a target nothing until all orders of the previous
 //     leader have expired.
 
@@ -34,15 +34,15 @@
 // tickPlan proposes a new plan when the configuration has changed.
 func (n *Node) tickPlan() {
 	c := n.machine.Config
-	if n.leading.planned == c.Revision || n.leading.planPending > n.replica.commit {
+	if n.leader.planned == c.Revision || n.leader.planPending > n.replica.commit {
 		return
 	}
-	n.leading.planned = c.Revision
-	n.leading.ordersAt = n.now
+	n.leader.planned = c.Revision
+	n.leader.ordersAt = n.now
 	changes := n.withSequences(plan.Changes(c))
 	if len(changes) > 0 {
 		n.note("placement changed", string(n.settings.Self.VM))
-		n.leading.planPending = n.propose(Entry{Changes: changes})
+		n.leader.planPending = n.propose(Entry{Changes: changes})
 	}
 }
 
@@ -64,11 +64,11 @@
 //
 // It scans all placements, so it runs less often while all are confirmed.
 func (n *Node) tickOrders() {
-	if n.now.Before(n.leading.ordersAt) {
+	if n.now.Before(n.leader.ordersAt) {
 		return
 	}
 	c := n.machine.Config
-	pause := n.settings.Timing.WatchEvery
+	pause := n.settings.Timing.ProbeInterval
 	var confirmed []config.Change
 	for _, p := range c.Placements.Sorted() {
 		target, ok := c.Targets.Get(p.Target)
@@ -78,7 +78,7 @@
 		if !p.Ready {
 			pause = openOrdersInterval
 		}
-		state := n.leading.orders[p.Target]
+		state := n.leader.orders[p.Target]
 		if n.needsOrder(p, state) {
 			n.sendOrder(p, target)
 			continue
@@ -87,9 +87,9 @@
 			confirmed = append(confirmed, config.Change{Place: &changed})
 		}
 	}
-	n.leading.ordersAt = n.now.Add(pause)
-	if len(confirmed) > 0 && n.leading.planPending <= n.replica.commit {
-		n.leading.planPending = n.propose(Entry{Changes: confirmed})
+	n.leader.ordersAt = n.now.Add(pause)
+	if len(confirmed) > 0 && n.leader.planPending <= n.replica.commit {
+		n.leader.planPending = n.propose(Entry{Changes: confirmed})
 	}
 }
 
@@ -97,7 +97,7 @@
 	if p.Ready {
 		return false
 	}
-	held, _ := n.holding(p.Target)
+	held, _ := n.heldOrder(p.Target)
 	if held == p.Sequence {
 		return false
 	}
@@ -108,17 +108,17 @@
 // whether it changed. A watcher may have seen that the order was applied, or that
 // the engine restarted and holds nothing.
 func (n *Node) updateReady(p config.Placement, state *orderState) (config.Placement, bool) {
-	held, at := n.holding(p.Target)
+	held, at := n.heldOrder(p.Target)
 	if at.IsZero() {
 		return p, false
 	}
 	if !p.Ready && held == p.Sequence {
 		return p.WithReady(), true
 	}
-	settled := state == nil || at.After(state.sentAt.Add(n.settings.Timing.OrderLife))
+	settled := state == nil || at.After(state.sentAt.Add(n.settings.Timing.OrderLifetime))
 	if p.Ready && held != p.Sequence && settled {
 		p.Ready = false
-		delete(n.leading.orders, p.Target)
+		delete(n.leader.orders, p.Target)
 		return p, true
 	}
 	return p, false
@@ -126,13 +126,13 @@
 
 func (n *Node) sendOrder(p config.Placement, target config.Target) {
 	t := n.settings.Timing
-	voidAt := n.replica.electedAt.Add(t.Lengthened(t.OrderLife))
+	voidAt := n.replica.electedAt.Add(t.Lengthened(t.OrderLifetime))
 	if !target.Fence && n.now.Before(voidAt) {
 		return
 	}
 	fence := Fence{Term: n.replica.hard.Term, Sequence: p.Sequence}
-	n.leading.orders[p.Target] = &orderState{fence: fence, sentAt: n.now, resendAt: n.now.Add(t.OrderLife)}
-	notAfter := n.now.Add(t.Shortened(t.OrderLife))
+	n.leader.orders[p.Target] = &orderState{fence: fence, sentAt: n.now, resendAt: n.now.Add(t.OrderLifetime)}
+	notAfter := n.now.Add(t.Shortened(t.OrderLifetime))
 	if n.replica.leaseUntil.Before(notAfter) {
 		notAfter = n.replica.leaseUntil
 	}
@@ -150,25 +150,25 @@
 		return
 	}
 	if !o.Done {
-		if state := n.leading.orders[o.Target]; state != nil {
-			state.resendAt = n.now.Add(n.settings.Timing.WatchEvery)
+		if state := n.leader.orders[o.Target]; state != nil {
+			state.resendAt = n.now.Add(n.settings.Timing.ProbeInterval)
 		}
 		return
 	}
 	ready := p.WithReady()
-	n.leading.planPending = n.propose(Entry{Changes: []config.Change{{Place: &ready}}})
+	n.leader.planPending = n.propose(Entry{Changes: []config.Change{{Place: &ready}}})
 }
 
-// pipelineUse is the capacity of a pipeline's chains.
-type pipelineUse struct {
+// pipelineCapacity is the capacity of a pipeline's chains.
+type pipelineCapacity struct {
 	chains int
 	slots  int
 	// bound is in tokens per second.
 	bound float64
 }
 
-func (n *Node) pipelineUse(p config.Pipeline) pipelineUse {
-	var use pipelineUse
+func (n *Node) pipelineUse(p config.Pipeline) pipelineCapacity {
+	var use pipelineCapacity
 	for _, c := range plan.Chains(n.machine.Config, p.Model, p.Version) {
 		use.chains++
 		use.slots += c.Slots
--- a/internal/core/orders_flood_test.go
+++ b/internal/core/orders_flood_test.go
@@ -23,7 +23,7 @@
 		for _, id := range f.ids {
 			e := f.engines[id]
 			e.target.Call++
-			f.step(e.speaks, core.TargetSpoke{Conn: 1, Target: e.target})
+			f.step(e.reportsTo, core.TargetSpoke{Conn: 1, Target: e.target})
 		}
 	}
 	for range 5 {
--- a/internal/core/own_limits.go
+++ b/internal/core/own_limits.go
@@ -13,12 +13,12 @@
 // runnerID identifies a declared target in the rate limits.
 func runnerID(name string) relay.TargetID { return relay.TargetID(name) }
 
-// hearLimit records the rate limit that a runner reported with an answer.
-func (n *Node) hearLimit(name string, answer relay.LimitAnswer) {
-	if answer.HeardAt.IsZero() {
+// recordLimit records the rate limit that a runner reported with an answer.
+func (n *Node) recordLimit(name string, answer relay.LimitAnswer) {
+	if answer.ReceivedAt.IsZero() {
 		return
 	}
-	if !n.entry.limits.Hear(runnerID(name), answer) {
+	if !n.entry.limits.Observe(runnerID(name), answer) {
 		return
 	}
 	if answer.Limited {
@@ -28,14 +28,14 @@
 	n.note("target no longer limits the rate of requests", name)
 }
 
-// routeLimited reports whether a runner of a route has a limit, and routeShort whether this VM
+// routeLimited reports whether a runner of a route has a limit, and routeLacksPermit whether this VM
 // has no permit for one of them.
 func (n *Node) routeLimited(r *route) bool {
 	return slices.ContainsFunc(r.stages, func(s Stage) bool { return n.entry.limits.PerSecond(runnerID(s.Target), n.now) > 0 })
 }
 
-func (n *Node) routeShort(r *route) bool {
-	return slices.ContainsFunc(r.stages, func(s Stage) bool { return !n.entry.limits.Room(runnerID(s.Target), n.now) })
+func (n *Node) routeLacksPermit(r *route) bool {
+	return slices.ContainsFunc(r.stages, func(s Stage) bool { return !n.entry.limits.Available(runnerID(s.Target), n.now) })
 }
 
 // routePermit takes a permit of the runner that a call goes to. It reports whether the runner
@@ -45,25 +45,25 @@
 	return n.entry.limits.PerSecond(id, n.now) > 0 && n.entry.limits.Take(id, n.now)
 }
 
-// wantPermits records that work waits for the runners of a pool, and requests permits if any
+// notePermitDemand records that work waits for the runners of a pool, and requests permits if any
 // route lacks one.
 func (n *Node) wantPermits(p *pool) {
 	short := false
 	for _, r := range p.routes {
 		for _, s := range r.stages {
-			n.entry.limits.Want(runnerID(s.Target), n.now)
+			n.entry.limits.NoteDemand(runnerID(s.Target), n.now)
 		}
-		short = short || n.routeShort(r)
+		short = short || n.routeLacksPermit(r)
 	}
 	if short {
 		n.renewForPermits()
 	}
 }
 
-// poolLimited returns the refusal of work that can't start in time because of the work ahead of
+// poolLimitRefusal returns the refusal of work that can't start in time because of the work ahead of
 // it and the rate limits of all runners of the pool. The caller is to retry when there is
 // likely a permit.
-func (n *Node) poolLimited(p *pool, w *waiting, ahead float64) (Refusal, bool) {
+func (n *Node) poolLimitRefusal(p *pool, w *queuedWork, ahead float64) (Refusal, bool) {
 	perSecond := 0.0
 	for _, r := range p.routes {
 		if !n.routeLimited(r) {
@@ -77,7 +77,7 @@
 		return Refusal{}, false
 	}
 	begins := n.now.Add(time.Duration((ahead + 1) / perSecond * float64(time.Second)))
-	if !begins.After(p.latest(w)) {
+	if !begins.After(p.latestStart(w)) {
 		return Refusal{}, false
 	}
 	spread := max(begins.Sub(n.now), time.Second)
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -70,28 +70,28 @@
 
 // placing is the leader's state of its orders. It is lost when leadership ends.
 type placing struct {
-	decoded     decoded
+	decoded     documentCache
 	nextCheckAt time.Time
 	// queued holds the assignments of an initial plan that have not been ordered yet, by
 	// service. An initial plan is one for a fleet that holds nothing.
 	queued map[string][]relay.Assignment
 	// orders holds the orders that engines have not yet reported as applied.
 	orders map[relay.TargetID]layerOrder
-	// underWay holds the engines with an order in flight.
-	underWay map[relay.TargetID]bool
+	// inFlight holds the engines with an order in flight.
+	inFlight map[relay.TargetID]bool
 	// enginesSeen is the highest number of engines seen, and settledAt when the first plan may
 	// be made.
 	enginesSeen int
 	settledAt   time.Time
 	// By service, noted holds what was last logged of the plan and its faults, holds the
-	// capacity of the layers that engines hold, and holdsAt when that is updated next.
-	noted   map[string]planNotes
-	holds   map[string]relay.Capacity
-	holdsAt map[string]time.Time
+	// capacity of the layers that engines hold, and capacityAt when that is updated next.
+	logged     map[string]planLog
+	capacity   map[string]relay.Capacity
+	capacityAt map[string]time.Time
 }
 
-// planNotes holds the last log lines on a service. Each is logged again when it changes.
-type planNotes struct{ faults, plan string }
+// planLog holds the last log lines on a service. Each is logged again when it changes.
+type planLog struct{ faults, plan string }
 
 // capacityInterval is the interval at which the capacity of the held layers is computed. The
 // figure is for operators, who read it every few seconds.
@@ -105,7 +105,7 @@
 
 // tickPlacing compares what engines hold with the plan.
 func (n *Node) tickPlacing() {
-	p := &n.leading.placing
+	p := &n.leader.placing
 	if !n.followsTargets() || n.now.Before(p.nextCheckAt) || n.now.Before(n.registry.completeAt) {
 		return
 	}
@@ -122,14 +122,14 @@
 }
 
 func (n *Node) placeService(s *relay.Service) {
-	p := &n.leading.placing
+	p := &n.leader.placing
 	engines, holding := n.enginesOf(s.Name)
 	if len(engines) > p.enginesSeen {
 		p.settledAt = n.now.Add(placeSettleTime)
 	}
 	p.enginesSeen = max(p.enginesSeen, len(engines))
 	n.updateCapacity(s, engines)
-	if !holding && n.now.Before(p.settledAt) && !s.Engine.MayBegin(engines) {
+	if !holding && n.now.Before(p.settledAt) && !s.Engine.ReadyForFirstPlan(engines) {
 		return
 	}
 	n.logFaults(s, engines)
@@ -139,7 +139,7 @@
 // assignments returns the next orders, the most urgent first. An initial plan is kept until
 // all of it is ordered, since a plan for the remaining engines would differ.
 func (n *Node) assignments(s *relay.Service, engines []relay.Target, holding bool) []relay.Assignment {
-	p := &n.leading.placing
+	p := &n.leader.placing
 	if !holding {
 		p.queued[s.Name] = n.settings.Policy.Plan(s.Engine, engines)
 		n.logPlan(s, engines, p.queued[s.Name])
@@ -149,7 +149,7 @@
 		empty[t.ID] = t.Layers.Len() == 0
 	}
 	p.queued[s.Name] = slices.DeleteFunc(p.queued[s.Name], func(a relay.Assignment) bool { return !empty[a.Target] })
-	if holding && !s.Engine.NeedsMore(engines) {
+	if holding && !s.Engine.NeedsMoreLoads(engines) {
 		return nil
 	}
 	if queued := p.queued[s.Name]; len(queued) > 0 {
@@ -186,7 +186,7 @@
 // sendOrders orders no more engines than may load concurrently. All loads share a store, and
 // with thousands in parallel none would finish for a long time.
 func (n *Node) sendOrders(s *relay.Service, assignments []relay.Assignment) {
-	p := &n.leading.placing
+	p := &n.leader.placing
 	for _, a := range assignments {
 		if !p.mayOrder(s.Engine) {
 			return
@@ -197,7 +197,7 @@
 
 // mayOrder reports whether another engine may be ordered now.
 func (p *placing) mayOrder(e *relay.Engine) bool {
-	if len(p.underWay) >= maxOrdersInFlight {
+	if len(p.inFlight) >= maxOrdersInFlight {
 		return false
 	}
 	return e.LoadsAtOnce <= 0 || len(p.orders) < loadsAhead*e.LoadsAtOnce
@@ -205,7 +205,7 @@
 
 // orderQueued sends the next orders of the initial plans.
 func (n *Node) orderQueued() {
-	p := &n.leading.placing
+	p := &n.leader.placing
 	for _, service := range slices.Sorted(maps.Keys(p.queued)) {
 		e := p.decoded.document.Engine(service)
 		for e != nil && len(p.queued[service]) > 0 && p.mayOrder(e) {
@@ -221,10 +221,10 @@
 // enginesOf returns the live engines of a service that accept work, with the layers
 // that they hold or were ordered to hold, and whether any of them holds layers.
 func (n *Node) enginesOf(service string) (engines []relay.Target, holding bool) {
-	p := &n.leading.placing
-	marks := n.leading.fleetNow(n).marks
+	p := &n.leader.placing
+	marks := n.leader.fleetNow(n).marks
 	for _, t := range n.registry.targets.All() {
-		if t.Service != service || !t.Takes() || marks[t.ID.Key()].Has(relay.MarkSilent) {
+		if t.Service != service || !t.AcceptsWork() || marks[t.ID.Key()].Has(relay.MarkSilent) {
 			continue
 		}
 		order, ordered := p.orders[t.ID]
@@ -236,7 +236,7 @@
 			t.Layers = order.layers
 			t.Loading = true
 		}
-		t.Load = n.leading.fleet.work[t.ID.Key()].Tokens
+		t.Load = n.leader.fleet.work[t.ID.Key()].Tokens
 		holding = holding || t.Layers.Len() > 0
 		engines = append(engines, t)
 	}
@@ -250,10 +250,10 @@
 	}
 	share := float64(a.Layers.Len()) / float64(e.Layers)
 	load := time.Duration(float64(e.Load) * share * loadTimeFactor)
-	n.leading.placing.orders[a.Target] = layerOrder{layers: a.Layers, until: n.now.Add(load + unknownOrderTimeout)}
-	n.leading.placing.underWay[a.Target] = true
+	n.leader.placing.orders[a.Target] = layerOrder{layers: a.Layers, until: n.now.Add(load + unknownOrderTimeout)}
+	n.leader.placing.inFlight[a.Target] = true
 	n.note("engine ordered to hold layers "+a.Layers.String(), string(a.Target))
-	n.leading.lender.Charge(a.Target.Key())
+	n.leader.lender.Charge(a.Target.Key())
 	n.emit(OrderLayers{Target: a.Target, Address: t.Address, Layers: a.Layers, NotAfter: n.now.Add(layerOrderLifetime)})
 }
 
@@ -261,8 +261,8 @@
 const loadTimeFactor = 4
 
 func (n *Node) layersOrdered(o LayersOrdered) {
-	p := &n.leading.placing
-	delete(p.underWay, o.Target)
+	p := &n.leader.placing
+	delete(p.inFlight, o.Target)
 	if order, ok := p.orders[o.Target]; ok {
 		n.note("order of layers "+order.layers.String()+" "+o.Outcome.String(), string(o.Target))
 		if o.Outcome == OrderRefused {
--- a/internal/core/placing_notes.go
+++ b/internal/core/placing_notes.go
@@ -20,12 +20,12 @@
 	if err := errors.Join(s.Engine.Faults(engines)...); err != nil {
 		text = strings.ReplaceAll(err.Error(), "\n", "; ")
 	}
-	noted := n.leading.placing.noted[s.Name]
+	noted := n.leader.placing.logged[s.Name]
 	if text == noted.faults {
 		return
 	}
 	noted.faults = text
-	n.leading.placing.noted[s.Name] = noted
+	n.leader.placing.logged[s.Name] = noted
 	if text != "" {
 		n.note("cost model can't be planned with as it is: "+text, s.Name)
 	}
@@ -34,15 +34,15 @@
 // logPlan logs a plan with its inputs.
 func (n *Node) logPlan(s *relay.Service, engines []relay.Target, plan []relay.Assignment) {
 	held := withLayers(engines, plan)
-	whole, left := s.Engine.Hold(held), s.Engine.HoldAfter(held, loggedLosses)
+	whole, left := s.Engine.Capacity(held), s.Engine.CapacityAfterLosses(held, loggedLosses)
 	text := fmt.Sprintf("plan for %s: %d of them hold layers, the least held layer %d times in a hall; bears %.0f answers in progress and %.0f a second, each %s, of %d and %d tokens; %.0f a second without the %d engines whose loss costs most",
 		countKinds(engines), len(plan), whole.Copies, whole.Answers, whole.Rate, whole.Time.Round(timeUnit), s.Engine.UsualPrompt, s.Engine.UsualAnswer, left.Rate, loggedLosses)
-	noted := n.leading.placing.noted[s.Name]
+	noted := n.leader.placing.logged[s.Name]
 	if text == noted.plan {
 		return
 	}
 	noted.plan = text
-	n.leading.placing.noted[s.Name] = noted
+	n.leader.placing.logged[s.Name] = noted
 	n.note(text, s.Name)
 }
 
@@ -83,17 +83,17 @@
 
 // updateCapacity computes the capacity of the layers that engines hold, for Status.
 func (n *Node) updateCapacity(s *relay.Service, engines []relay.Target) {
-	p := &n.leading.placing
-	if n.now.Before(p.holdsAt[s.Name]) {
+	p := &n.leader.placing
+	if n.now.Before(p.capacityAt[s.Name]) {
 		return
 	}
-	p.holdsAt[s.Name] = n.now.Add(capacityInterval)
-	p.holds[s.Name] = s.Engine.Hold(engines)
+	p.capacityAt[s.Name] = n.now.Add(capacityInterval)
+	p.capacity[s.Name] = s.Engine.Capacity(engines)
 }
 
-// planHolds returns the capacity of the layers that engines hold, over all services.
-func (n *Node) planHolds() (answers, rate float64) {
-	for _, c := range n.leading.placing.holds {
+// heldCapacity returns the capacity of the layers that engines hold, over all services.
+func (n *Node) heldCapacity() (answers, rate float64) {
+	for _, c := range n.leader.placing.capacity {
 		answers += c.Answers
 		rate += c.Rate
 	}
--- a/internal/core/quarantine.go
+++ b/internal/core/quarantine.go
@@ -32,7 +32,7 @@
 // when its time is over or by an operator.
 //
 // Limits: a request that ends two targets before a change of leader and crashesRepeatedFor, and
-// continues after it, ends up to two targets more than CrashesMost.
+// continues after it, ends up to two targets more than QuarantineCrashes.
 
 const (
 	// crashesRepeatedFor is how long an entry VM repeats a report: an election and one or two
@@ -172,11 +172,11 @@
 // renewSoon makes this entry VM renew its lease soon, to send the reports that a renewal
 // carries.
 func (n *Node) renewSoon() {
-	t := &n.entry.tenure
+	t := &n.entry.lease
 	if t.renewAt.IsZero() {
 		return // no renewal has been sent yet
 	}
-	last := t.renewAt.Add(-n.settings.Timing.RenewEvery)
+	last := t.renewAt.Add(-n.settings.Timing.RenewInterval)
 	t.renewAt = earlier(t.renewAt, last.Add(crashRenewAfter))
 }
 
@@ -207,10 +207,10 @@
 	return relay.Fingerprint(raw), true
 }
 
-// crashesHeard handles reports that came with renewals: the leader collects them, another
+// crashesReported handles reports that came with renewals: the leader collects them, another
 // control VM forwards them with its next batch.
-func (n *Node) crashesHeard(reports []CrashReport, survived []SurvivalReport) {
-	if !n.leads() {
+func (n *Node) crashesReported(reports []CrashReport, survived []SurvivalReport) {
+	if !n.canGrant() {
 		n.forwarding.crashes.merge(reports, survived, n.now)
 		return
 	}
@@ -225,16 +225,16 @@
 // recordCrash has the leader record one report, and puts the request into quarantine if it has
 // ended too many targets.
 func (n *Node) recordCrash(run relay.CrashedRun) {
-	l := &n.leading
+	l := &n.leader
 	name := run.Request.String()
 	if n.machine.Config.Quarantine.Has(name) || l.quarantining[run.Request] {
 		return
 	}
-	if !l.suspects.Take(run) {
+	if !l.suspects.Record(run) {
 		return
 	}
 	l.quarantining[run.Request] = true
-	q := config.QuarantinedRequest{Fingerprint: name, FirstEnd: wall(l.suspects.FirstEnd(run.Request)), Since: wall(n.now), Until: wall(n.now.Add(quarantineFor))}
+	q := config.QuarantinedRequest{Fingerprint: name, FirstEnd: wallClock(l.suspects.FirstEnd(run.Request)), Since: wallClock(n.now), Until: wallClock(n.now.Add(quarantineFor))}
 	l.suspects.Forget(run.Request)
 	n.note("request has ended its targets one after the other: it is put into quarantine", name)
 	n.propose(Entry{Changes: []config.Change{{Quarantine: &q}}})
@@ -243,17 +243,17 @@
 // quarantineApplied records that the log has put a request into quarantine.
 func (n *Node) quarantineApplied(q config.QuarantinedRequest) {
 	if request, ok := parseFingerprint(q.Fingerprint); ok {
-		delete(n.leading.quarantining, request)
+		delete(n.leader.quarantining, request)
 	}
 }
 
 // recordSurvival has the leader record that a request ran well, and releases it from quarantine
 // if that was after it first ended a target.
 func (n *Node) recordSurvival(request relay.Fingerprint, at time.Time) {
-	n.leading.suspects.Clear(request, at)
+	n.leader.suspects.Clear(request, at)
 	name := request.String()
 	q, held := n.machine.Config.Quarantine.Get(name)
-	if !held || !wall(at).After(q.FirstEnd) {
+	if !held || !wallClock(at).After(q.FirstEnd) {
 		return // a survival is reported for crashesRepeatedFor, even if the request ends targets afterwards
 	}
 	n.note("request in quarantine has run well: it is let go", name)
--- a/internal/core/quarantine_test.go
+++ b/internal/core/quarantine_test.go
@@ -216,7 +216,7 @@
 			f.run(time.Duration(rapid.IntRange(150, 4000).Draw(t, "pause")) * time.Millisecond)
 		}
 		f.until("all have a lease", 30*time.Second, func() bool { return f.leased(0) })
-		f.crashSequentially("crashing", relay.CrashesMost)
+		f.crashSequentially("crashing", relay.QuarantineCrashes)
 		f.until("all VMs know it", knownUnderLoss, func() bool { return f.known("crashing") })
 		require.False(t, f.known("innocent"))
 	})
--- a/internal/core/refusal.go
+++ b/internal/core/refusal.go
@@ -48,9 +48,9 @@
 	return fmt.Sprintf("%s (ran: %s): %s; %s", r.Kind, r.Ran, r.Reason, r.Remedy)
 }
 
-// WithDoubt returns the refusal for a request that may have been sent to another VM
+// WithUnknownOutcome returns the refusal for a request that may have been sent to another VM
 // before: this VM has not run it, but another one may have.
-func (r Refusal) WithDoubt() Refusal {
+func (r Refusal) WithUnknownOutcome() Refusal {
 	if r.Ran != RanNo {
 		return r
 	}
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -48,11 +48,11 @@
 // than a request. An entry VM also reports such notices with its renewals.
 type TargetDrains struct{ Target relay.TargetID }
 
-// TargetHeard answers TargetSpoke. Taken is false where the target should report to another
+// TargetReportReply answers TargetSpoke. Taken is false where the target should report to another
 // control VM.
-type TargetHeard struct {
-	Conn  ConnID
-	Taken bool
+type TargetReportReply struct {
+	Conn     ConnID
+	Accepted bool
 	// HeldBack reports that no document names the target's service.
 	HeldBack bool
 }
@@ -65,7 +65,7 @@
 	Usage    map[string]relay.Usage
 	Findings relay.Findings
 	// Limits is what to report to the leader of targets with limits.
-	Limits []relay.PermitAsk
+	Limits []relay.PermitRequest
 }
 
 // SeedsRead are the control VMs that the settings now name.
@@ -78,8 +78,8 @@
 // has begun. Teller is the VM that reported it: a control VM, or this VM if the target reported
 // to it.
 type TargetsEnded struct {
-	Ended  []relay.Succession
-	Teller VMName
+	Ended      []relay.Succession
+	ReportedBy VMName
 }
 
 // FleetLearned passes the leader's state of the fleet to the runtime of an entry VM.
@@ -87,17 +87,17 @@
 	// LeaseUntil is when this VM's right to act by its document ends.
 	LeaseUntil time.Time
 	VMs        int
-	// Others is the work of other VMs in flight at targets: at all of them if OthersWhole,
+	// Others is the work of other VMs in flight at targets: at all of them if OthersComplete,
 	// otherwise where it has changed much.
 	Others      map[relay.TargetKey]relay.Work
 	OthersWhole bool
 	// OthersReported reports whether the leader knows the work of other VMs.
 	OthersReported bool
-	// Usage counts the requests and repeats of UsageBy entry VMs in the last window, by
+	// Usage counts the requests and repeats of UsageVMs entry VMs in the last window, by
 	// service; it is valid where OthersReported is set.
 	Usage   map[string]relay.Usage
 	UsageBy int
-	// Marks are the changed marks of targets; MarksWhole reports that all other targets have
+	// Marks are the changed marks of targets; MarksComplete reports that all other targets have
 	// none.
 	Marks      map[relay.TargetKey]relay.Mark
 	MarksWhole bool
@@ -108,10 +108,10 @@
 func (SeedsRead) isEvent()    {}
 func (TargetDrains) isEvent() {}
 
-func (TargetHeard) isEffect()    {}
-func (TargetsLearned) isEffect() {}
-func (TargetsEnded) isEffect()   {}
-func (FleetLearned) isEffect()   {}
+func (TargetReportReply) isEffect() {}
+func (TargetsLearned) isEffect()    {}
+func (TargetsEnded) isEffect()      {}
+func (FleetLearned) isEffect()      {}
 
 const (
 	// followEvery is the interval between two Follow requests of an entry VM, and
@@ -155,10 +155,10 @@
 	// state; fullState is set once one has sent it.
 	fullStateFrom int
 	fullState     bool
-	// news is set when followers are to be sent changes at the next push. Thousands of targets
+	// changesPending is set when followers are to be sent changes at the next push. Thousands of targets
 	// may report within a second, and each push goes to hundreds of followers.
-	news   bool
-	pushAt time.Time
+	changesPending bool
+	pushAt         time.Time
 	// completeAt is when every live target has reported since this process started. Before
 	// that, a target's state may be known from hints only, or not at all.
 	completeAt time.Time
@@ -204,7 +204,7 @@
 }
 
 func (n *Node) startRegistry(hints []relay.Target) {
-	silence := n.settings.Timing.targetSilence()
+	silence := n.settings.Timing.targetTimeout()
 	n.registry = registry{
 		targets:   relay.NewRegistry(silence),
 		followers: make(map[VMName]*follower),
@@ -216,7 +216,7 @@
 	}
 	n.registry.completeAt = n.now.Add(silence)
 	for _, t := range hints {
-		n.registry.targets.Learn(t, n.now)
+		n.registry.targets.ReceiveForwarded(t, n.now)
 	}
 	n.registry.targets.TakeTransitions() // nothing has run yet
 	n.registry.saved = n.registry.targets.Change()
@@ -260,25 +260,25 @@
 
 // silentTargets returns, sorted, the targets that no VM has recently received a heartbeat of.
 func (n *Node) silentTargets() []relay.TargetID {
-	return n.registry.targets.Silent(n.now, n.settings.Timing.replacedSilence())
+	return n.registry.targets.Silent(n.now, n.settings.Timing.replacedTargetTimeout())
 }
 
-// targetSpoke handles a report that a target sent to this VM.
-func (n *Node) targetSpoke(s TargetSpoke) {
+// targetReported handles a report that a target sent to this VM.
+func (n *Node) targetReported(s TargetSpoke) {
 	if !n.hasLeaderContact() {
-		n.emit(TargetHeard{Conn: s.Conn})
+		n.emit(TargetReportReply{Conn: s.Conn})
 		return
 	}
 	heldBack := n.heldBack(s.Target)
 	if !heldBack {
 		n.acceptReport(s.Target)
 	}
-	n.emit(TargetHeard{Conn: s.Conn, Taken: true, HeldBack: heldBack})
+	n.emit(TargetReportReply{Conn: s.Conn, Accepted: true, HeldBack: heldBack})
 }
 
 // acceptReport records and distributes a report that a target sent to this VM.
 func (n *Node) acceptReport(t relay.Target) {
-	changed := n.registry.targets.Hear(t, n.now)
+	changed := n.registry.targets.ReceiveReport(t, n.now)
 	ended, again := n.registry.targets.TakeTransitions()
 	n.endIncarnations(ended, n.settings.Self.VM)
 	if !changed && len(again) == 0 {
@@ -286,20 +286,20 @@
 	}
 	n.note("target said something new", string(t.ID))
 	n.noteLeaving([]relay.Target{t})
-	n.registry.news = true
+	n.registry.changesPending = true
 	n.saveTargets(t.Leaving)
 }
 
-// drainingHeard handles leaving notices that targets sent to a VM with their answers. They have
+// drainingReported handles leaving notices that targets sent to a VM with their answers. They have
 // the effect of a heartbeat that reports the same.
-func (n *Node) drainingHeard(ids []relay.TargetID, reportedBy VMName) {
+func (n *Node) drainingReported(ids []relay.TargetID, reportedBy VMName) {
 	for _, id := range ids {
 		if !n.registry.targets.Drain(id) {
 			continue
 		}
 		n.note("target leaves, as it said with an answer to "+string(reportedBy), string(id))
 		n.registry.leavingChange = n.registry.targets.Change()
-		n.registry.news = true
+		n.registry.changesPending = true
 		n.saveTargets(true)
 	}
 }
@@ -310,7 +310,7 @@
 	if n.replica.role == Leader {
 		return n.holdsLease()
 	}
-	return n.replica.leader.VM != "" && n.now.Before(n.replica.heardAt.Add(leaderContactTimeout))
+	return n.replica.leader.VM != "" && n.now.Before(n.replica.lastContact.Add(leaderContactTimeout))
 }
 
 // controlVMs returns, sorted, the control VMs that this VM knows from its settings, the members
@@ -345,15 +345,15 @@
 		n.listEngines()
 	}
 	n.saveTargets(false)
-	n.registry.news = n.registry.news || n.updateLost()
-	if n.registry.news && !n.now.Before(n.registry.pushAt) {
-		n.registry.news = false
+	n.registry.changesPending = n.registry.changesPending || n.updateLost()
+	if n.registry.changesPending && !n.now.Before(n.registry.pushAt) {
+		n.registry.changesPending = false
 		n.registry.pushAt = n.now.Add(time.Duration(len(n.registry.followers)) * pushIntervalPerFollower)
 		n.push()
 	}
 	if !n.now.Before(n.registry.forgetAt) {
 		n.registry.forgetAt = n.now.Add(targetExpiry / 10)
-		n.registry.targets.Forget(n.now.Add(-targetExpiry))
+		n.registry.targets.Expire(n.now.Add(-targetExpiry))
 	}
 }
 
--- a/internal/core/repair.go
+++ b/internal/core/repair.go
@@ -72,13 +72,13 @@
 func (n *Node) replaceChain(s *stream, chain []Stage) {
 	var dropped []Stage
 	for _, stage := range s.chain {
-		n.target(stage.Target).used--
+		n.target(stage.Target).inFlight--
 		if !slices.Contains(chain, stage) {
 			dropped = append(dropped, stage)
 		}
 	}
 	for _, stage := range chain {
-		n.target(stage.Target).used++
+		n.target(stage.Target).inFlight++
 	}
 	if len(dropped) > 0 {
 		n.emit(Release{Stream: s.id, Epoch: s.epoch, Chain: dropped})
@@ -118,7 +118,7 @@
 			continue
 		}
 		candidate := Stage{Target: t.Name, Address: t.Address, Layers: config.Range{First: first, Last: min(last, p.Layers.Last)}}
-		use := float64(n.target(t.Name).used) / float64(t.Slots)
+		use := float64(n.target(t.Name).inFlight) / float64(t.Slots)
 		further := candidate.Layers.Last > best.Layers.Last
 		if best.Target == "" || further || candidate.Layers.Last == best.Layers.Last && use < bestUse {
 			best, bestUse = candidate, use
@@ -139,12 +139,12 @@
 	}
 	i := s.rebuild[0]
 	r := Rebuild{
-		Stream:   s.id,
-		Epoch:    s.epoch,
-		Position: s.position,
-		Model:    s.model(),
-		Stage:    s.chain[i],
-		Silence:  n.now.Add(n.settings.Timing.StageSilence),
+		Stream:        s.id,
+		Epoch:         s.epoch,
+		Position:      s.position,
+		Model:         s.model(),
+		Stage:         s.chain[i],
+		ReplyDeadline: n.now.Add(n.settings.Timing.StageTimeout),
 	}
 	if i > 0 {
 		source := s.chain[i-1]
--- a/internal/core/replication.go
+++ b/internal/core/replication.go
@@ -46,11 +46,11 @@
 	case b.Join != nil:
 		n.handleJoin(from, *b.Join)
 	case b.Renew != nil:
-		n.renewAsked(from, *b.Renew)
+		n.handleRenew(from, *b.Renew)
 	case b.RenewBatch != nil:
 		n.handleRenewBatch(from, *b.RenewBatch)
 	case b.GrantBatch != nil:
-		n.grantBatchTaken(from, *b.GrantBatch)
+		n.handleGrantBatch(from, *b.GrantBatch)
 	case b.Claim != nil:
 		n.handleClaim(from, *b.Claim)
 	case b.Record != nil:
@@ -166,7 +166,7 @@
 	p.inFlight = true
 	prevTerm, ok := r.log.term(p.next - 1)
 	if !ok {
-		n.send(id.VM, Message{Install: &Install{Term: r.hard.Term, Snapshot: n.leading.snapshot, Round: r.round}})
+		n.send(id.VM, Message{Install: &Install{Term: r.hard.Term, Snapshot: n.leader.snapshot, Round: r.round}})
 		return
 	}
 	n.send(id.VM, Message{Append: &Append{
@@ -190,7 +190,7 @@
 	if term > r.hard.Term || r.role != Follower || r.leader != from {
 		n.becomeFollower(term, from)
 	}
-	r.heardAt = n.now
+	r.lastContact = n.now
 	r.recordLeaderSeen()
 	n.resetElection()
 	return false
@@ -298,5 +298,5 @@
 // leaderHint returns the last known leader, or the empty name.
 func (n *Node) leaderHint() VMName { return n.replica.leader.VM }
 
-// wall returns t without its monotonic clock reading, as the log stores it.
-func wall(t time.Time) time.Time { return t.Round(0) }
+// wallClock returns t without its monotonic clock reading, as the log stores it.
+func wallClock(t time.Time) time.Time { return t.Round(0) }
--- a/internal/core/routing.go
+++ b/internal/core/routing.go
@@ -25,7 +25,7 @@
 	// route: a repaired chain returns under its old name while earlier work
 	// still runs on it.
 	used  map[string]int
-	queue fairQueue[*waiting]
+	queue fairQueue[*queuedWork]
 	// served is the rate at which work ends, in units of cost per second, as an
 	// exponential mean.
 	served   float64
@@ -52,7 +52,7 @@
 
 // targetState is what this entry VM knows of a target from its own work.
 type targetState struct {
-	used int
+	inFlight int
 	// suspectUntil is when the target may get new work again after a failure.
 	suspectUntil time.Time
 	failures     int
@@ -180,7 +180,7 @@
 	routes := n.subset(all)
 	p, ok := n.entry.pools[name]
 	if !ok {
-		p = &pool{name: name, used: make(map[string]int), queue: newFairQueue(rankCount, (*waiting).isDropped), servedAt: n.now}
+		p = &pool{name: name, used: make(map[string]int), queue: newFairQueue(rankCount, (*queuedWork).isDropped), servedAt: n.now}
 		n.entry.pools[name] = p
 	}
 	p.vmsPerRoute = n.vmsPerRoute(len(all), len(routes))
@@ -231,7 +231,7 @@
 // capacity. With two random choices, entry VMs don't all pick the route that was
 // idle in the last report. The cost does not grow with the number of routes: the
 // open ones are scanned only when the draws find none that is usable.
-func (n *Node) choose(p *pool, w *waiting) *route {
+func (n *Node) choose(p *pool, w *queuedWork) *route {
 	a := n.draw(p, w)
 	b := n.draw(p, w)
 	if a == nil || b == nil {
@@ -243,7 +243,7 @@
 	return a
 }
 
-func (n *Node) draw(p *pool, w *waiting) *route {
+func (n *Node) draw(p *pool, w *queuedWork) *route {
 	for range min(maxDraws, len(p.open)) {
 		if r := p.open[n.rand.IntN(len(p.open))]; n.usable(p, r, w) && !r.uses(w.avoid) {
 			return r
@@ -264,8 +264,8 @@
 
 // usable reports whether a route may take the work. Submissions leave the last
 // free place of each runner to lookups.
-func (n *Node) usable(p *pool, r *route, w *waiting) bool {
-	if n.routeSuspect(r) || n.routeBackoffs(r) || n.routeShort(r) {
+func (n *Node) usable(p *pool, r *route, w *queuedWork) bool {
+	if n.routeSuspect(r) || n.routeBackedOff(r) || n.routeLacksPermit(r) {
 		return false
 	}
 	return !w.isSubmission() || r.window < 2 || float64(p.used[r.name])+1 < r.window
@@ -315,13 +315,13 @@
 		p.use(name, 1)
 	}
 	for _, s := range stages {
-		n.target(s.Target).used++
+		n.target(s.Target).inFlight++
 	}
 }
 
 func (n *Node) release(poolName, name string, stages []Stage) {
 	for _, s := range stages {
-		n.target(s.Target).used--
+		n.target(s.Target).inFlight--
 	}
 	p, ok := n.entry.pools[poolName]
 	if !ok {
--- a/internal/core/seldom_test.go
+++ b/internal/core/seldom_test.go
@@ -28,7 +28,7 @@
 	for _, news := range newsTo(effects, "e1") {
 		f.seen = max(f.seen, news.Upto)
 		f.updates += len(news.Targets) + len(news.Updates)
-		f.step(from("e1", core.Message{Follow: &core.Follow{Incarnation: news.Incarnation, After: f.seen, Came: true}}))
+		f.step(from("e1", core.Message{Follow: &core.Follow{Incarnation: news.Incarnation, After: f.seen, Acknowledge: true}}))
 	}
 	return effects
 }
@@ -71,7 +71,7 @@
 	}
 	require.Zero(t, f.updates, "no heartbeat caused an update")
 
-	for until := f.now.Add(relay.SilentAfter(slowHeartbeat) + late); f.now.Before(until); {
+	for until := f.now.Add(relay.LossTimeout(slowHeartbeat) + late); f.now.Before(until); {
 		f.now = f.now.Add(20 * time.Millisecond)
 		f.step(core.Tick{})
 	}
--- a/internal/core/shortlist.go
+++ b/internal/core/shortlist.go
@@ -40,14 +40,14 @@
 	ids, answers := n.shortlistOf(service, engines)
 	more := 0
 	for _, id := range ids {
-		if n.registry.targets.List(id) {
+		if n.registry.targets.AddToShortlist(id) {
 			more++
 		}
 	}
 	if more == 0 {
 		return
 	}
-	n.registry.news = true
+	n.registry.changesPending = true
 	n.note(fmt.Sprintf("entry VMs are told of %d engines more: %d of %d are on the shortlists, for %.0f answers in progress", more, len(ids), len(engines), answers), service)
 }
 
@@ -56,7 +56,7 @@
 	marks := n.markedTargets()
 	engines := make(map[string][]relay.Target)
 	for _, t := range n.live(n.registry.targets.All()) {
-		if t.Accelerator != "" && t.Takes() && !marks[t.ID.Key()].Has(relay.MarkSilent) {
+		if t.Accelerator != "" && t.AcceptsWork() && !marks[t.ID.Key()].Has(relay.MarkSilent) {
 			engines[t.Service] = append(engines[t.Service], t)
 		}
 	}
@@ -68,7 +68,7 @@
 // all engines, since they hold no layers then.
 func (n *Node) shortlistOf(service string, engines []relay.Target) (ids []relay.TargetID, answers float64) {
 	if e := n.registry.unnamed.decoded.document.Engine(service); e != nil {
-		answers = e.InProgress(engines, n.fleetWork())
+		answers = e.AnswersInProgress(engines, n.fleetWork())
 		return e.Shortlist(engines, answers), answers
 	}
 	for i := range engines {
@@ -79,16 +79,16 @@
 
 // markedTargets returns the target marks known to this VM.
 func (n *Node) markedTargets() map[relay.TargetKey]relay.Mark {
-	if n.leads() {
-		return n.leading.fleet.marks
+	if n.canGrant() {
+		return n.leader.fleet.marks
 	}
 	return n.forwarding.report.marked.values
 }
 
 // fleetWork returns what all entry VMs have in flight at targets, as known to this VM.
 func (n *Node) fleetWork() map[relay.TargetKey]relay.Work {
-	if n.leads() {
-		return n.leading.fleet.work
+	if n.canGrant() {
+		return n.leader.fleet.work
 	}
 	return n.forwarding.report.total.values
 }
--- a/internal/core/show.go
+++ b/internal/core/show.go
@@ -10,7 +10,7 @@
 
 // show answers a query from this VM's state.
 func (n *Node) show(s query.Show) Result {
-	table := n.table(s.What)
+	table := n.table(s.List)
 	kept, err := table.filter(s.Where)
 	if err != nil {
 		return Result{Kind: ResultInvalid, Revision: n.machine.Config.Revision, Message: err.Error()}
@@ -18,7 +18,7 @@
 	return Result{Kind: ResultTable, Revision: n.machine.Config.Revision, Table: &kept}
 }
 
-func (n *Node) table(what query.What) Table {
+func (n *Node) table(what query.ListName) Table {
 	switch what {
 	case query.Targets:
 		return n.targetsTable()
@@ -78,8 +78,8 @@
 
 func (n *Node) vmsTable() Table {
 	t := Table{Columns: []string{"name", "hall", "role", "state", "revision", "requests", "load", "callers", "peers"}}
-	for _, name := range slices.Sorted(maps.Keys(n.leading.leases)) {
-		l := n.leading.leases[name]
+	for _, name := range slices.Sorted(maps.Keys(n.leader.leases)) {
+		l := n.leader.leases[name]
 		state := "up"
 		switch {
 		case !n.now.Before(l.until):
@@ -153,8 +153,8 @@
 
 func (n *Node) leasesTable() Table {
 	t := Table{Columns: []string{"vm", "until", "revision", "via"}}
-	for _, name := range slices.Sorted(maps.Keys(n.leading.leases)) {
-		l := n.leading.leases[name]
+	for _, name := range slices.Sorted(maps.Keys(n.leader.leases)) {
+		l := n.leader.leases[name]
 		t.add(name, l.until, l.renewal.Revision, l.via)
 	}
 	return t
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -2,10 +2,10 @@
 
 // Snapshot is the control state after the entry at Index.
 type Snapshot struct {
-	Index   Index      `cbor:"index"`
-	Term    Term       `cbor:"term"`
-	Members Membership `cbor:"members"`
-	Machine Machine    `cbor:"machine"`
+	Index   Index        `cbor:"index"`
+	Term    Term         `cbor:"term"`
+	Members Membership   `cbor:"members"`
+	Machine StateMachine `cbor:"machine"`
 }
 
 // snapshotTail is the number of entries before a snapshot that stay in the log, so
@@ -49,7 +49,7 @@
 
 func (n *Node) saveSnapshot(s Snapshot) {
 	r := &n.replica
-	n.leading.snapshot = s
+	n.leader.snapshot = s
 	n.persistence.issued++
 	n.emit(SaveSnapshot{
 		Sequence: n.persistence.issued,
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -43,7 +43,7 @@
 	n.Step(now, from("c3", core.Message{Follow: &core.Follow{OwnOnly: true, Heartbeats: true}}))
 	n.Step(now, from("e1", core.Message{Follow: &core.Follow{}}))
 	second := relay.Target{ID: "i-2", Address: "b", Call: 3}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.TargetNews{Incarnation: 9, Upto: 1, Targets: []relay.Target{second}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{second}}}))
 	own := relay.Target{ID: "i-1", Address: "a", Call: 1}
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: own})
 	pushed := nextPush(n, now)
@@ -59,7 +59,7 @@
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, from("e1", core.Message{Follow: &core.Follow{OwnOnly: true}}))
 	leaving := relay.Target{ID: "i-2", Address: "b", Call: 3, Leaving: true}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.TargetNews{Incarnation: 9, Upto: 1, Targets: []relay.Target{leaving}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{leaving}}}))
 	again := leaving
 	again.Call = 4
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: again})
@@ -75,7 +75,7 @@
 	follow := func() []relay.Target {
 		return news(n.Step(now, from("e1", core.Message{Follow: &core.Follow{Incarnation: 3, OwnOnly: true}})), "e1")
 	}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.TargetNews{Incarnation: 9, Upto: 1, Targets: []relay.Target{{ID: "i-2", Address: "b", Call: 3}}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{{ID: "i-2", Address: "b", Call: 3}}}}))
 	require.Empty(t, follow())
 	nextPush(n, now)
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 4}})
@@ -88,7 +88,7 @@
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, from("e1", core.Message{Follow: &core.Follow{OwnOnly: true}}))
 	newer := relay.Target{ID: "i-2", Address: "b", Call: 5}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.TargetNews{Incarnation: 9, Upto: 1, Targets: []relay.Target{newer}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{newer}}}))
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 4, Leaving: true}})
 	told := news(nextPush(n, now), "e1")
 	require.Len(t, told, 1)
@@ -144,13 +144,13 @@
 }
 
 func (f *fleetOf) take(vm core.VMName, g *core.Grant) {
-	if g.OthersWhole || f.others[vm] == nil {
+	if g.OthersComplete || f.others[vm] == nil {
 		f.others[vm] = make(map[relay.TargetKey]relay.Work)
 	}
 	for id, w := range g.Others {
 		f.others[vm][id] = w
 	}
-	f.seen[vm] = g.WorkUpto
+	f.seen[vm] = g.WorkThrough
 }
 
 // busy gives a VM the given number of requests at each of n targets.
@@ -303,8 +303,8 @@
 }
 
 // newsTo returns the updates that a step sends to a VM.
-func newsTo(effects []core.Effect, vm core.VMName) []core.TargetNews {
-	var sent []core.TargetNews
+func newsTo(effects []core.Effect, vm core.VMName) []core.RegistryUpdate {
+	var sent []core.RegistryUpdate
 	for _, effect := range effects {
 		if send, ok := effect.(core.Send); ok && send.Envelope.To == vm && send.Envelope.Body.TargetNews != nil {
 			sent = append(sent, *send.Envelope.Body.TargetNews)
@@ -332,7 +332,7 @@
 	now = now.Add(100 * time.Millisecond)
 	require.Empty(t, newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), "the first update is still in flight when the follower asks again")
 
-	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Upto, Came: true}
+	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Upto, Acknowledge: true}
 	n.Step(now, from("e1", core.Message{Follow: &came}))
 	next := newsTo(nextPush(n, now), "e1")
 	require.Len(t, next, 1)
@@ -369,7 +369,7 @@
 	require.Equal(t, []relay.Target{leaves}, beside[0].Targets)
 	require.Empty(t, newsTo(nextPush(n, now.Add(time.Second/10)), "e1"), "sent only once")
 
-	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Upto, Came: true}
+	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Upto, Acknowledge: true}
 	n.Step(now.Add(300*time.Millisecond), from("e1", core.Message{Follow: &came}))
 	again := newsTo(nextPush(n, now.Add(300*time.Millisecond)), "e1")
 	require.Len(t, again, 1, "its position has not changed")
@@ -405,7 +405,7 @@
 	ask := core.Message{Follow: &core.Follow{OwnOnly: true, Heartbeats: true}}
 	first := newsTo(n.Step(now, from("c3", ask)), "c3")[0]
 	require.Len(t, first.Targets, 1)
-	n.Step(now, from("c3", core.Message{Follow: &core.Follow{Incarnation: first.Incarnation, After: first.Upto, Came: true, OwnOnly: true, Heartbeats: true}}))
+	n.Step(now, from("c3", core.Message{Follow: &core.Follow{Incarnation: first.Incarnation, After: first.Upto, Acknowledge: true, OwnOnly: true, Heartbeats: true}}))
 	ask.Follow.Incarnation, ask.Follow.After = first.Incarnation, first.Upto
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 1}})
 	require.Len(t, newsTo(nextPush(n, now), "c3"), 1)
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -63,15 +63,15 @@
 		Commit: r.commit, Applied: r.applied, Synced: r.synced, LogEntries: len(r.log.entries),
 		Members: r.members.Members, MembersSettled: r.membersIndex <= r.commit, LeaseUntil: r.leaseUntil, HoldsLease: n.holdsLease(),
 		Revision: n.machine.Config.Revision, Claims: len(n.machine.Claims),
-		Holders: len(n.forwarding.holders), GrantsHeld: len(n.forwarding.held), LeaseBy: n.entry.tenure.grantedBy,
-		EntryLease: n.entry.tenure.until, HasLease: n.hasLease(),
-		EntryRevision: n.entry.config.Revision, EntryTerm: n.entry.tenure.term,
+		Holders: len(n.forwarding.holders), GrantsHeld: len(n.forwarding.held), LeaseBy: n.entry.lease.grantedBy,
+		EntryLease: n.entry.lease.until, HasLease: n.hasLease(),
+		EntryRevision: n.entry.config.Revision, EntryTerm: n.entry.lease.term,
 		Streams: len(n.entry.streams), Calls: len(n.entry.calls),
 		Kept: len(n.entry.kept), Records: len(n.entry.records),
 		Load: n.load(), View: len(n.entry.view), Violations: len(n.Check()),
 		Policy: n.settings.Policy.String(),
 	}
-	answers, rate := n.planHolds()
+	answers, rate := n.heldCapacity()
 	s.PlanAnswers, s.PlanRate = int(answers), int(rate)
 	for _, p := range n.entry.pools {
 		s.Queued += p.queue.length
@@ -124,7 +124,7 @@
 	for _, target := range n.entry.config.Targets.Sorted() {
 		state, ok := n.entry.targets[target.Name]
 		if ok {
-			t.add(target.Name, state.used, state.suspectUntil, state.report.Reached, state.report.Holding)
+			t.add(target.Name, state.inFlight, state.suspectUntil, state.report.Reached, state.report.AppliedSequence)
 		}
 	}
 	return t
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -49,7 +49,7 @@
 	conn     ConnID
 	// disconnectedAt is when the caller disconnected, zero while it is connected.
 	disconnectedAt time.Time
-	queued         *waiting
+	queued         *queuedWork
 	epoch          Epoch
 	pool           string
 	route          string
@@ -66,12 +66,12 @@
 	dispatched bool
 	tokens     []Token
 	finish     string
-	// kept is the number of tokens that the keeper has, shown the number sent to the caller.
-	kept  int
-	shown int
-	// finishKept is set when the keeper has the end, finishShown when the caller has it.
-	finishKept  bool
-	finishShown bool
+	// acked is the number of tokens that the keeper has, shown the number sent to the caller.
+	acked   int
+	emitted int
+	// finishAcked is set when the keeper has the end, finishEmitted when the caller has it.
+	finishAcked   bool
+	finishEmitted bool
 	// mayHaveRunBefore is set when an earlier attempt could not be ruled out.
 	mayHaveRunBefore bool
 	keeper           VMName
@@ -100,7 +100,7 @@
 	}
 	if r, ok := n.checkServing(); !ok {
 		if a.Request.Returnable {
-			r = r.WithDoubt()
+			r = r.WithUnknownOutcome()
 		}
 		n.emit(Refuse{Conn: a.Conn, ID: id, Refusal: r})
 		return
@@ -110,7 +110,7 @@
 		n.emit(Refuse{Conn: a.Conn, ID: id, Refusal: refusal(RefusedPipeline, RanNo, "there is no pipeline of that name", "name one that the operators have declared")})
 		return
 	}
-	s := &stream{id: id, request: a.Request, pipeline: pipeline, conn: a.Conn, shown: a.After, epoch: Epoch{Holder: holderHash(n.settings.Self)}}
+	s := &stream{id: id, request: a.Request, pipeline: pipeline, conn: a.Conn, emitted: a.After, epoch: Epoch{Holder: holderHash(n.settings.Self)}}
 	s.request.MaxTokens = min(max(a.Request.MaxTokens, 1), pipeline.MaxTokens)
 	n.entry.streams[id] = s
 	n.entry.attached[a.Conn] = id
@@ -132,7 +132,7 @@
 // queueStream queues a new stream. It fails when the caller already has tokens of
 // an answer that no VM keeps, since the rest can't be supplied.
 func (n *Node) queueStream(s *stream) {
-	if s.shown > 0 {
+	if s.emitted > 0 {
 		n.failStream(s, refusal(RefusedLost, RanUnknown, "the rest of the answer is no longer kept", "ask again under a new identity, and drop the part that was received"))
 		return
 	}
@@ -152,8 +152,8 @@
 }
 
 // streamQueueEntry returns the queue entry of a stream.
-func (n *Node) streamQueueEntry(s *stream) *waiting {
-	return &waiting{
+func (n *Node) streamQueueEntry(s *stream) *queuedWork {
+	return &queuedWork{
 		organisation: s.request.Organisation,
 		class:        s.pipeline.Class,
 		weight:       n.weightOf(s.request.Organisation),
@@ -189,15 +189,15 @@
 	s.dispatched = true
 	s.sentAt = n.now
 	run := Run{
-		Stream:   s.id,
-		Epoch:    s.epoch,
-		Position: s.position,
-		Model:    s.model(),
-		Chain:    s.chain,
-		Class:    s.pipeline.Class,
-		Deadline: s.request.Deadline,
-		Silence:  n.now.Add(n.settings.Timing.StageSilence),
-		NotAfter: n.now.Add(n.settings.Timing.StageSilence),
+		Stream:        s.id,
+		Epoch:         s.epoch,
+		Position:      s.position,
+		Model:         s.model(),
+		Chain:         s.chain,
+		Class:         s.pipeline.Class,
+		Deadline:      s.request.Deadline,
+		ReplyDeadline: n.now.Add(n.settings.Timing.StageTimeout),
+		NotAfter:      n.now.Add(n.settings.Timing.StageTimeout),
 	}
 	if s.position == 0 {
 		run.Prompt = s.request.Prompt
@@ -284,16 +284,16 @@
 // emitTokens sends the caller the tokens that the keeper has and the caller lacks.
 func (n *Node) emitTokens(s *stream) {
 	finish := ""
-	if s.finishKept {
+	if s.finishAcked {
 		finish = s.finish
 	}
-	ended := finish != "" && !s.finishShown
-	if s.conn == 0 || s.kept <= s.shown && !ended {
+	ended := finish != "" && !s.finishEmitted
+	if s.conn == 0 || s.acked <= s.emitted && !ended {
 		return
 	}
-	from := min(s.shown, s.kept)
-	n.emit(Emit{Conn: s.conn, ID: s.id, From: from, Tokens: slices.Clone(s.tokens[from:s.kept]), Finish: finish})
-	s.shown = s.kept
+	from := min(s.emitted, s.acked)
+	n.emit(Emit{Conn: s.conn, ID: s.id, From: from, Tokens: slices.Clone(s.tokens[from:s.acked]), Finish: finish})
+	s.emitted = s.acked
 	if ended {
 		n.finishStream(s)
 	}
@@ -301,9 +301,9 @@
 
 // finishStream keeps a complete answer for a caller that may reconnect.
 func (n *Node) finishStream(s *stream) {
-	s.finishShown = true
+	s.finishEmitted = true
 	s.phase = phaseDone
-	s.dropAt = n.now.Add(n.settings.Timing.KeepAnswer)
+	s.dropAt = n.now.Add(n.settings.Timing.AnswerRetention)
 	n.detach(s)
 	n.uncount(s.request.Organisation)
 }
@@ -322,7 +322,7 @@
 	s.conn = conn
 	s.disconnectedAt = time.Time{}
 	n.entry.attached[conn] = s.id
-	s.shown = after
+	s.emitted = after
 	if s.phase == phaseDone {
 		n.replay(s)
 		return
@@ -332,7 +332,7 @@
 
 // replay sends the rest of a finished answer.
 func (n *Node) replay(s *stream) {
-	from := min(s.shown, len(s.tokens))
+	from := min(s.emitted, len(s.tokens))
 	n.emit(Emit{Conn: s.conn, ID: s.id, From: from, Tokens: slices.Clone(s.tokens[from:]), Finish: s.finish})
 	n.detach(s)
 }
@@ -344,7 +344,7 @@
 // failStream sends a stream's caller the final refusal and removes the stream.
 func (n *Node) failStream(s *stream, r Refusal) {
 	if s.mayHaveRunBefore {
-		r = r.WithDoubt()
+		r = r.WithUnknownOutcome()
 	}
 	if s.conn != 0 {
 		n.emit(Refuse{Conn: s.conn, ID: s.id, Refusal: r})
@@ -407,9 +407,9 @@
 // named its request is unlikely to reconnect.
 func (n *Node) reattachTimeout(s *stream) time.Duration {
 	if s.request.Returnable {
-		return n.settings.Timing.Reattach
+		return n.settings.Timing.ReattachTimeout
 	}
-	return n.settings.Timing.Reattach / 5
+	return n.settings.Timing.ReattachTimeout / 5
 }
 
 func (n *Node) sweepStreams() {
--- a/internal/core/tenure.go
+++ b/internal/core/tenure.go
@@ -12,9 +12,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// tenure is the state of an entry VM's lease on the entry VM's side; forwarding.go has the
+// entryLease is the state of an entry VM's lease on the entry VM's side; forwarding.go has the
 // control VM's side.
-type tenure struct {
+type entryLease struct {
 	// leader is the VM that granted the last lease. source is the control VM that delivered it
 	// and is asked for the next one; it is empty while this VM looks for another one.
 	leader VMName
@@ -47,11 +47,11 @@
 
 // entry is the state of the entry role.
 type entry struct {
-	tenure tenure
+	lease  entryLease
 	config config.State
 	keys   map[string]string
 	// decoded is the decoded document, by which requests are routed.
-	decoded decoded
+	decoded documentCache
 	// work is the work of this VM in flight at registered targets.
 	work map[relay.TargetKey]relay.Work
 	// usage counts this VM's requests and repeats in the last window, by service.
@@ -65,7 +65,7 @@
 	// limits are the rate limits of declared targets.
 	limits *relay.RateLimits
 	// permitAsks are the permit requests of this VM for registered targets with limits.
-	permitAsks []relay.PermitAsk
+	permitAsks []relay.PermitRequest
 	// crashes are the crashed runs that this VM reports.
 	crashes crashes
 	// controls are the live control VMs, as last received.
@@ -104,7 +104,7 @@
 
 func (n *Node) startEntry() {
 	n.entry = entry{
-		tenure:     tenure{sentAt: make(map[uint64]time.Time), listOffset: n.rand.IntN(math.MaxInt32)},
+		lease:      entryLease{sentAt: make(map[uint64]time.Time), listOffset: n.rand.IntN(math.MaxInt32)},
 		keys:       make(map[string]string),
 		lost:       make(map[VMName]time.Time),
 		pools:      make(map[string]*pool),
@@ -145,7 +145,7 @@
 }
 
 func (n *Node) tickEntry() {
-	t := &n.entry.tenure
+	t := &n.entry.lease
 	silent := t.renewals > 0 && !t.answerBy.IsZero() && !n.now.Before(t.answerBy)
 	if silent {
 		t.source = ""
@@ -170,7 +170,7 @@
 const sweepEvery = 100 * time.Millisecond
 
 // hasLease reports whether this VM may accept new work.
-func (n *Node) hasLease() bool { return n.now.Before(n.entry.tenure.until) }
+func (n *Node) hasLease() bool { return n.now.Before(n.entry.lease.until) }
 
 // ownHallRetryDelay is how long an entry VM renews in another hall after no control VM of its
 // own hall answered. A killed control VM is back within a few seconds.
@@ -198,7 +198,7 @@
 // another one of that hall. At a start, all VMs of a hall ask the control VM that is ready
 // first.
 func (n *Node) preferFirstOfHall() {
-	t := &n.entry.tenure
+	t := &n.entry.lease
 	home := n.ownHallControls()
 	if len(home) > 0 && t.source != home[0] && slices.Contains(home, t.source) {
 		t.source, t.failedTries = "", 0
@@ -209,7 +209,7 @@
 // round-robin until one grants a lease. away reports that the own hall has control VMs and was
 // asked without success.
 func (n *Node) nextControl() (vm VMName, away bool) {
-	t := &n.entry.tenure
+	t := &n.entry.lease
 	home := n.ownHallControls()
 	others := slices.DeleteFunc(n.controlVMs(), func(vm VMName) bool { return slices.Contains(home, vm) })
 	at := t.failedTries % (len(home) + len(others))
@@ -222,11 +222,11 @@
 
 // renew requests the next lease.
 func (n *Node) renew() {
-	t := &n.entry.tenure
+	t := &n.entry.lease
 	t.renewals++
 	t.sentAt[t.renewals] = n.now
-	t.renewAt = n.now.Add(n.settings.Timing.RenewEvery)
-	t.answerBy = n.now.Add(n.settings.Timing.PeerReply)
+	t.renewAt = n.now.Add(n.settings.Timing.RenewInterval)
+	t.answerBy = n.now.Add(n.settings.Timing.PeerReplyTimeout)
 	for number := range t.sentAt {
 		if number+maxRenewalsInFlight < t.renewals {
 			delete(t.sentAt, number)
@@ -242,27 +242,27 @@
 		n.registry.followAt = n.now
 	}
 	n.deliver(t.source, Message{Renew: &Renew{
-		Away:        away,
-		Number:      t.renewals,
-		Address:     n.settings.Address,
-		Revision:    n.entry.config.Revision,
-		ViewVersion: n.entry.viewVersion,
-		ViewSum:     n.entry.viewSum,
-		Leaving:     n.stopping,
-		InProgress:  len(n.entry.streams) + len(n.entry.calls),
-		Load:        n.load(),
-		Reports:     n.reports(),
-		WorkSeen:    n.entry.workSeen,
-		MarksSeen:   n.entry.marksSeen,
-		Work:        n.entry.work,
-		Usage:       n.entry.usage,
-		Dead:        n.entry.findings.Dead,
-		Sound:       n.entry.findings.Sound,
-		Slow:        n.entry.findings.Slow,
-		Draining:    n.entry.findings.Leaving,
-		Limits:      n.limitAsks(),
-		Crashed:     n.entry.crashes.reports(n.now),
-		Survived:    n.entry.crashes.cleared(n.now),
+		HallUnreachable: away,
+		Number:          t.renewals,
+		Address:         n.settings.Address,
+		Revision:        n.entry.config.Revision,
+		ViewVersion:     n.entry.viewVersion,
+		ViewSum:         n.entry.viewSum,
+		Leaving:         n.stopping,
+		InProgress:      len(n.entry.streams) + len(n.entry.calls),
+		Load:            n.load(),
+		Reports:         n.reports(),
+		WorkSeen:        n.entry.workSeen,
+		MarksSeen:       n.entry.marksSeen,
+		Work:            n.entry.work,
+		Usage:           n.entry.usage,
+		Failed:          n.entry.findings.Dead,
+		Healthy:         n.entry.findings.Sound,
+		Slow:            n.entry.findings.Slow,
+		Draining:        n.entry.findings.Leaving,
+		Limits:          n.limitAsks(),
+		Crashed:         n.entry.crashes.reports(n.now),
+		Survived:        n.entry.crashes.cleared(n.now),
 	}})
 }
 
@@ -275,9 +275,9 @@
 // renewal interval counts as a failed try, so that the shorter delay leaves the control VMs of
 // the hall no less time to find a leader.
 func (n *Node) retryRenewSoon() {
-	t := &n.entry.tenure
+	t := &n.entry.lease
 	t.renewAt = earlier(t.renewAt, n.now.Add(renewRetryDelay))
-	if n.now.Before(t.refusedAt.Add(n.settings.Timing.RenewEvery)) {
+	if n.now.Before(t.refusedAt.Add(n.settings.Timing.RenewInterval)) {
 		t.failedTries = max(t.failedTries-1, 0)
 		return
 	}
@@ -298,7 +298,7 @@
 // control VMs is followed at most once per renewal interval, which bounds the cost of two VMs
 // that name each other.
 func (n *Node) redirected(from ReplicaID, r Redirect) {
-	t := &n.entry.tenure
+	t := &n.entry.lease
 	if r.Leader != "" && r.Leader != from.VM {
 		t.leader = r.Leader
 	}
@@ -310,7 +310,7 @@
 	if !n.hasLease() {
 		n.retryRenewSoon()
 	}
-	if len(r.Controls) == 0 || n.now.Before(t.redirectedAt.Add(n.settings.Timing.RenewEvery)) {
+	if len(r.Controls) == 0 || n.now.Before(t.redirectedAt.Add(n.settings.Timing.RenewInterval)) {
 		return
 	}
 	t.redirectedAt = n.now
@@ -334,7 +334,7 @@
 // older revision or term than this VM has, so that nothing is reverted, and one granted to an
 // earlier incarnation of this VM, whose renewal numbers are unrelated to when this one asked.
 func (n *Node) granted(from ReplicaID, g Grant) {
-	t := &n.entry.tenure
+	t := &n.entry.lease
 	sent, ok := t.sentAt[g.Number]
 	if !ok || g.To != n.settings.Self.Incarnation || g.Term < t.term || g.Revision < n.entry.config.Revision {
 		return
@@ -356,11 +356,11 @@
 		return
 	}
 	n.applyView(g)
-	until := sent.Add(n.settings.Timing.Shortened(n.settings.Timing.LeaseTerm))
+	until := sent.Add(n.settings.Timing.Shortened(n.settings.Timing.LeaseDuration))
 	if until.After(t.until) {
 		t.until = until
 	}
-	n.documentTaken()
+	n.documentReceived()
 	n.applyFleet(g)
 	if n.entry.config.Revision != before.Revision {
 		n.applyQuarantine(before)
@@ -400,10 +400,10 @@
 	n.refreshPools()
 }
 
-// leaveEntry begins the planned stop of an entry VM: callers are no longer given its address,
+// drainEntry begins the planned stop of an entry VM: callers are no longer given its address,
 // and it accepts work until the longest-kept answer that lists it has expired.
-func (n *Node) leaveEntry() {
-	n.entry.leaveAt = n.now.Add(max(n.settings.Timing.KeepEntries, n.settings.Timing.KeepEntriesAfterLoss) + n.settings.Timing.RenewEvery)
+func (n *Node) drainEntry() {
+	n.entry.leaveAt = n.now.Add(max(n.settings.Timing.KeepEntries, n.settings.Timing.KeepEntriesAfterLoss) + n.settings.Timing.RenewInterval)
 	n.renew()
 }
 
--- a/internal/core/timing.go
+++ b/internal/core/timing.go
@@ -15,10 +15,10 @@
 	// of a leader; the leader's lease depends on this.
 	ElectionMin time.Duration
 	ElectionMax time.Duration
-	// LeaseTerm is the duration of an entry VM's lease.
-	LeaseTerm time.Duration
-	// RenewEvery is the interval between renewals of that lease.
-	RenewEvery time.Duration
+	// LeaseDuration is the duration of an entry VM's lease.
+	LeaseDuration time.Duration
+	// RenewInterval is the interval between renewals of that lease.
+	RenewInterval time.Duration
 	// DriftPerMille bounds the relative drift of two clocks, in thousandths.
 	DriftPerMille int
 	// ReplaceAfter is the silence after which a spare replaces a voter.
@@ -28,20 +28,20 @@
 	// KeepEntriesAfterLoss replaces KeepEntries while entry VMs are lost: the list has only
 	// the others, and a request for the next list may reach a lost VM again.
 	KeepEntriesAfterLoss time.Duration
-	// KeepAnswer is how long a finished answer can be fetched again.
-	KeepAnswer time.Duration
-	// KeepClaim is how long a claim and its record are kept.
-	KeepClaim time.Duration
-	// Reattach is how long a stream keeps running without its caller.
-	Reattach time.Duration
-	// PeerReply is the timeout for a reply of another entry VM.
-	PeerReply time.Duration
-	// OrderLife is how long after its issue an order may still be delivered.
-	OrderLife time.Duration
-	// WatchEvery is the interval between two probes of a watched target.
-	WatchEvery time.Duration
-	// StageSilence is how long a stage may stay silent before it counts as lost.
-	StageSilence time.Duration
+	// AnswerRetention is how long a finished answer can be fetched again.
+	AnswerRetention time.Duration
+	// ClaimRetention is how long a claim and its record are kept.
+	ClaimRetention time.Duration
+	// ReattachTimeout is how long a stream keeps running without its caller.
+	ReattachTimeout time.Duration
+	// PeerReplyTimeout is the timeout for a reply of another entry VM.
+	PeerReplyTimeout time.Duration
+	// OrderLifetime is how long after its issue an order may still be delivered.
+	OrderLifetime time.Duration
+	// ProbeInterval is the interval between two probes of a watched target.
+	ProbeInterval time.Duration
+	// StageTimeout is how long a stage may stay silent before it counts as lost.
+	StageTimeout time.Duration
 	// TargetHeartbeat is the interval between heartbeats of a registered target.
 	TargetHeartbeat time.Duration
 }
@@ -52,19 +52,19 @@
 		Heartbeat:            100 * time.Millisecond,
 		ElectionMin:          500 * time.Millisecond,
 		ElectionMax:          1000 * time.Millisecond,
-		LeaseTerm:            3 * time.Second,
-		RenewEvery:           500 * time.Millisecond,
+		LeaseDuration:        3 * time.Second,
+		RenewInterval:        500 * time.Millisecond,
 		DriftPerMille:        20,
 		ReplaceAfter:         10 * time.Second,
 		KeepEntries:          5 * time.Second,
 		KeepEntriesAfterLoss: 5 * time.Second,
-		KeepAnswer:           60 * time.Second,
-		KeepClaim:            24 * time.Hour,
-		Reattach:             10 * time.Second,
-		PeerReply:            300 * time.Millisecond,
-		OrderLife:            2 * time.Second,
-		WatchEvery:           500 * time.Millisecond,
-		StageSilence:         2 * time.Second,
+		AnswerRetention:      60 * time.Second,
+		ClaimRetention:       24 * time.Hour,
+		ReattachTimeout:      10 * time.Second,
+		PeerReplyTimeout:     300 * time.Millisecond,
+		OrderLifetime:        2 * time.Second,
+		ProbeInterval:        500 * time.Millisecond,
+		StageTimeout:         2 * time.Second,
 		TargetHeartbeat:      1200 * time.Millisecond,
 	}
 }
@@ -73,14 +73,16 @@
 // callers are no longer sent to an entry VM. Each lost message costs one interval.
 const listedRenewals = 3
 
-// listedFor returns how long after its last renewal callers are sent to an entry VM.
-func (t Timing) listedFor() time.Duration { return min(listedRenewals*t.RenewEvery, t.LeaseTerm) }
+// listedDuration returns how long after its last renewal callers are sent to an entry VM.
+func (t Timing) listedDuration() time.Duration {
+	return min(listedRenewals*t.RenewInterval, t.LeaseDuration)
+}
 
-// targetSilence returns the silence after which a target counts as lost.
-func (t Timing) targetSilence() time.Duration { return relay.SilentAfter(t.TargetHeartbeat) }
+// targetTimeout returns the silence after which a target counts as lost.
+func (t Timing) targetTimeout() time.Duration { return relay.LossTimeout(t.TargetHeartbeat) }
 
-// replacedSilence returns the same for a target whose address another one uses: half of it.
-func (t Timing) replacedSilence() time.Duration { return t.targetSilence() / 2 }
+// replacedTargetTimeout returns the same for a target whose address another one uses: half of it.
+func (t Timing) replacedTargetTimeout() time.Duration { return t.targetTimeout() / 2 }
 
 // Shortened returns d reduced by the drift bound: the duration that the holder of a
 // lease may rely on.
--- a/internal/core/unnamed.go
+++ b/internal/core/unnamed.go
@@ -40,7 +40,7 @@
 // unnamed holds the reports that are held back.
 type unnamed struct {
 	targets *relay.Registry
-	decoded decoded
+	decoded documentCache
 	readAt  time.Time
 	// forgetAt is when to check next for targets that have become silent.
 	forgetAt time.Time
@@ -51,15 +51,15 @@
 func (n *Node) heldBack(t relay.Target) bool {
 	u := &n.registry.unnamed
 	known, spread := n.registry.targets.Get(t.ID)
-	leaves := spread && known.Service == t.Service && !t.Takes()
-	if t.Service == "" || u.decoded.document == nil || u.decoded.document.Names(t.Service) || leaves {
+	leaves := spread && known.Service == t.Service && !t.AcceptsWork()
+	if t.Service == "" || u.decoded.document == nil || u.decoded.document.HasService(t.Service) || leaves {
 		// That a known target leaves is still distributed: some VMs may still act by the
 		// previous document.
-		u.targets.Drop(t.ID)
+		u.targets.Remove(t.ID)
 		return false
 	}
 	if _, known := u.targets.Get(t.ID); known || u.targets.Len() < maxUnnamedTargets {
-		u.targets.Hear(t, n.now)
+		u.targets.ReceiveReport(t, n.now)
 	}
 	return true
 }
@@ -69,9 +69,9 @@
 func (n *Node) tickUnnamed() {
 	u := &n.registry.unnamed
 	if !n.now.Before(u.forgetAt) {
-		silence := n.settings.Timing.targetSilence()
+		silence := n.settings.Timing.targetTimeout()
 		u.forgetAt = n.now.Add(silence)
-		u.targets.Forget(n.now.Add(-silence))
+		u.targets.Expire(n.now.Add(-silence))
 		u.targets.TakeTransitions() // no requests run on targets that are held back
 	}
 	present := n.machine.Config.Document
@@ -84,8 +84,8 @@
 		return
 	}
 	for _, t := range u.targets.All() {
-		if document.Names(t.Service) {
-			u.targets.Drop(t.ID)
+		if document.HasService(t.Service) {
+			u.targets.Remove(t.ID)
 			n.acceptReport(t)
 		}
 	}
--- a/internal/core/unnamed_test.go
+++ b/internal/core/unnamed_test.go
@@ -37,7 +37,7 @@
 			}
 			return d, nil
 		},
-	}, core.Recovered{Snapshot: core.Snapshot{Index: 1, Term: 1, Members: core.NewMembership(self), Machine: core.Machine{Config: state}}}, n.now)
+	}, core.Recovered{Snapshot: core.Snapshot{Index: 1, Term: 1, Members: core.NewMembership(self), Machine: core.StateMachine{Config: state}}}, n.now)
 	n.run(2 * time.Second)
 	return n
 }
@@ -61,13 +61,13 @@
 }
 
 // speak passes a target's report to the node and returns the answer.
-func (n *namingNode) speak(t relay.Target) core.TargetHeard {
+func (n *namingNode) speak(t relay.Target) core.TargetReportReply {
 	for _, effect := range n.step(core.TargetSpoke{Conn: 1, Target: t}) {
-		if heard, ok := effect.(core.TargetHeard); ok {
+		if heard, ok := effect.(core.TargetReportReply); ok {
 			return heard
 		}
 	}
-	return core.TargetHeard{}
+	return core.TargetReportReply{}
 }
 
 func (n *namingNode) put(version uint64, text string) {
@@ -78,9 +78,9 @@
 func TestTargetOfUnnamedServiceIsHeldBack(t *testing.T) {
 	n := newNamingNode("s")
 	good := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 1}
-	require.Equal(t, core.TargetHeard{Conn: 1, Taken: true}, n.speak(good))
+	require.Equal(t, core.TargetReportReply{Conn: 1, Accepted: true}, n.speak(good))
 	heard := n.speak(relay.Target{ID: "i-2", Service: "nowhere", Address: "10.0.0.2:80", Call: 1})
-	require.Equal(t, core.TargetHeard{Conn: 1, Taken: true, HeldBack: true}, heard, "it is acknowledged, since it would otherwise try every control VM")
+	require.Equal(t, core.TargetReportReply{Conn: 1, Accepted: true, HeldBack: true}, heard, "it is acknowledged, since it would otherwise try every control VM")
 	n.run(time.Second)
 	require.Equal(t, []relay.Target{good}, follow(n.Node, n.now))
 	require.Equal(t, []relay.Target{good}, n.saved)
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -102,15 +102,15 @@
 	if version == l.version {
 		return
 	}
-	g.ViewWhole = version < l.first || version > l.version
+	g.ViewComplete = version < l.first || version > l.version
 	for _, vm := range l.names {
-		if line := l.lines[vm]; g.ViewWhole || line.changed > version {
+		if line := l.lines[vm]; g.ViewComplete || line.changed > version {
 			g.View = append(g.View, line.view)
 		}
 	}
 	for _, vm := range slices.Sorted(maps.Keys(l.removed)) {
-		if l.removed[vm] > version && !g.ViewWhole {
-			g.Gone = append(g.Gone, vm)
+		if l.removed[vm] > version && !g.ViewComplete {
+			g.Removed = append(g.Removed, vm)
 		}
 	}
 }
@@ -119,7 +119,7 @@
 func (l *entryList) sinceBatch(version uint64, b *GrantBatch) {
 	var g Grant
 	l.since(version, &g)
-	b.ViewVersion, b.View, b.Gone, b.ViewWhole = g.ViewVersion, g.View, g.Gone, g.ViewWhole
+	b.ViewVersion, b.View, b.Removed, b.ViewComplete = g.ViewVersion, g.View, g.Removed, g.ViewComplete
 }
 
 // merge applies the changes of another list, or the whole of it. Unchanged lines keep their
@@ -148,16 +148,16 @@
 const refreshEvery = 100 * time.Millisecond
 
 // refreshView updates all lines and removes the VMs whose lease has expired or that haven't
-// renewed for listedFor.
+// renewed for listedDuration.
 func (n *Node) refreshView() {
-	l := &n.leading.view
+	l := &n.leader.view
 	if n.now.Before(l.refreshAt) {
 		return
 	}
 	l.refreshAt = n.now.Add(refreshEvery)
-	for _, vm := range slices.Sorted(maps.Keys(n.leading.leases)) {
-		lease := n.leading.leases[vm]
-		if !n.now.Before(lease.until) || n.now.After(lease.renewedAt.Add(n.settings.Timing.listedFor())) {
+	for _, vm := range slices.Sorted(maps.Keys(n.leader.leases)) {
+		lease := n.leader.leases[vm]
+		if !n.now.Before(lease.until) || n.now.After(lease.renewedAt.Add(n.settings.Timing.listedDuration())) {
 			l.remove(vm)
 			continue
 		}
@@ -186,7 +186,7 @@
 	if g.ViewVersion>>listNumberBits == held>>listNumberBits {
 		return g.ViewVersion > held
 	}
-	return (g.ViewWhole || g.ViewSame) && g.Number >= n.entry.viewNumber
+	return (g.ViewComplete || g.ViewSame) && g.Number >= n.entry.viewNumber
 }
 
 // applyView brings the list of entry VMs to the grant's version.
@@ -200,7 +200,7 @@
 		return
 	}
 	lines := make(map[VMName]EntryView, len(n.entry.view)+len(g.View))
-	if !g.ViewWhole {
+	if !g.ViewComplete {
 		for _, v := range n.entry.view {
 			lines[v.Address.VM] = v
 		}
@@ -211,7 +211,7 @@
 			n.emit(PeerFound{VM: v.Address.VM, Address: v.Address.Peers})
 		}
 	}
-	for _, vm := range g.Gone {
+	for _, vm := range g.Removed {
 		delete(lines, vm)
 	}
 	n.noteLost(lines)
@@ -223,7 +223,7 @@
 	}
 	n.entry.viewVersion = g.ViewVersion
 	n.entry.viewSum = checksum(n.entry.view)
-	n.findKeepers()
+	n.assignKeepers()
 }
 
 const (
--- a/internal/core/watch.go
+++ b/internal/core/watch.go
@@ -15,7 +15,7 @@
 	if n.now.Before(n.entry.watchAt) {
 		return
 	}
-	n.entry.watchAt = n.now.Add(n.settings.Timing.WatchEvery)
+	n.entry.watchAt = n.now.Add(n.settings.Timing.ProbeInterval)
 	n.refreshWatchList()
 	for _, t := range n.entry.watchList {
 		n.emit(Watch{Target: t.Name, Address: t.Address})
--- a/internal/core/world_callers_test.go
+++ b/internal/core/world_callers_test.go
@@ -16,8 +16,8 @@
 
 // This file simulates callers and operators, and checks the answers that they receive.
 
-// ask is one caller's request and the answer to it.
-type ask struct {
+// callerRequest is one caller's request and the answer to it.
+type callerRequest struct {
 	vm       core.VMName
 	call     bool
 	id       core.RequestID
@@ -118,8 +118,8 @@
 }
 
 // stream requests an answer, or the rest of it after the given number of tokens.
-func (w *world) stream(name core.VMName, id, prompt string, after int) *ask {
-	a := &ask{vm: name, id: core.RequestID(id), prompt: prompt, after: after, count: after}
+func (w *world) stream(name core.VMName, id, prompt string, after int) *callerRequest {
+	a := &callerRequest{vm: name, id: core.RequestID(id), prompt: prompt, after: after, count: after}
 	conn := w.conn()
 	w.requests[conn] = a
 	v := w.vms[name]
@@ -134,8 +134,8 @@
 }
 
 // call requests a call that may not be repeated.
-func (w *world) call(name core.VMName, id string) *ask {
-	a := &ask{vm: name, call: true, id: core.RequestID(id)}
+func (w *world) call(name core.VMName, id string) *callerRequest {
+	a := &callerRequest{vm: name, call: true, id: core.RequestID(id)}
 	conn := w.conn()
 	w.requests[conn] = a
 	v := w.vms[name]
@@ -148,8 +148,8 @@
 }
 
 // lookUp requests a call that may be repeated.
-func (w *world) lookUp(name core.VMName, id string) *ask {
-	a := &ask{vm: name, call: true, id: core.RequestID(id)}
+func (w *world) lookUp(name core.VMName, id string) *callerRequest {
+	a := &callerRequest{vm: name, call: true, id: core.RequestID(id)}
 	conn := w.conn()
 	w.requests[conn] = a
 	w.step(name, core.CallAsked{Conn: conn, ID: a.id, Key: worldKey, Service: "sign", Method: "GET", Path: "/status", Deadline: w.clock(w.vms[name]).Add(8 * time.Second)})
@@ -178,6 +178,6 @@
 	}
 }
 
-func (a *ask) ended() bool {
+func (a *callerRequest) ended() bool {
 	return a.finished || a.refusal != nil || a.answer != nil || a.cut
 }
