--- a/internal/relay/incarnation_test.go
+++ b/internal/relay/incarnation_test.go
@@ -45,7 +45,7 @@
 		n, b := name.Draw(t, "name"), born.Draw(t, "born")
 		id := relay.NewTargetID(n, b)
 		require.Equal(t, n, id.Name())
-		require.Equal(t, b, id.Born())
+		require.Equal(t, b, id.StartMillis())
 	})
 }
 
@@ -71,8 +71,8 @@
 	r := relay.NewRegistry(silence)
 	old := heartbeatOf(100, 50)
 	old.Leaving, old.Layers = true, config.Range{First: 3, Last: 9}
-	r.Hear(old, start)
-	require.True(t, r.Hear(heartbeatOf(200, 1), start))
+	r.ReceiveReport(old, start)
+	require.True(t, r.ReceiveReport(heartbeatOf(200, 1), start))
 	require.Equal(t, []relay.Target{heartbeatOf(200, 1)}, r.All())
 	ended, again := r.TakeTransitions()
 	require.Equal(t, []relay.Succession{{Old: incarnationIDs(100)[0], New: incarnationIDs(200)[0]}}, ended)
@@ -86,29 +86,29 @@
 	elsewhere := heartbeatOf(100, 60)
 	elsewhere.Address = "10.0.0.2:80"
 	for name, late := range map[string]func(*relay.Registry, time.Time) bool{
-		"heartbeat":            func(r *relay.Registry, now time.Time) bool { return r.Hear(heartbeatOf(100, 60), now) },
-		"from another address": func(r *relay.Registry, now time.Time) bool { return r.Hear(elsewhere, now) },
-		"leaving":              func(r *relay.Registry, now time.Time) bool { return r.Hear(leaving, now) },
-		"sign-off":             func(r *relay.Registry, now time.Time) bool { return r.Hear(gone, now) },
-		"from a control VM":    func(r *relay.Registry, now time.Time) bool { return r.Learn(heartbeatOf(100, 60), now) },
-		"third incarnation":    func(r *relay.Registry, now time.Time) bool { return r.Hear(heartbeatOf(50, 3), now) },
-		"without a start":      func(r *relay.Registry, now time.Time) bool { return r.Hear(heartbeatOf(0, 3), now) },
+		"heartbeat":            func(r *relay.Registry, now time.Time) bool { return r.ReceiveReport(heartbeatOf(100, 60), now) },
+		"from another address": func(r *relay.Registry, now time.Time) bool { return r.ReceiveReport(elsewhere, now) },
+		"leaving":              func(r *relay.Registry, now time.Time) bool { return r.ReceiveReport(leaving, now) },
+		"sign-off":             func(r *relay.Registry, now time.Time) bool { return r.ReceiveReport(gone, now) },
+		"from a control VM":    func(r *relay.Registry, now time.Time) bool { return r.ReceiveForwarded(heartbeatOf(100, 60), now) },
+		"third incarnation":    func(r *relay.Registry, now time.Time) bool { return r.ReceiveReport(heartbeatOf(50, 3), now) },
+		"without a start":      func(r *relay.Registry, now time.Time) bool { return r.ReceiveReport(heartbeatOf(0, 3), now) },
 		"forwarded heartbeat": func(r *relay.Registry, now time.Time) bool {
-			r.Alive(incarnationIDs(100)[0], 60, now)
+			r.ReceiveHeartbeat(incarnationIDs(100)[0], 60, now)
 			return false
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := relay.NewRegistry(silence)
-			r.Hear(heartbeatOf(100, 50), start)
-			r.Hear(heartbeatOf(200, 1), start.Add(time.Second))
+			r.ReceiveReport(heartbeatOf(100, 50), start)
+			r.ReceiveReport(heartbeatOf(200, 1), start.Add(time.Second))
 			r.TakeTransitions()
-			before, digest := r.Since(0), r.Digest()
+			before, digest := r.ChangedSince(0), r.Digest()
 			change := r.Change()
 			now := start.Add(2 * time.Second)
 			require.False(t, late(r, now))
-			require.Equal(t, before, r.Since(0))
-			require.Empty(t, r.Since(change))
+			require.Equal(t, before, r.ChangedSince(0))
+			require.Empty(t, r.ChangedSince(change))
 			require.Equal(t, digest, r.Digest())
 			ended, again := r.TakeTransitions()
 			require.Empty(t, ended)
@@ -120,8 +120,8 @@
 
 func TestEarlierIncarnationReportedLateIsVoid(t *testing.T) {
 	r := relay.NewRegistry(silence)
-	r.Hear(heartbeatOf(200, 1), start)
-	require.False(t, r.Hear(heartbeatOf(100, 99), start))
+	r.ReceiveReport(heartbeatOf(200, 1), start)
+	require.False(t, r.ReceiveReport(heartbeatOf(100, 99), start))
 	require.Equal(t, incarnationIDs(200), currentIDs(r))
 }
 
@@ -129,25 +129,25 @@
 func TestSignOffEndsItsIncarnation(t *testing.T) {
 	for _, born := range []uint64{100, 200} {
 		r := relay.NewRegistry(silence)
-		r.Hear(heartbeatOf(100, 50), start)
-		r.Hear(relay.Target{ID: incarnationIDs(born)[0], Call: 1 << 62, Leaving: true, Gone: true}, start)
-		r.Hear(heartbeatOf(200, 1), start)
+		r.ReceiveReport(heartbeatOf(100, 50), start)
+		r.ReceiveReport(relay.Target{ID: incarnationIDs(born)[0], Call: 1 << 62, Leaving: true, Gone: true}, start)
+		r.ReceiveReport(heartbeatOf(200, 1), start)
 		held, _ := r.Get(incarnationIDs(200)[0])
-		require.Equal(t, born != 200, held.Takes())
+		require.Equal(t, born != 200, held.AcceptsWork())
 		require.Equal(t, incarnationIDs(200), currentIDs(r))
 	}
 }
 
 func TestSignOffWithoutStartEndsCurrentIncarnations(t *testing.T) {
 	r := relay.NewRegistry(silence)
-	r.Hear(heartbeatOf(100, 50), start)
-	r.Hear(heartbeatOf(200, 1), start)
-	require.True(t, r.Hear(relay.Target{ID: "i-1", Call: 1 << 62, Leaving: true, Gone: true}, start))
+	r.ReceiveReport(heartbeatOf(100, 50), start)
+	r.ReceiveReport(heartbeatOf(200, 1), start)
+	require.True(t, r.ReceiveReport(relay.Target{ID: "i-1", Call: 1 << 62, Leaving: true, Gone: true}, start))
 	held, _ := r.Get(incarnationIDs(200)[0])
-	require.False(t, held.Takes())
-	r.Hear(heartbeatOf(300, 1), start)
+	require.False(t, held.AcceptsWork())
+	r.ReceiveReport(heartbeatOf(300, 1), start)
 	held, _ = r.Get(incarnationIDs(300)[0])
-	require.True(t, held.Takes(), "the sign-off does not apply to a later incarnation")
+	require.True(t, held.AcceptsWork(), "the sign-off does not apply to a later incarnation")
 }
 
 // After a clock was set back, the start of an incarnation is before that of the one that died.
@@ -155,36 +155,36 @@
 	for name, higher := range map[string]uint64{"set back": 300, "from the future": math.MaxUint64} {
 		t.Run(name, func(t *testing.T) {
 			r, follower := relay.NewRegistry(silence), relay.NewRegistry(silence)
-			r.Hear(heartbeatOf(higher, 9), start)
-			follower.Learn(heartbeatOf(higher, 9), start)
+			r.ReceiveReport(heartbeatOf(higher, 9), start)
+			follower.ReceiveForwarded(heartbeatOf(higher, 9), start)
 			for call := uint64(1); call <= 3; call++ {
-				r.Hear(heartbeatOf(200, call), start.Add(time.Duration(call)*time.Second))
+				r.ReceiveReport(heartbeatOf(200, call), start.Add(time.Duration(call)*time.Second))
 				require.Equal(t, incarnationIDs(higher), currentIDs(r))
 			}
 			now := start.Add(silence + time.Second)
 			change := r.Change()
-			require.True(t, r.Hear(heartbeatOf(200, 4), now))
+			require.True(t, r.ReceiveReport(heartbeatOf(200, 4), now))
 			require.Contains(t, currentIDs(r), incarnationIDs(200)[0])
 			_, again := r.TakeTransitions()
 			require.Equal(t, []relay.Target{heartbeatOf(200, 4)}, again)
 
-			for _, told := range r.Since(change) {
-				follower.Learn(told, now)
+			for _, told := range r.ChangedSince(change) {
+				follower.ReceiveForwarded(told, now)
 			}
 			require.NotContains(t, currentIDs(follower), incarnationIDs(200)[0])
-			for _, m := range r.Missed() {
-				follower.Miss(m, now)
+			for _, m := range r.AbsenceNotes() {
+				follower.ReceiveAbsence(m, now)
 			}
 			require.Contains(t, currentIDs(follower), incarnationIDs(200)[0])
 
 			// The incarnation with the later start was cut off, and reports again.
 			change = r.Change()
-			require.True(t, r.Hear(heartbeatOf(higher, 10), now))
+			require.True(t, r.ReceiveReport(heartbeatOf(higher, 10), now))
 			require.Equal(t, incarnationIDs(higher), currentIDs(r))
-			for _, told := range r.Since(change) {
-				follower.Learn(told, now)
+			for _, told := range r.ChangedSince(change) {
+				follower.ReceiveForwarded(told, now)
 			}
-			follower.Miss(relay.Missed{ID: incarnationIDs(higher)[0], Call: 9}, now) // arrives late
+			follower.ReceiveAbsence(relay.AbsenceNote{ID: incarnationIDs(higher)[0], Call: 9}, now) // arrives late
 			require.Equal(t, incarnationIDs(higher), currentIDs(follower))
 			require.Equal(t, r.Digest(), follower.Digest())
 		})
@@ -195,23 +195,23 @@
 // one.
 func TestForwardedHeartbeatsMarkLaterStartAbsent(t *testing.T) {
 	r := relay.NewRegistry(silence)
-	r.Hear(heartbeatOf(300, 9), start)
-	r.Learn(heartbeatOf(200, 1), start.Add(time.Second))
-	r.Alive(incarnationIDs(200)[0], 2, start.Add(2*time.Second))
+	r.ReceiveReport(heartbeatOf(300, 9), start)
+	r.ReceiveForwarded(heartbeatOf(200, 1), start.Add(time.Second))
+	r.ReceiveHeartbeat(incarnationIDs(200)[0], 2, start.Add(2*time.Second))
 	require.Equal(t, incarnationIDs(300), currentIDs(r))
-	r.Alive(incarnationIDs(200)[0], 3, start.Add(silence+time.Second))
+	r.ReceiveHeartbeat(incarnationIDs(200)[0], 3, start.Add(silence+time.Second))
 	require.Contains(t, currentIDs(r), incarnationIDs(200)[0])
-	require.Equal(t, []relay.Missed{{ID: incarnationIDs(300)[0], Call: 9}}, r.Missed())
+	require.Equal(t, []relay.AbsenceNote{{ID: incarnationIDs(300)[0], Call: 9}}, r.AbsenceNotes())
 }
 
 // A late message of an incarnation does not mark a later one as absent.
 func TestRepeatedMessageMarksNothingAbsent(t *testing.T) {
 	r := relay.NewRegistry(silence)
-	r.Hear(heartbeatOf(100, 5), start)
-	r.Hear(heartbeatOf(200, 1), start)
+	r.ReceiveReport(heartbeatOf(100, 5), start)
+	r.ReceiveReport(heartbeatOf(200, 1), start)
 	late := start.Add(10 * time.Second)
-	r.Hear(heartbeatOf(100, 5), late)
-	r.Hear(relay.Target{ID: incarnationIDs(100)[0], Call: 1 << 62, Leaving: true, Gone: true}, late)
+	r.ReceiveReport(heartbeatOf(100, 5), late)
+	r.ReceiveReport(relay.Target{ID: incarnationIDs(100)[0], Call: 1 << 62, Leaving: true, Gone: true}, late)
 	require.Equal(t, incarnationIDs(200), currentIDs(r))
 }
 
@@ -219,14 +219,14 @@
 func TestDigestReflectsAbsence(t *testing.T) {
 	a, b := relay.NewRegistry(silence), relay.NewRegistry(silence)
 	for _, r := range []*relay.Registry{a, b} {
-		r.Learn(heartbeatOf(300, 9), start)
-		r.Learn(heartbeatOf(200, 1), start)
-		r.Miss(relay.Missed{ID: incarnationIDs(300)[0], Call: 9}, start)
+		r.ReceiveForwarded(heartbeatOf(300, 9), start)
+		r.ReceiveForwarded(heartbeatOf(200, 1), start)
+		r.ReceiveAbsence(relay.AbsenceNote{ID: incarnationIDs(300)[0], Call: 9}, start)
 	}
 	require.Equal(t, a.Digest(), b.Digest())
-	b.Alive(incarnationIDs(300)[0], 10, start.Add(time.Second))
-	for _, told := range b.Unlike(a.Digest()) {
-		a.Learn(told, start.Add(time.Second))
+	b.ReceiveHeartbeat(incarnationIDs(300)[0], 10, start.Add(time.Second))
+	for _, told := range b.Differing(a.Digest()) {
+		a.ReceiveForwarded(told, start.Add(time.Second))
 	}
 	require.Equal(t, incarnationIDs(300), currentIDs(a))
 }
@@ -243,10 +243,10 @@
 	for _, order := range [][]relay.TargetID{{first, second}, {second, first}, {first, second, first}} {
 		r := relay.NewRegistry(silence)
 		for i, id := range order {
-			r.Hear(messageAt(id, "x", uint64(1+i)), start.Add(time.Duration(i)*time.Second))
+			r.ReceiveReport(messageAt(id, "x", uint64(1+i)), start.Add(time.Duration(i)*time.Second))
 		}
 		require.Equal(t, []relay.TargetID{second}, currentIDs(r))
-		r.Hear(messageAt(second, "y", 9), start.Add(3*time.Second))
+		r.ReceiveReport(messageAt(second, "y", 9), start.Add(3*time.Second))
 		require.ElementsMatch(t, []relay.TargetID{first, second}, currentIDs(r), "its address is free again")
 	}
 }
@@ -258,15 +258,15 @@
 	silent := func(now time.Time) []relay.TargetID {
 		return r.Silent(now, 1500*time.Millisecond)
 	}
-	r.Hear(messageAt("old", "x", 30), start)
+	r.ReceiveReport(messageAt("old", "x", 30), start)
 	for i := range 3 {
-		r.Hear(messageAt("new", "x", uint64(1+i)), start.Add(time.Second+time.Duration(i)*1200*time.Millisecond))
+		r.ReceiveReport(messageAt("new", "x", uint64(1+i)), start.Add(time.Second+time.Duration(i)*1200*time.Millisecond))
 	}
-	r.Hear(messageAt("old", "x", 31), start.Add(3500*time.Millisecond))
+	r.ReceiveReport(messageAt("old", "x", 31), start.Add(3500*time.Millisecond))
 	for _, ms := range []int{3500, 4000, 5000, 5500} {
 		require.Equal(t, []relay.TargetID{"old"}, silent(start.Add(time.Duration(ms)*time.Millisecond)))
 	}
-	r.Hear(messageAt("old", "x", 32), start.Add(9*time.Second))
+	r.ReceiveReport(messageAt("old", "x", 32), start.Add(9*time.Second))
 	require.Equal(t, []relay.TargetID{"new"}, silent(start.Add(9*time.Second)), "the later one has died")
 }
 
@@ -276,21 +276,21 @@
 	path := choose(t, r, ask(route), start)
 	old := path.Stages[len(path.Stages)-1]
 	begun := relay.NewTargetID(old.Target.Name(), 200)
-	require.Equal(t, []string{old.Address}, r.End([]relay.Succession{{Old: old.Target, New: begun}}))
-	require.Empty(t, r.End([]relay.Succession{{Old: old.Target, New: begun}}), "an incarnation ends only once")
+	require.Equal(t, []string{old.Address}, r.EndIncarnations([]relay.Succession{{Old: old.Target, New: begun}}))
+	require.Empty(t, r.EndIncarnations([]relay.Succession{{Old: old.Target, New: begun}}), "an incarnation ends only once")
 	require.True(t, r.Suspect(old.Target, start), "what runs there is lost")
-	r.TakeTargets([]relay.Target{{ID: begun, Service: "s", Address: old.Address, Call: 1}})
+	r.UpdateTargets([]relay.Target{{ID: begun, Service: "s", Address: old.Address, Call: 1}})
 	r.Failed(old.Target, true, start)
 	require.False(t, r.Suspect(begun, start))
-	require.Contains(t, r.Own(), old.Target.Key())
-	require.NotContains(t, r.Own(), begun.Key())
+	require.Contains(t, r.OwnWork(), old.Target.Key())
+	require.NotContains(t, r.OwnWork(), begun.Key())
 	for range 50 {
 		p := choose(t, r, ask(route), start)
-		require.False(t, p.Passes(old.Target))
+		require.False(t, p.Includes(old.Target))
 		r.Release(p, false)
 	}
 	r.Release(path, false)
-	require.Empty(t, r.Own())
+	require.Empty(t, r.OwnWork())
 	require.Empty(t, r.Findings(start).Dead)
 }
 
@@ -298,10 +298,10 @@
 func TestFirstReportEndsEarlierIncarnations(t *testing.T) {
 	r := relay.NewRouter(relay.Settings{})
 	first, second, third := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-2", 200), relay.NewTargetID("i-3", 900)
-	r.TakeTargets([]relay.Target{messageAt(first, "x", 1), messageAt(second, "y", 1), messageAt(third, "z", 1), messageAt("plain", "w", 1)})
+	r.UpdateTargets([]relay.Target{messageAt(first, "x", 1), messageAt(second, "y", 1), messageAt(third, "z", 1), messageAt("plain", "w", 1)})
 	later := relay.NewTargetID("i-1", 300)
-	require.Equal(t, []relay.Succession{{Old: first, New: later}, {Old: second, New: later}}, r.EndedBy([]relay.Target{messageAt(later, "y", 1)}))
-	require.Empty(t, r.EndedBy([]relay.Target{messageAt(first, "x", 2), messageAt("other", "x", 1), messageAt(relay.NewTargetID("i-3", 800), "z", 1)}))
+	require.Equal(t, []relay.Succession{{Old: first, New: later}, {Old: second, New: later}}, r.SupersededBy([]relay.Target{messageAt(later, "y", 1)}))
+	require.Empty(t, r.SupersededBy([]relay.Target{messageAt(first, "x", 2), messageAt("other", "x", 1), messageAt(relay.NewTargetID("i-3", 800), "z", 1)}))
 }
 
 // referenceIncarnations returns what is current after messages in any order: of each incarnation
@@ -317,7 +317,7 @@
 	known := maps.Clone(count)
 	maps.DeleteFunc(count, func(id relay.TargetID, t relay.Target) bool {
 		return slices.ContainsFunc(slices.Collect(maps.Values(known)), func(o relay.Target) bool {
-			return (o.ID.Name() == id.Name() || o.Address == t.Address) && o.ID.Born() > id.Born()
+			return (o.ID.Name() == id.Name() || o.Address == t.Address) && o.ID.StartMillis() > id.StartMillis()
 		})
 	})
 	return count
@@ -339,7 +339,7 @@
 			vm := rapid.IntRange(0, vms-1).Draw(t, "vm")
 			take := func(w relay.Target) {
 				received[vm][w.ID] = append(received[vm][w.ID], w)
-				registries[vm].Learn(w, start)
+				registries[vm].ReceiveForwarded(w, start)
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0, 1: // a target reports, and its report arrives or is lost
@@ -354,7 +354,7 @@
 				sent = append(sent, w)
 				if rapid.Bool().Draw(t, "received") {
 					received[vm][w.ID] = append(received[vm][w.ID], w)
-					registries[vm].Hear(w, start)
+					registries[vm].ReceiveReport(w, start)
 				}
 			case 2: // a message arrives late, or again
 				if len(sent) > 0 {
@@ -382,10 +382,10 @@
 // A message that anybody may write is removed completely: it neither voids others nor stays.
 func TestRemovedIncarnationVoidsNothing(t *testing.T) {
 	r := relay.NewRegistry(silence)
-	r.Hear(messageAt(relay.NewTargetID("a", 20), "x", 1), start)
-	r.Hear(messageAt(relay.NewTargetID("b", 10), "x", 1), start)
+	r.ReceiveReport(messageAt(relay.NewTargetID("a", 20), "x", 1), start)
+	r.ReceiveReport(messageAt(relay.NewTargetID("b", 10), "x", 1), start)
 	require.Len(t, r.All(), 1)
-	r.Drop(relay.NewTargetID("a", 20))
+	r.Remove(relay.NewTargetID("a", 20))
 	require.Len(t, r.All(), 1)
 	require.Equal(t, "b", r.All()[0].ID.Name())
 }
--- a/internal/relay/lender.go
+++ b/internal/relay/lender.go
@@ -16,7 +16,7 @@
 // each request, to the VMs that want them. With its renewals a VM reports how many requests
 // wanted the target recently, how many permits it has left or given back, and which grant it
 // received last; it sends no request without a permit (limits.go). Permits are granted for
-// PermitLife. Those given back can be granted again; those used or lost are replaced at the rate
+// PermitTTL. Those given back can be granted again; those used or lost are replaced at the rate
 // of the limit.
 //
 // Invariant: permits that can still be used, here and at VMs, never exceed the burst of their
@@ -31,9 +31,9 @@
 // Reports, orders and new paths of answers need no permit and are paid for later.
 
 const (
-	// PermitLife is how long a permit may be used: three renewals, so that the loss of one costs
+	// PermitTTL is how long a permit may be used: three renewals, so that the loss of one costs
 	// nothing, and the permits of a VM that died are soon available again.
-	PermitLife = 1500 * time.Millisecond
+	PermitTTL = 1500 * time.Millisecond
 	// burstBasePermits and burstSpan make up the burst of a limit: a few requests, and what the
 	// limit allows in the time that a VM takes to report what it has used.
 	burstBasePermits = 4.0
@@ -58,23 +58,23 @@
 	// Limited indicates that it names one, of PerSecond requests a second.
 	Limited   bool
 	PerSecond float64
-	// SentAt is when the request was sent, and HeardAt when the answer was received: the target
+	// SentAt is when the request was sent, and ReceivedAt when the answer was received: the target
 	// wrote it in between.
-	SentAt, HeardAt time.Time
+	SentAt, ReceivedAt time.Time
 }
 
 // after reports whether an answer was certainly given after another one was received.
 func (a LimitAnswer) after(o LimitAnswer, margin time.Duration) bool {
-	return a.SentAt.After(o.HeardAt.Add(margin))
+	return a.SentAt.After(o.ReceivedAt.Add(margin))
 }
 
 // merge combines two answers: the later one counts, or the stricter one if it is not known which
 // was later.
 func (a LimitAnswer) merge(o LimitAnswer, margin time.Duration) LimitAnswer {
 	switch {
-	case a.HeardAt.IsZero() || o.after(a, margin):
+	case a.ReceivedAt.IsZero() || o.after(a, margin):
 		return o
-	case o.HeardAt.IsZero() || a.after(o, margin):
+	case o.ReceivedAt.IsZero() || a.after(o, margin):
 		return a
 	}
 	if o.stricter(a) {
@@ -83,8 +83,8 @@
 	if o.SentAt.After(a.SentAt) && o.Limited == a.Limited && o.PerSecond == a.PerSecond {
 		a.SentAt = o.SentAt
 	}
-	if o.HeardAt.After(a.HeardAt) {
-		a.HeardAt = o.HeardAt
+	if o.ReceivedAt.After(a.ReceivedAt) {
+		a.ReceivedAt = o.ReceivedAt
 	}
 	return a
 }
@@ -93,10 +93,10 @@
 	return a.Limited && (!o.Limited || a.PerSecond < o.PerSecond)
 }
 
-// PermitAsk is what an entry VM reports of one target with a limit.
-type PermitAsk struct {
+// PermitRequest is what an entry VM reports of one target with a limit.
+type PermitRequest struct {
 	Target TargetKey
-	// Answer is the newest answer of the target to this VM; its HeardAt is zero if there is none.
+	// Answer is the newest answer of the target to this VM; its ReceivedAt is zero if there is none.
 	Answer LimitAnswer
 	// Wanted counts the requests of the last second that wanted the target.
 	Wanted int
@@ -121,8 +121,8 @@
 	Count int `cbor:"count"`
 }
 
-// Lender grants the permits of limited targets to holders. It is not safe for concurrent use.
-type Lender[Holder comparable] struct {
+// PermitAllocator grants the permits of limited targets to holders. It is not safe for concurrent use.
+type PermitAllocator[Holder comparable] struct {
 	rand *rand.Rand
 	life time.Duration
 	// readyAt is when the permits of the previous lender have expired.
@@ -168,14 +168,14 @@
 	count  int
 }
 
-// NewLender returns a Lender that knows no limit, and that replaces another one. Life is how long
-// it counts a permit as outstanding: PermitLife, lengthened by the bound on the drift of clocks.
-func NewLender[Holder comparable](seed uint64, life time.Duration, now time.Time) *Lender[Holder] {
-	return &Lender[Holder]{rand: rand.New(rand.NewPCG(seed, 1)), life: life, readyAt: now.Add(life), limits: make(map[TargetKey]*sharedLimit[Holder])}
+// NewPermitAllocator returns a Lender that knows no limit, and that replaces another one. Life is how long
+// it counts a permit as outstanding: PermitTTL, lengthened by the bound on the drift of clocks.
+func NewPermitAllocator[Holder comparable](seed uint64, life time.Duration, now time.Time) *PermitAllocator[Holder] {
+	return &PermitAllocator[Holder]{rand: rand.New(rand.NewPCG(seed, 1)), life: life, readyAt: now.Add(life), limits: make(map[TargetKey]*sharedLimit[Holder])}
 }
 
 // Limited returns the targets that have a limit, sorted.
-func (l *Lender[Holder]) Limited() []TargetKey {
+func (l *PermitAllocator[Holder]) Limited() []TargetKey {
 	var limited []TargetKey
 	for key, limit := range l.limits {
 		if limit.answer.Limited {
@@ -187,7 +187,7 @@
 }
 
 // Forget removes the limits that no holder has reported on for long.
-func (l *Lender[Holder]) Forget(now time.Time) {
+func (l *PermitAllocator[Holder]) Forget(now time.Time) {
 	for key, limit := range l.limits {
 		if !now.Before(limit.askedAt.Add(limitIdleTimeout)) {
 			delete(l.limits, key)
@@ -196,16 +196,16 @@
 }
 
 // Charge counts a message that was sent to a target without a permit.
-func (l *Lender[Holder]) Charge(key TargetKey) {
+func (l *PermitAllocator[Holder]) Charge(key TargetKey) {
 	if limit, ok := l.limits[key]; ok {
 		limit.free--
 	}
 }
 
-// Ask processes what a holder reports with its renewal of a number, and returns what it is
+// Request processes what a holder reports with its renewal of a number, and returns what it is
 // granted. It returns false for a target of which no answer is known, and for a renewal that is
 // not newer than the last.
-func (l *Lender[Holder]) Ask(h Holder, number uint64, ask PermitAsk, now time.Time) (Permits, bool) {
+func (l *PermitAllocator[Holder]) Request(h Holder, number uint64, ask PermitRequest, now time.Time) (Permits, bool) {
 	limit := l.limit(ask, now)
 	if limit == nil {
 		return Permits{}, false
@@ -237,9 +237,9 @@
 }
 
 // limit returns the limit that an ask refers to, or nil if there is none.
-func (l *Lender[Holder]) limit(ask PermitAsk, now time.Time) *sharedLimit[Holder] {
+func (l *PermitAllocator[Holder]) limit(ask PermitRequest, now time.Time) *sharedLimit[Holder] {
 	limit, ok := l.limits[ask.Target]
-	if !ok && !ask.Answer.HeardAt.IsZero() {
+	if !ok && !ask.Answer.ReceivedAt.IsZero() {
 		limit = &sharedLimit[Holder]{at: laterTime(now, l.readyAt), holders: make(map[Holder]*allocation)}
 		l.limits[ask.Target] = limit
 	}
@@ -300,7 +300,7 @@
 }
 
 // receive updates the state of a holder from its report.
-func (l *sharedLimit[Holder]) receive(held *allocation, number uint64, ask PermitAsk, now time.Time) {
+func (l *sharedLimit[Holder]) receive(held *allocation, number uint64, ask PermitRequest, now time.Time) {
 	before := held.outstanding()
 	held.number = number
 	held.left = ask.Left
@@ -318,7 +318,7 @@
 
 // allocate returns how many permits a holder is granted: what it wants, up to its part of the
 // burst in proportion to what all want. A fraction of a permit is drawn at random.
-func (l *Lender[Holder]) allocate(limit *sharedLimit[Holder], held *allocation) int {
+func (l *PermitAllocator[Holder]) allocate(limit *sharedLimit[Holder], held *allocation) int {
 	if held.wanted <= 0 || limit.free < 1 {
 		return 0
 	}
--- a/internal/relay/lender_test.go
+++ b/internal/relay/lender_test.go
@@ -17,7 +17,7 @@
 	t         *rapid.T
 	now       time.Time
 	perSecond float64
-	lender    *relay.Lender[string]
+	lender    *relay.PermitAllocator[string]
 	holders   []*worldHolder
 	asks      []askInTransit
 	grants    []grantInTransit
@@ -43,7 +43,7 @@
 	incarnation int
 	name        string
 	number      uint64
-	asks        []relay.PermitAsk
+	asks        []relay.PermitRequest
 }
 
 type grantInTransit struct {
@@ -67,7 +67,7 @@
 
 // receiveLimit gives a holder the limit with an answer to a request that was sent before.
 func (l *permitWorld) receiveLimit(h *worldHolder) {
-	h.limits.Hear(limitedTarget, relay.LimitAnswer{Limited: true, PerSecond: l.perSecond, SentAt: l.now.Add(-time.Millisecond), HeardAt: l.now})
+	h.limits.Observe(limitedTarget, relay.LimitAnswer{Limited: true, PerSecond: l.perSecond, SentAt: l.now.Add(-time.Millisecond), ReceivedAt: l.now})
 }
 
 func (l *permitWorld) holder() *worldHolder {
@@ -79,7 +79,7 @@
 func (l *permitWorld) renew(h *worldHolder) {
 	h.number++
 	h.renewed[h.number] = l.now
-	l.asks = append(l.asks, askInTransit{leader: l.leaders, from: h, incarnation: h.incarnation, name: h.name(), number: h.number, asks: h.limits.Asks(l.now)})
+	l.asks = append(l.asks, askInTransit{leader: l.leaders, from: h, incarnation: h.incarnation, name: h.name(), number: h.number, asks: h.limits.PermitRequests(l.now)})
 }
 
 // deliver delivers some ask to its leader, and may leave a copy in transit.
@@ -97,7 +97,7 @@
 	}
 	var permits []relay.Permits
 	for _, ask := range a.asks {
-		if p, ok := l.lender.Ask(a.name, a.number, ask, l.now); ok {
+		if p, ok := l.lender.Request(a.name, a.number, ask, l.now); ok {
 			permits = append(permits, p)
 		}
 	}
@@ -119,14 +119,14 @@
 	if until := g.to.renewed[g.number].Add(holderLease); until.After(g.to.leaseUntil) {
 		g.to.leaseUntil = until
 	}
-	g.to.limits.Grant(g.number, g.permits, g.to.renewed[g.number].Add(relay.PermitLife), l.now)
+	g.to.limits.Grant(g.number, g.permits, g.to.renewed[g.number].Add(relay.PermitTTL), l.now)
 }
 
 func (l *permitWorld) send(h *worldHolder) {
 	if !l.now.Before(h.leaseUntil) {
 		return
 	}
-	h.limits.Want(limitedTarget, l.now)
+	h.limits.NoteDemand(limitedTarget, l.now)
 	if h.limits.Take(limitedTarget, l.now) {
 		l.sent = append(l.sent, l.now)
 	}
@@ -147,7 +147,7 @@
 func TestPermitsNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &permitWorld{t: t, now: start, perSecond: rapid.SampledFrom([]float64{0.1, 0.5, 4.5, 20}).Draw(t, "limit")}
-		l.lender = relay.NewLender[string](1, relay.PermitLife, start.Add(-time.Hour))
+		l.lender = relay.NewPermitAllocator[string](1, relay.PermitTTL, start.Add(-time.Hour))
 		for i := range rapid.IntRange(1, 6).Draw(t, "holders") {
 			h := &worldHolder{index: i}
 			l.holders = append(l.holders, h)
@@ -180,7 +180,7 @@
 					h.frozenUntil = l.now.Add(2 * time.Second)
 				case 2:
 					l.leaders++
-					l.lender = relay.NewLender[string](l.leaders, relay.PermitLife, l.now)
+					l.lender = relay.NewPermitAllocator[string](l.leaders, relay.PermitTTL, l.now)
 				case 3:
 					l.receiveLimit(h)
 				}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -78,9 +78,9 @@
 	return &RateLimits{rand: rand.New(rand.NewPCG(seed, 2)), byTarget: make(map[TargetKey]*limit)}
 }
 
-// Hear records what an answer of a target states about its limit, and reports whether that is new
+// Observe records what an answer of a target states about its limit, and reports whether that is new
 // here.
-func (l *RateLimits) Hear(id TargetID, answer LimitAnswer) bool {
+func (l *RateLimits) Observe(id TargetID, answer LimitAnswer) bool {
 	known, ok := l.byTarget[id.Key()]
 	if answer.Limited && answer.PerSecond >= unlimitedFromPerSecond {
 		answer.Limited, answer.PerSecond = false, 0
@@ -92,14 +92,14 @@
 		known = l.add(id.Key())
 	}
 	known.id = id
-	before, was := known.perSecond, known.limited(answer.HeardAt)
+	before, was := known.perSecond, known.limited(answer.ReceivedAt)
 	known.answer = known.answer.merge(answer, 0)
 	if known.answer.Limited {
 		known.setRate(known.answer.PerSecond)
 	} else if !known.marked {
 		known.knownUntil = time.Time{}
 	}
-	return was != known.limited(answer.HeardAt) || !ok || before != known.perSecond
+	return was != known.limited(answer.ReceivedAt) || !ok || before != known.perSecond
 }
 
 // of returns the limit of a target, or nil.
@@ -131,9 +131,9 @@
 	return m != nil && (m.answer.Limited || m.marked || now.Before(m.knownUntil))
 }
 
-// TakeMarks applies the leader's marks of limited targets. Whole indicates that all other targets
+// ApplyMarks applies the leader's marks of limited targets. Whole indicates that all other targets
 // are unlimited.
-func (l *RateLimits) TakeMarks(marks map[TargetKey]Mark, whole bool, now time.Time) {
+func (l *RateLimits) ApplyMarks(marks map[TargetKey]Mark, whole bool, now time.Time) {
 	for key, m := range marks {
 		l.setMarked(key, m.Has(MarkLimited), now)
 	}
@@ -167,7 +167,7 @@
 			continue
 		}
 		if p.Over {
-			if !known.answer.Limited || known.answer.HeardAt.Add(answerOrderMargin).Before(now) {
+			if !known.answer.Limited || known.answer.ReceivedAt.Add(answerOrderMargin).Before(now) {
 				delete(l.byTarget, p.Target)
 			}
 			continue
@@ -203,15 +203,15 @@
 	return m.left > 0
 }
 
-// Want counts a request that wants a target.
-func (l *RateLimits) Want(id TargetID, now time.Time) {
+// NoteDemand counts a request that wants a target.
+func (l *RateLimits) NoteDemand(id TargetID, now time.Time) {
 	if m := l.of(id.Key()); m.limited(now) {
 		m.wanted.add(now, demandWindow)
 	}
 }
 
-// Room reports whether a target may be sent one more request.
-func (l *RateLimits) Room(id TargetID, now time.Time) bool {
+// Available reports whether a target may be sent one more request.
+func (l *RateLimits) Available(id TargetID, now time.Time) bool {
 	m := l.of(id.Key())
 	return !m.limited(now) || m.hasPermit(now)
 }
@@ -283,13 +283,13 @@
 	return l.Take(id, now)
 }
 
-// Asks returns what the next renewal reports to the leader, and gives back the permits that no
+// PermitRequests returns what the next renewal reports to the leader, and gives back the permits that no
 // request has wanted recently. Limits that have ended are removed.
-func (l *RateLimits) Asks(now time.Time) []PermitAsk {
+func (l *RateLimits) PermitRequests(now time.Time) []PermitRequest {
 	l.bound()
-	var asks []PermitAsk
+	var asks []PermitRequest
 	for key, m := range l.byTarget {
-		if !m.limited(now) && now.After(m.answer.HeardAt.Add(limitTTL)) {
+		if !m.limited(now) && now.After(m.answer.ReceivedAt.Add(limitTTL)) {
 			delete(l.byTarget, key)
 			continue
 		}
@@ -299,12 +299,12 @@
 			m.returned += uint64(m.left - wanted)
 			m.left = wanted
 		}
-		asks = append(asks, PermitAsk{Target: key, Answer: m.answer, Wanted: wanted, Left: m.left + m.reserved, Taken: m.taken, Unpaid: m.unpaid, Returned: m.returned})
+		asks = append(asks, PermitRequest{Target: key, Answer: m.answer, Wanted: wanted, Left: m.left + m.reserved, Taken: m.taken, Unpaid: m.unpaid, Returned: m.returned})
 	}
-	slices.SortFunc(asks, func(a, b PermitAsk) int { return cmp.Compare(a.Target, b.Target) })
+	slices.SortFunc(asks, func(a, b PermitRequest) int { return cmp.Compare(a.Target, b.Target) })
 	if len(asks) > maxPermitAsks {
 		l.rand.Shuffle(len(asks), func(i, j int) { asks[i], asks[j] = asks[j], asks[i] })
-		slices.SortStableFunc(asks, func(a, b PermitAsk) int { return cmp.Compare(min(b.Wanted, 1), min(a.Wanted, 1)) })
+		slices.SortStableFunc(asks, func(a, b PermitRequest) int { return cmp.Compare(min(b.Wanted, 1), min(a.Wanted, 1)) })
 		asks = asks[:maxPermitAsks]
 	}
 	return asks
@@ -315,7 +315,7 @@
 	for len(l.byTarget) > maxLimits {
 		var oldest TargetKey
 		for key, m := range l.byTarget {
-			if first, ok := l.byTarget[oldest]; !ok || m.answer.HeardAt.Before(first.answer.HeardAt) {
+			if first, ok := l.byTarget[oldest]; !ok || m.answer.ReceivedAt.Before(first.answer.ReceivedAt) {
 				oldest = key
 			}
 		}
@@ -327,7 +327,7 @@
 // answer.
 func (l *RateLimits) forget(known func(TargetKey) bool, now time.Time) {
 	for key, m := range l.byTarget {
-		if !known(key) && !now.Before(m.answer.HeardAt.Add(noticeTTL)) {
+		if !known(key) && !now.Before(m.answer.ReceivedAt.Add(noticeTTL)) {
 			delete(l.byTarget, key)
 		}
 	}
--- a/internal/relay/limits_load_test.go
+++ b/internal/relay/limits_load_test.go
@@ -84,7 +84,7 @@
 	events limitEvents
 	number int
 	vms    []*limitVM
-	lender *relay.Lender[int]
+	lender *relay.PermitAllocator[int]
 	// arrivals are the times at which the target received a request.
 	arrivals []time.Time
 	served   int
@@ -104,7 +104,7 @@
 
 func newLimitWorld(c limitCase) *limitWorld {
 	w := &limitWorld{limitCase: c, rand: rand.New(rand.NewPCG(c.seed, 1)), now: start}
-	w.lender = relay.NewLender[int](c.seed, relay.PermitLife, start.Add(-time.Hour))
+	w.lender = relay.NewPermitAllocator[int](c.seed, relay.PermitTTL, start.Add(-time.Hour))
 	for i := range c.vms {
 		w.vms = append(w.vms, w.newVM(i))
 		w.at(start.Add(time.Duration(w.rand.Int64N(int64(limitRenew)))), func() { w.renewAgain(i) })
@@ -148,7 +148,7 @@
 		return
 	}
 	if began.Equal(w.now) {
-		vm.limits.Want(limitedTarget, w.now)
+		vm.limits.NoteDemand(limitedTarget, w.now)
 	}
 	if vm.limits.Take(limitedTarget, w.now) {
 		w.send(vm)
@@ -170,7 +170,7 @@
 		named := w.perSecond
 		w.at(w.now.Add(limitNetworkDelay), func() {
 			w.served++
-			vm.limits.Hear(limitedTarget, relay.LimitAnswer{Limited: named > 0, PerSecond: named, SentAt: sent, HeardAt: w.now})
+			vm.limits.Observe(limitedTarget, relay.LimitAnswer{Limited: named > 0, PerSecond: named, SentAt: sent, ReceivedAt: w.now})
 		})
 	})
 }
@@ -188,18 +188,18 @@
 	vm.urgentAt = w.now.Add(limitUrgent)
 	number := vm.renewal
 	vm.sent[number] = w.now
-	asks := vm.limits.Asks(w.now)
+	asks := vm.limits.PermitRequests(w.now)
 	if w.rand.Float64() < w.lost {
 		return
 	}
 	w.at(w.now.Add(2*limitNetworkDelay+time.Duration(w.rand.Int64N(int64(limitBatchDelay)))), func() { w.grant(vm, number, asks) })
 }
 
-func (w *limitWorld) grant(vm *limitVM, number uint64, asks []relay.PermitAsk) {
+func (w *limitWorld) grant(vm *limitVM, number uint64, asks []relay.PermitRequest) {
 	var permits []relay.Permits
 	for _, a := range asks {
 		w.asks++
-		if p, ok := w.lender.Ask(vm.index, number, a, w.now); ok {
+		if p, ok := w.lender.Request(vm.index, number, a, w.now); ok {
 			permits = append(permits, p)
 		}
 	}
@@ -211,8 +211,8 @@
 		for _, key := range w.lender.Limited() {
 			marks[key] = relay.MarkLimited
 		}
-		vm.limits.TakeMarks(marks, true, w.now)
-		vm.limits.Grant(number, permits, vm.sent[number].Add(relay.PermitLife), w.now)
+		vm.limits.ApplyMarks(marks, true, w.now)
+		vm.limits.Grant(number, permits, vm.sent[number].Add(relay.PermitTTL), w.now)
 	})
 }
 
--- a/internal/relay/mark.go
+++ b/internal/relay/mark.go
@@ -24,9 +24,9 @@
 // With returns the marks and another one.
 func (m Mark) With(o Mark) Mark { return m | o }
 
-// TakeMarks applies the marks of targets that have changed. Whole indicates that targets that are
+// ApplyMarks applies the marks of targets that have changed. Whole indicates that targets that are
 // missing have none; otherwise they keep theirs.
-func (r *Router) TakeMarks(marks map[TargetKey]Mark, whole bool) {
+func (r *Router) ApplyMarks(marks map[TargetKey]Mark, whole bool) {
 	if whole {
 		clear(r.marks)
 	}
@@ -40,12 +40,12 @@
 		return
 	}
 	for _, t := range r.targets {
-		t.takeMark(r.marks[t.key])
+		t.applyMark(r.marks[t.key])
 	}
 }
 
-func (t *target) takeMark(m Mark) {
+func (t *target) applyMark(m Mark) {
 	t.silent = m.Has(MarkSilent)
 	t.moving = m.Has(MarkMoving)
-	t.slowElsewhere = m.Has(MarkSlow)
+	t.markedSlow = m.Has(MarkSlow)
 }
--- a/internal/relay/notice.go
+++ b/internal/relay/notice.go
@@ -12,7 +12,7 @@
 type Notice struct {
 	// Leaving indicates that it is about to end.
 	Leaving bool
-	// BackoffUntil is until when it accepts nothing from this VM; zero if it asks for no backoff.
+	// ParseBackoff is until when it accepts nothing from this VM; zero if it asks for no backoff.
 	BackoffUntil time.Time
 	// Limited indicates that it accepts no more than Limit requests a second, from all VMs
 	// together, Unlimited that it names no such limit. Neither is set if that cannot be
@@ -30,24 +30,26 @@
 // LimitAnswer returns what the answer to a request that was sent at a time states about a limit,
 // and whether it states anything.
 func (n Notice) LimitAnswer(sentAt, receivedAt time.Time) (LimitAnswer, bool) {
-	return LimitAnswer{Limited: n.Limited, PerSecond: n.Limit, SentAt: sentAt, HeardAt: receivedAt}, n.Limited || n.Unlimited
+	return LimitAnswer{Limited: n.Limited, PerSecond: n.Limit, SentAt: sentAt, ReceivedAt: receivedAt}, n.Limited || n.Unlimited
 }
 
-// said is the state from notices of targets to this VM, by incarnation: it outlasts the rest of
+// notices is the state from notices of targets to this VM, by incarnation: it outlasts the rest of
 // what is known of them.
-type said struct {
+type notices struct {
 	backoffs map[TargetID]backoff
 	draining map[TargetID]drainNotice
 	limits   *RateLimits
 }
 
-func newSaid(seed uint64) said {
-	return said{backoffs: make(map[TargetID]backoff), draining: make(map[TargetID]drainNotice), limits: NewRateLimits(seed)}
+func newNotices(seed uint64) notices {
+	return notices{backoffs: make(map[TargetID]backoff), draining: make(map[TargetID]drainNotice), limits: NewRateLimits(seed)}
 }
 
-// HearLimit records what an answer of a target states about its limit, and reports whether that
+// ObserveLimit records what an answer of a target states about its limit, and reports whether that
 // is new here.
-func (r *Router) HearLimit(id TargetID, answer LimitAnswer) bool { return r.limits.Hear(id, answer) }
+func (r *Router) ObserveLimit(id TargetID, answer LimitAnswer) bool {
+	return r.limits.Observe(id, answer)
+}
 
 // Limit returns the requests a second that a target accepts from all VMs together, 0 if it has
 // named no limit.
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -73,33 +73,33 @@
 // OverdueMultiple returns the multiple of its mean after which a pause is overdue.
 func (r *Router) OverdueMultiple() float64 { return r.overdue.multiple() }
 
-// FirstTaken records the time from the sending of a request to its first event.
-func (r *Router) FirstTaken(wait time.Duration) {
-	if r.firstMean.value == 0 {
-		r.firstMean.value = float64(wait)
+// ObserveFirstEvent records the time from the sending of a request to its first event.
+func (r *Router) ObserveFirstEvent(wait time.Duration) {
+	if r.meanFirstEvent.value == 0 {
+		r.meanFirstEvent.value = float64(wait)
 	}
-	r.firstMean = r.firstMean.With(float64(wait), meanWeight)
+	r.meanFirstEvent = r.meanFirstEvent.With(float64(wait), meanWeight)
 }
 
 // FirstOverdueAfter returns the time after which a first event is overdue: where prompts queue up
 // all first events take long, and no engine is at fault.
 func (r *Router) FirstOverdueAfter() time.Duration {
-	return time.Duration(firstEventMultiple * r.firstMean.value)
+	return time.Duration(firstEventMultiple * r.meanFirstEvent.value)
 }
 
-// Paused records the pause before an event of an answer over sound engines, which moves the
+// ObservePause records the pause before an event of an answer over sound engines, which moves the
 // estimate of pauses. Where pauses differ much, as under more requests than there is capacity
 // for, ten needless checks are enough to raise the multiple by one.
-func (r *Router) Paused(before Pace, pause time.Duration) {
+func (r *Router) ObservePause(before Pace, pause time.Duration) {
 	if mean := before.Mean(); mean > 0 {
 		r.overdue = r.overdue.With(float64(pause) / float64(mean))
 	}
 }
 
-// overdueTimes estimates a high quantile of pauses, as multiples of their mean.
-type overdueTimes struct{ estimate float64 }
+// overdueMultiple estimates a high quantile of pauses, as multiples of their mean.
+type overdueMultiple struct{ estimate float64 }
 
-func (o overdueTimes) multiple() float64 {
+func (o overdueMultiple) multiple() float64 {
 	if o.estimate == 0 {
 		return initialOverdueMultiple
 	}
@@ -107,10 +107,10 @@
 }
 
 // With returns the estimate after a pause.
-func (o overdueTimes) With(multiple float64) overdueTimes {
+func (o overdueMultiple) With(multiple float64) overdueMultiple {
 	next := o.multiple() - overdueMultipleStep/pausesPerOverdue
 	if multiple > o.multiple() {
 		next = o.multiple() + overdueMultipleStep
 	}
-	return overdueTimes{estimate: min(max(next, minOverdueMultiple), maxOverdueMultiple)}
+	return overdueMultiple{estimate: min(max(next, minOverdueMultiple), maxOverdueMultiple)}
 }
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -48,7 +48,7 @@
 	r, _ := newRouter(nil)
 	pace := pacedAt(10, 50*time.Millisecond)
 	for range 5 {
-		r.Paused(pace, 2*time.Second)
+		r.ObservePause(pace, 2*time.Second)
 	}
 	require.Less(t, r.OverdueMultiple(), 3.0)
 	for i := range 20_000 {
@@ -56,11 +56,11 @@
 		if i%20 == 0 {
 			pause = 150 * time.Millisecond
 		}
-		r.Paused(pace, pause)
+		r.ObservePause(pace, pause)
 	}
 	require.InDelta(t, 3, r.OverdueMultiple(), 0.1)
 	for range 2_000_000 {
-		r.Paused(pace, 50*time.Millisecond)
+		r.ObservePause(pace, 50*time.Millisecond)
 	}
 	require.InDelta(t, 1.6, r.OverdueMultiple(), 0.1)
 }
@@ -70,9 +70,9 @@
 // other.
 func TestSubstitutesAreDrawnByReadRate(t *testing.T) {
 	lost := config.Range{First: 30, Last: 55}
-	targets := placed("large", config.Range{First: 0, Last: 30}, lost, config.Range{First: 55, Last: 80})
+	targets := enginesHolding("large", config.Range{First: 0, Last: 30}, lost, config.Range{First: 55, Last: 80})
 	for i, held := range []config.Range{lost, {First: 30, Last: 60}, {First: 25, Last: 55}} {
-		other := placed("large", held)[0]
+		other := enginesHolding("large", held)[0]
 		other.ID, other.Address = relay.TargetID(fmt.Sprint("stand-in-", i)), fmt.Sprint("stand-in-", i, ":80")
 		targets = append(targets, other)
 	}
@@ -80,8 +80,8 @@
 	const vms = 600
 	for vm := range uint64(vms) {
 		r, route := newRouterWithSeed(nil, vm)
-		r.TakeTargets(targets)
-		r.TakeOthers(nil, true)
+		r.UpdateTargets(targets)
+		r.SetOthersWork(nil, true)
 		path := choose(t, r, ask(route), start)
 		next, ok := r.Substitute(path, []relay.TargetID{path.Stages[1].Target}, start)
 		require.True(t, ok)
@@ -95,45 +95,45 @@
 
 func TestSlowEngineIsAvoidedWhileItReportsSo(t *testing.T) {
 	r, route := newRouter(nil)
-	r.TakeTargets(twoOfEach())
+	r.UpdateTargets(replicatedEngines())
 	path := choose(t, r, ask(route), start)
 	slow := path.Stages[1].Target
-	r.TakePace(slow, 12, start)
+	r.SetPace(slow, 12, start)
 	for range 20 {
-		require.False(t, choose(t, r, ask(route), start).Passes(slow))
+		require.False(t, choose(t, r, ask(route), start).Includes(slow))
 	}
-	id, is := r.SlowOn(path, start)
+	id, is := r.SlowStage(path, start)
 	require.True(t, is)
 	require.Equal(t, slow, id)
 	require.Empty(t, r.Findings(start).Dead, "a slow engine does not count as dead")
 	require.Equal(t, []relay.TargetKey{slow.Key()}, r.Findings(start).Slow)
-	require.Empty(t, r.SlowDue(start))
+	require.Empty(t, r.SlowEnginesToCheck(start))
 
 	soon := start.Add(800 * time.Millisecond)
-	require.Len(t, r.SlowDue(soon), 1, "it is checked before it is used again")
-	r.TakePace(slow, 12, soon)
-	_, is = r.SlowOn(path, start.Add(2*time.Second))
+	require.Len(t, r.SlowEnginesToCheck(soon), 1, "it is checked before it is used again")
+	r.SetPace(slow, 12, soon)
+	_, is = r.SlowStage(path, start.Add(2*time.Second))
 	require.True(t, is, "found slow again, it is avoided for longer")
-	r.TakePace(slow, 1, start.Add(2700*time.Millisecond))
-	_, is = r.SlowOn(path, start.Add(2700*time.Millisecond))
+	r.SetPace(slow, 1, start.Add(2700*time.Millisecond))
+	_, is = r.SlowStage(path, start.Add(2700*time.Millisecond))
 	require.False(t, is)
 }
 
 // Where every path needs it, a slow engine serves.
 func TestSlowEngineWithoutSubstituteServes(t *testing.T) {
 	r, route := newRouter(nil)
-	r.TakeTargets(placed("large", config.Range{First: 0, Last: 30}, config.Range{First: 30, Last: 55}, config.Range{First: 55, Last: 80}))
-	r.TakePace("a-large-1", 12, start)
-	require.True(t, choose(t, r, ask(route), start).Passes("a-large-1"))
+	r.UpdateTargets(enginesHolding("large", config.Range{First: 0, Last: 30}, config.Range{First: 30, Last: 55}, config.Range{First: 55, Last: 80}))
+	r.SetPace("a-large-1", 12, start)
+	require.True(t, choose(t, r, ask(route), start).Includes("a-large-1"))
 }
 
 // The engines report their pace themselves: invalid values change nothing.
 func TestInvalidPacesAreIgnored(t *testing.T) {
 	r, _ := newRouter(nil)
-	r.TakeTargets(twoOfEach())
+	r.UpdateTargets(replicatedEngines())
 	for _, pace := range []float64{0, -1, 0.2, 1} {
-		r.TakePace("a-large-0", pace, start)
+		r.SetPace("a-large-0", pace, start)
 		require.Empty(t, r.Findings(start).Slow, "pace %g", pace)
 	}
-	r.TakePace("i-unknown", 12, start)
+	r.SetPace("i-unknown", 12, start)
 }
--- a/internal/relay/path.go
+++ b/internal/relay/path.go
@@ -88,7 +88,7 @@
 	suspect bool
 }
 
-func (r *Router) choosePath(s *Service, a Ask, now time.Time) (Path, bool) {
+func (r *Router) choosePath(s *Service, a PathRequest, now time.Time) (Path, bool) {
 	for _, suspects := range []bool{false, true} {
 		engines := r.usable(s.Name, a, now, suspects)
 		slices.SortFunc(engines, func(x, y *target) int {
@@ -108,7 +108,7 @@
 // probability that falls with its cost. If the cheapest were always chosen, all VMs would
 // take the same one until the next load report, 0.4 s later: on the users' grown fleet,
 // halls would fill up in turn, for a second each.
-func (r *Router) pathWithinHall(s *Service, a Ask, engines []*target, now time.Time) (Path, bool) {
+func (r *Router) pathWithinHall(s *Service, a PathRequest, engines []*target, now time.Time) (Path, bool) {
 	byHall := make(map[string][]*target)
 	for _, t := range engines {
 		byHall[t.Hall] = append(byHall[t.Hall], t)
@@ -139,7 +139,7 @@
 }
 
 // shortest returns the path of least cost over the given engines.
-func (r *Router) shortest(s *Service, a Ask, engines []*target, now time.Time) (Path, time.Duration, bool) {
+func (r *Router) shortest(s *Service, a PathRequest, engines []*target, now time.Time) (Path, time.Duration, bool) {
 	e := s.Engine
 	candidates := r.candidates(s, a, engines, now)
 	arrivals := make([]arrival, e.Layers+1)
@@ -150,15 +150,15 @@
 		return Path{}, 0, false
 	}
 	stages, changes := reconstruct(arrivals, whole)
-	if changes > 0 && !a.Begun && r.changing+changes > r.maxCrossings(e) {
+	if changes > 0 && !a.Begun && r.crossingsInFlight+changes > r.maxCrossings(e) {
 		return Path{}, 0, false
 	}
-	return Path{Service: s.Name, Stages: stages, tokens: a.memoryTokens(), prompt: a.Prompt, changes: changes, pass: arrivals[e.Layers].pass}, time.Duration(arrivals[e.Layers].cost), true
+	return Path{Service: s.Name, Stages: stages, tokens: a.memoryTokens(), prompt: a.Prompt, crossings: changes, pass: arrivals[e.Layers].pass}, time.Duration(arrivals[e.Layers].cost), true
 }
 
 // relaxRange finds the cheapest ways from the beginning of a range of layers, given in
 // arrivals, to each position within it.
-func (r *Router) relaxRange(e *Engine, a Ask, candidates []candidate, layers config.Range, arrivals []arrival) {
+func (r *Router) relaxRange(e *Engine, a PathRequest, candidates []candidate, layers config.Range, arrivals []arrival) {
 	ends := stageBoundaries(e, candidates, layers)
 	for _, at := range ends {
 		if !arrivals[at].ok {
@@ -189,7 +189,7 @@
 }
 
 // candidates returns the engines that have room for at least one layer of a request.
-func (r *Router) candidates(s *Service, a Ask, engines []*target, now time.Time) []candidate {
+func (r *Router) candidates(s *Service, a PathRequest, engines []*target, now time.Time) []candidate {
 	e := s.Engine
 	out := make([]candidate, 0, len(engines))
 	for _, t := range engines {
@@ -200,7 +200,7 @@
 		kind = kind.Slowed(t.slowdown(now))
 		c := r.candidateFor(e, kind, a, t)
 		c.layerLimit = r.layerLimit(e, kind, a, t)
-		c.canStart = a.mayBegin(t.ID) && r.takesMore(t, a, now) && r.load(t).Requests < e.Slots && t.own.Requests < r.connLimit(s)
+		c.canStart = a.mayStartOn(t.ID) && r.permitAvailable(t, a, now) && r.load(t).Requests < e.Slots && t.ownWork.Requests < r.connLimit(s)
 		c.suspect = t.silent || now.Before(t.suspectUntil)
 		if c.layerLimit > 0 {
 			out = append(out, c)
@@ -224,16 +224,16 @@
 // maxCrossings is this VM's share of the changes of halls that the pipes can carry.
 func (r *Router) maxCrossings(e *Engine) int {
 	if e.PipeBits <= 0 {
-		return r.changing + len(r.targets)
+		return r.crossingsInFlight + len(r.targets)
 	}
-	bits := float64(e.UsualPrompt+e.UsualAnswer) * e.HandOnBytes * 8
+	bits := float64(e.UsualPrompt+e.UsualAnswer) * e.ActivationBytes * 8
 	most := minPipes * maxPipeShare * e.PipeBits / bits * crossingDuration.Seconds()
 	return max(int(most/float64(r.vms)), 1)
 }
 
 // relax tries an engine as the next stage after the cheapest way to a position, up to each
 // position that its layers reach.
-func (r *Router) relax(e *Engine, a Ask, c *candidate, at int, ends []int, arrivals []arrival) {
+func (r *Router) relax(e *Engine, a PathRequest, c *candidate, at int, ends []int, arrivals []arrival) {
 	if at < c.Layers.First || at >= c.Layers.Last || at == 0 && !c.canStart {
 		return
 	}
@@ -278,11 +278,11 @@
 // request. A VM without reports from the others assumes that each of them does as it does,
 // and admits at random so that all VMs together admit about as many requests as there is
 // room for.
-func (r *Router) layerLimit(e *Engine, kind Accelerator, a Ask, t *target) int {
+func (r *Router) layerLimit(e *Engine, kind Accelerator, a PathRequest, t *target) int {
 	held := t.Layers.Len()
 	room := maxMemoryShare*float64(e.tokenLayers(kind, held)) - float64(r.load(t).Tokens)
 	need := float64(max(a.memoryTokens(), 1))
-	sampled := !r.othersKnown && r.settings.Policy.Has(StartSampling)
+	sampled := !r.othersReported && r.settings.Policy.Has(StartSampling)
 	if sampled {
 		need *= r.admissionFraction(t) * float64(r.vms)
 	}
@@ -302,7 +302,7 @@
 
 // candidateFor returns a target as a candidate, with the time that it takes for the whole
 // request.
-func (r *Router) candidateFor(e *Engine, kind Accelerator, a Ask, t *target) candidate {
+func (r *Router) candidateFor(e *Engine, kind Accelerator, a PathRequest, t *target) candidate {
 	load := r.load(t)
 	layers := float64(t.Layers.Len())
 	share := layers / float64(e.Layers)
@@ -346,11 +346,11 @@
 }
 
 // pipeCost returns the cost of a change of halls.
-func (r *Router) pipeCost(e *Engine, from, to *target, a Ask) time.Duration {
+func (r *Router) pipeCost(e *Engine, from, to *target, a PathRequest) time.Duration {
 	if from.Hall == to.Hall || e.PipeBits <= 0 {
 		return 0
 	}
-	bits := float64(a.Prompt+a.answer) * e.HandOnBytes * 8
+	bits := float64(a.Prompt+a.answer) * e.ActivationBytes * 8
 	once := bits / e.PipeBits * float64(time.Second)
 	if !r.settings.Policy.Has(PipeCaution) {
 		return time.Duration(once)
--- a/internal/relay/path_test.go
+++ b/internal/relay/path_test.go
@@ -15,7 +15,7 @@
 // those where one ends where the next begins.
 func TestPathsJoinOverlappingRanges(t *testing.T) {
 	r, route := newRouter(nil)
-	r.TakeTargets(placed("large", config.Range{First: 0, Last: 35}, config.Range{First: 30, Last: 60}, config.Range{First: 50, Last: 80}))
+	r.UpdateTargets(enginesHolding("large", config.Range{First: 0, Last: 35}, config.Range{First: 30, Last: 60}, config.Range{First: 50, Last: 80}))
 	path := choose(t, r, ask(route), start)
 	requireWhole(t, path)
 	require.Len(t, path.Stages, 3)
@@ -25,8 +25,8 @@
 func TestPartialRangeTakesPartOfMemory(t *testing.T) {
 	admitted := func(ranges ...config.Range) int {
 		r, route := newRouter(nil)
-		r.TakeOthers(nil, true)
-		r.TakeTargets(placed("large", ranges...))
+		r.SetOthersWork(nil, true)
+		r.UpdateTargets(enginesHolding("large", ranges...))
 		n := 0
 		for {
 			if _, refusal := r.Choose(ask(route), start); refusal != nil {
@@ -60,7 +60,7 @@
 			held[target.ID] = target.Layers
 		}
 		r, route := newRouter(nil)
-		r.TakeTargets(targets)
+		r.UpdateTargets(targets)
 		for range rapid.IntRange(1, 20).Draw(t, "requests") {
 			path, refusal := r.Choose(ask(route), start)
 			if refusal != nil {
--- a/internal/relay/pause.go
+++ b/internal/relay/pause.go
@@ -32,10 +32,10 @@
 	// is in time: an engine whose steps take twice as long as empty ones serves half of what it
 	// could with any number of requests.
 	maxEmptyMultiple = 2.0
-	// waitShare is the time of a pass with the waits before it, as a multiple of the pass alone:
+	// waitMultiple is the time of a pass with the waits before it, as a multiple of the pass alone:
 	// a request reaches each stage in the middle of the previous pass. Measured answers adjust
 	// it.
-	waitShare = 1.5
+	waitMultiple = 1.5
 	// maxWaitMultiple bounds what measured answers may adjust it to.
 	maxWaitMultiple = 8.0
 	// meanWeight is the weight of the newest answer: 14 answers make up half.
@@ -62,14 +62,14 @@
 
 // hallWait returns how many times longer a pass takes with the waits before it in a hall.
 func (r *Router) hallWait(hall string) float64 {
-	if w, ok := r.waits[hall]; ok {
+	if w, ok := r.waitFactors[hall]; ok {
 		return w.value
 	}
-	return waitShare
+	return waitMultiple
 }
 
-// TakePauses records the mean pause between the events of an answer that has ended.
-func (r *Router) TakePauses(p Path, mean time.Duration) {
+// ObserveMeanPause records the mean pause between the events of an answer that has ended.
+func (r *Router) ObserveMeanPause(p Path, mean time.Duration) {
 	if p.pass.loaded <= 0 || mean <= 0 {
 		return
 	}
@@ -79,7 +79,7 @@
 	r.meanPause = r.meanPause.With(float64(mean), meanWeight)
 	hall := p.Stages[0].hall
 	measured := min(max(float64(mean)/float64(p.pass.loaded), 1), maxWaitMultiple)
-	r.waits[hall] = average{value: r.hallWait(hall)}.With(measured, meanWeight)
+	r.waitFactors[hall] = average{value: r.hallWait(hall)}.With(measured, meanWeight)
 }
 
 // AnswerTime returns how long an answer of so many tokens takes by recent pauses, from its first
@@ -94,7 +94,7 @@
 
 // inTime reports whether a path may accept one more request without making the answers there
 // late.
-func (r *Router) inTime(a Ask, p Path) bool {
+func (r *Router) inTime(a PathRequest, p Path) bool {
 	if a.Resumed || a.Route.Pause <= 0 || !r.settings.Policy.Has(PauseAdmission) {
 		return true
 	}
--- a/internal/relay/pause_test.go
+++ b/internal/relay/pause_test.go
@@ -15,14 +15,14 @@
 func admitted(t *testing.T, bound time.Duration, measured time.Duration) int {
 	t.Helper()
 	r, route := newRouter(nil)
-	r.TakeOthers(nil, true)
-	r.TakeTargets(placed("large", config.Range{First: 0, Last: 15}, config.Range{First: 15, Last: 30}, config.Range{First: 30, Last: 45}, config.Range{First: 45, Last: 60}, config.Range{First: 60, Last: 80}))
+	r.SetOthersWork(nil, true)
+	r.UpdateTargets(enginesHolding("large", config.Range{First: 0, Last: 15}, config.Range{First: 15, Last: 30}, config.Range{First: 30, Last: 45}, config.Range{First: 45, Last: 60}, config.Range{First: 60, Last: 80}))
 	paced := *route
 	paced.Pause = bound
 	for range 100 {
 		path := choose(t, r, ask(&paced), start)
 		if measured > 0 {
-			r.TakePauses(path, measured)
+			r.ObserveMeanPause(path, measured)
 		}
 		r.Release(path, false)
 	}
@@ -62,8 +62,8 @@
 // A request that has a part of its answer continues, also where others are refused.
 func TestResumedAnswersAreAdmitted(t *testing.T) {
 	r, route := newRouter(nil)
-	r.TakeOthers(nil, true)
-	r.TakeTargets(placed("large", config.Range{First: 0, Last: 30}, config.Range{First: 30, Last: 55}, config.Range{First: 55, Last: 80}))
+	r.SetOthersWork(nil, true)
+	r.UpdateTargets(enginesHolding("large", config.Range{First: 0, Last: 30}, config.Range{First: 30, Last: 55}, config.Range{First: 55, Last: 80}))
 	paced := *route
 	paced.Pause = 12 * time.Millisecond
 	var refusal *relay.Refusal
@@ -78,11 +78,11 @@
 
 func TestAnswerTimeFollowsMeasuredPauses(t *testing.T) {
 	r, route := newRouter(nil)
-	r.TakeTargets(twoOfEach())
+	r.UpdateTargets(replicatedEngines())
 	require.Zero(t, r.AnswerTime("s", 100))
 	for range 200 {
 		path := choose(t, r, ask(route), start)
-		r.TakePauses(path, 40*time.Millisecond)
+		r.ObserveMeanPause(path, 40*time.Millisecond)
 		r.Release(path, false)
 	}
 	// Two tokens an event: a hundred tokens are fifty pauses.
--- a/internal/relay/permits.go
+++ b/internal/relay/permits.go
@@ -23,7 +23,7 @@
 	// classes of the others.
 	urgencyRanks = 12
 	// maxReturnDelay bounds the time after which a caller that found no permit comes back, of
-	// which returnLeast is the least: what is known of limits is out of date by then.
+	// which minReturnSpread is the least: what is known of limits is out of date by then.
 	maxReturnDelay = 10 * time.Second
 )
 
@@ -70,12 +70,12 @@
 
 // limitedMembers calls a function for each limited target of a service that a request could begin
 // on.
-func (r *Router) limitedMembers(service string, a Ask, now time.Time, do func(*limit)) {
+func (r *Router) limitedMembers(service string, a PathRequest, now time.Time, do func(*limit)) {
 	if len(r.limits.byTarget) == 0 {
 		return
 	}
 	for _, t := range r.members[service] {
-		if m := r.limits.of(t.key); m.limited(now) && t.begins() && a.mayBegin(t.ID) && !a.avoids(t.ID) {
+		if m := r.limits.of(t.key); m.limited(now) && t.begins() && a.mayStartOn(t.ID) && !a.avoids(t.ID) {
 			do(m)
 		}
 	}
@@ -83,11 +83,11 @@
 
 // begins reports whether requests begin on a target: on any of a plain service, and on an engine
 // that holds the first layers.
-func (t *target) begins() bool { return t.takes() && t.Layers.First == 0 }
+func (t *target) begins() bool { return t.acceptsWork() && t.Layers.First == 0 }
 
 // permitsFor reports whether the limited targets of a service have permits for a request, beyond
 // those for the waiting requests that go before it.
-func (r *Router) permitsFor(service string, a Ask, now time.Time) bool {
+func (r *Router) permitsFor(service string, a PathRequest, now time.Time) bool {
 	left := 0
 	r.limitedMembers(service, a, now, func(m *limit) {
 		m.expire(now)
@@ -96,8 +96,8 @@
 	return left > r.waiters[service].ahead(rank(a.Urgency), a.Waiting)
 }
 
-// takesMore reports whether a target's limit leaves a permit for a request, or it has none.
-func (r *Router) takesMore(t *target, a Ask, now time.Time) bool {
+// permitAvailable reports whether a target's limit leaves a permit for a request, or it has none.
+func (r *Router) permitAvailable(t *target, a PathRequest, now time.Time) bool {
 	m := r.limits.of(t.key)
 	if !m.limited(now) {
 		return true
@@ -105,9 +105,9 @@
 	return a.permits && m.hasPermit(now)
 }
 
-// wantPermits counts which limited targets a request wants: the one that it got, and all that
+// notePermitDemand counts which limited targets a request wants: the one that it got, and all that
 // have no permit.
-func (r *Router) wantPermits(service string, a Ask, chosen Path, now time.Time) {
+func (r *Router) notePermitDemand(service string, a PathRequest, chosen Path, now time.Time) {
 	if a.Waiting {
 		return // counted on arrival
 	}
@@ -147,18 +147,18 @@
 // permit.
 func (r *Router) ChargePermit(id TargetID, now time.Time) { r.limits.Charge(id, now) }
 
-// TakeGrant processes the permits that come with the lease that answers the renewal of a number.
-func (r *Router) TakeGrant(number uint64, permits []Permits, until, now time.Time) {
+// ApplyGrant processes the permits that come with the lease that answers the renewal of a number.
+func (r *Router) ApplyGrant(number uint64, permits []Permits, until, now time.Time) {
 	r.limits.Grant(number, permits, until, now)
 }
 
-// TakeLimited applies the leader's marks of limited targets; see TakeMarks.
-func (r *Router) TakeLimited(marks map[TargetKey]Mark, whole bool, now time.Time) {
-	r.limits.TakeMarks(marks, whole, now)
+// ApplyLimitMarks applies the leader's marks of limited targets; see ApplyMarks.
+func (r *Router) ApplyLimitMarks(marks map[TargetKey]Mark, whole bool, now time.Time) {
+	r.limits.ApplyMarks(marks, whole, now)
 }
 
-// PermitAsks returns what the next renewal reports to the leader of limits.
-func (r *Router) PermitAsks(now time.Time) []PermitAsk {
+// PermitRequests returns what the next renewal reports to the leader of limits.
+func (r *Router) PermitRequests(now time.Time) []PermitRequest {
 	if len(r.limits.byTarget) == 0 {
 		return nil
 	}
@@ -167,7 +167,7 @@
 		known[t.key] = true
 	}
 	r.limits.forget(func(key TargetKey) bool { return known[key] }, now)
-	return r.limits.Asks(now)
+	return r.limits.PermitRequests(now)
 }
 
 // LimitedTargets returns the targets with limits, sorted.
@@ -185,7 +185,7 @@
 
 // permitRate is the permits of a service that this VM receives in a second: those of the last
 // one, and at least an equal part of the limits.
-func (r *Router) permitRate(service string, a Ask, now time.Time) float64 {
+func (r *Router) permitRate(service string, a PathRequest, now time.Time) float64 {
 	rate := 0.0
 	r.limitedMembers(service, a, now, func(m *limit) { rate += m.rate(r.vms, now) })
 	return rate
@@ -193,7 +193,7 @@
 
 // noPermit returns the refusal of a request that finds no target where limited ones could serve
 // it, or nil.
-func (r *Router) noPermit(service string, a Ask, now time.Time) *Refusal {
+func (r *Router) noPermit(service string, a PathRequest, now time.Time) *Refusal {
 	if a.permits || !r.servedWithPermits(service, a, now) {
 		return nil
 	}
@@ -201,10 +201,10 @@
 	w := r.waitersOf(service)
 	gap := time.Duration(float64(time.Second) / rate)
 	ahead := w.ahead(rank(a.Urgency), a.Waiting)
-	w.returnAt = laterTime(w.returnAt, now.Add(returnLeast))
+	w.returnAt = laterTime(w.returnAt, now.Add(minReturnSpread))
 	retryAt := w.returnAt.Add(gap)
 	if retryAt.After(now.Add(maxReturnDelay)) {
-		retryAt = now.Add(returnLeast + time.Duration(r.rand.Int64N(int64(maxReturnDelay-returnLeast))))
+		retryAt = now.Add(minReturnSpread + time.Duration(r.rand.Int64N(int64(maxReturnDelay-minReturnSpread))))
 	}
 	return &Refusal{
 		Kind: RefusedNoRoom, RetryAt: retryAt, NotBefore: now.Add(time.Duration(ahead+1) * gap), NoPermit: true, Service: service,
@@ -212,8 +212,8 @@
 	}
 }
 
-// SentBack records that a request without a permit was refused, and when its caller comes back.
-func (r *Router) SentBack(service string, refusal *Refusal) {
+// NoteReturn records that a request without a permit was refused, and when its caller comes back.
+func (r *Router) NoteReturn(service string, refusal *Refusal) {
 	if refusal.NoPermit {
 		w := r.waitersOf(service)
 		w.returnAt = laterTime(w.returnAt, refusal.RetryAt)
@@ -222,12 +222,12 @@
 
 // servedWithPermits reports whether a request would find a target if all limited ones had
 // permits.
-func (r *Router) servedWithPermits(service string, a Ask, now time.Time) bool {
+func (r *Router) servedWithPermits(service string, a PathRequest, now time.Time) bool {
 	s, known := r.services[service]
 	if len(r.limits.byTarget) == 0 || !known || !r.covered(s) {
 		return false
 	}
 	return slices.ContainsFunc(r.members[service], func(t *target) bool {
-		return r.limits.of(t.key).limited(now) && t.begins() && !t.backoff.holds(now) && a.mayBegin(t.ID) && !a.avoids(t.ID)
+		return r.limits.of(t.key).limited(now) && t.begins() && !t.backoff.holds(now) && a.mayStartOn(t.ID) && !a.avoids(t.ID)
 	})
 }
--- a/internal/relay/permits_test.go
+++ b/internal/relay/permits_test.go
@@ -12,7 +12,7 @@
 // limited records in a Router that targets accept so many requests a second.
 func limited(r *relay.Router, perSecond float64, ids ...relay.TargetID) {
 	for _, id := range ids {
-		r.HearLimit(id, relay.LimitAnswer{Limited: true, PerSecond: perSecond, SentAt: start.Add(-time.Millisecond), HeardAt: start})
+		r.ObserveLimit(id, relay.LimitAnswer{Limited: true, PerSecond: perSecond, SentAt: start.Add(-time.Millisecond), ReceivedAt: start})
 	}
 }
 
@@ -22,7 +22,7 @@
 	for _, id := range ids {
 		permits = append(permits, relay.Permits{Target: id.Key(), PerSecond: 4, Count: count})
 	}
-	r.TakeGrant(number, permits, start.Add(relay.PermitLife), start)
+	r.ApplyGrant(number, permits, start.Add(relay.PermitTTL), start)
 }
 
 // A target without a permit counts as full: the other one gets all requests. Each permit is for
@@ -49,7 +49,7 @@
 	require.False(t, r.TakePermit("i-1", start), "another send needs another permit")
 	require.True(t, r.UsePermit("i-1", false, start), "a request that was not sent returns its permit")
 	require.True(t, r.TakePermit("i-1", start))
-	require.False(t, r.UsePermit("i-1", true, start.Add(relay.PermitLife)), "a permit expires")
+	require.False(t, r.UsePermit("i-1", true, start.Add(relay.PermitTTL)), "a permit expires")
 }
 
 // A message that is not a request is sent at once, and takes the next permit.
@@ -57,7 +57,7 @@
 	r, _ := plainRouter("i-1")
 	limited(r, 4, "i-1")
 	r.ChargePermit("i-1", start)
-	asks := r.PermitAsks(start)
+	asks := r.PermitRequests(start)
 	require.Len(t, asks, 1)
 	require.EqualValues(t, 1, asks[0].Unpaid)
 	grantPermits(r, 1, 1, "i-1")
@@ -67,7 +67,7 @@
 
 // A limited engine begins no request without a permit, and stays in use as a later stage.
 func TestLimitedEngineServesAsLaterStage(t *testing.T) {
-	r, route := newRouter(engines(today))
+	r, route := newRouter(engines(presentFleet))
 	path := choose(t, r, ask(route), start)
 	r.Release(path, false)
 	last := path.Stages[len(path.Stages)-1].Target
@@ -76,7 +76,7 @@
 	for range 200 {
 		p := choose(t, r, ask(route), start)
 		require.NotEqual(t, last, p.First().Target)
-		if p.Passes(last) {
+		if p.Includes(last) {
 			passes++
 		}
 		r.Release(p, false)
@@ -128,7 +128,7 @@
 		require.True(t, refusal.NoPermit)
 		require.True(t, refusal.NotRun())
 		require.Equal(t, start.Add(time.Second/8), refusal.NotBefore)
-		r.SentBack(refusal.Service, refusal)
+		r.NoteReturn(refusal.Service, refusal)
 		returns = append(returns, refusal.RetryAt)
 	}
 	for i := 1; i < len(returns); i++ {
@@ -136,19 +136,19 @@
 	}
 	for range 200 {
 		_, refusal := r.Choose(a, start)
-		r.SentBack(refusal.Service, refusal)
+		r.NoteReturn(refusal.Service, refusal)
 		require.LessOrEqual(t, refusal.RetryAt.Sub(start), 10*time.Second+time.Second)
 	}
 }
 
 // Where a permit would not help, since no target holds some layers, no request waits for one.
 func TestNoWaitForUselessPermit(t *testing.T) {
-	r, route := newRouter(engines(today))
+	r, route := newRouter(engines(presentFleet))
 	for _, target := range placedToday() {
 		limited(r, 4, target.ID)
 		if target.Layers.Last == engine().Layers {
 			target.Leaving, target.Call = true, target.Call+1
-			r.TakeTargets([]relay.Target{target})
+			r.UpdateTargets([]relay.Target{target})
 		}
 	}
 	_, refusal := r.Choose(ask(route), start)
@@ -162,7 +162,7 @@
 	const id = relay.TargetID("i-1@5")
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	answer := func(perSecond float64, sent, heard int) relay.LimitAnswer {
-		return relay.LimitAnswer{Limited: perSecond > 0, PerSecond: perSecond, SentAt: at(sent), HeardAt: at(heard)}
+		return relay.LimitAnswer{Limited: perSecond > 0, PerSecond: perSecond, SentAt: at(sent), ReceivedAt: at(heard)}
 	}
 	cases := map[string]struct {
 		answers []relay.LimitAnswer
@@ -184,7 +184,7 @@
 		t.Run(name, func(t *testing.T) {
 			r, _ := plainRouter(id)
 			for _, a := range c.answers {
-				r.HearLimit(id, a)
+				r.ObserveLimit(id, a)
 			}
 			require.Equal(t, c.want, r.Limit(id, at(40)))
 			require.Zero(t, r.Limit("i-1@6", at(40)))
@@ -198,8 +198,8 @@
 	for i := range 5000 {
 		limited(r, 4, relay.NewTargetID("i", uint64(i+1)))
 	}
-	require.Len(t, r.PermitAsks(start), 16)
+	require.Len(t, r.PermitRequests(start), 16)
 	require.LessOrEqual(t, len(r.LimitedTargets(start)), 4096)
-	r.PermitAsks(start.Add(2 * time.Minute))
+	r.PermitRequests(start.Add(2 * time.Minute))
 	require.Empty(t, r.LimitedTargets(start.Add(2*time.Minute)), "limits of unknown targets are removed")
 }
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -67,7 +67,7 @@
 	var empty, holding []unit
 	for _, t := range targets {
 		kind, ok := e.accelerator(t.Accelerator)
-		if !ok || !t.Takes() {
+		if !ok || !t.AcceptsWork() {
 			continue
 		}
 		if t.Layers.First < 0 || t.Layers.Last > e.Layers {
--- a/internal/relay/plan_test.go
+++ b/internal/relay/plan_test.go
@@ -20,7 +20,7 @@
 	return &relay.Engine{
 		Slots: 192, Model: "m", Layers: 80, LayerBytes: 1750e6, TokenBytes: 590000,
 		StepBase: 850 * time.Microsecond, StepPerRequest: 3820, StepPerKilotoken: 5120,
-		ReadPerSecond: 196000, Chunk: 512, Stride: 2, HandOnBytes: 29500, PipeBits: 9e9, Load: 14 * time.Second, LoadsAtOnce: 6, UsualPrompt: 772, UsualAnswer: 172,
+		ReadPerSecond: 196000, Chunk: 512, Stride: 2, ActivationBytes: 29500, PipeBits: 9e9, Load: 14 * time.Second, LoadsAtOnce: 6, UsualPrompt: 772, UsualAnswer: 172,
 		Accelerators: []relay.Accelerator{
 			{Name: "large", Bytes: 72000e6, Pace: 1.4, Read: 1},
 			{Name: "middle", Bytes: 36000e6, Pace: 3.1, Read: 3.2},
@@ -35,7 +35,7 @@
 
 // today is the users' present fleet, and grown the fleet that it becomes.
 var (
-	today = layout{
+	presentFleet = layout{
 		"a": {"middle": 2, "small": 4, "tiny": 7},
 		"b": {"large": 1, "middle": 1, "small": 5, "tiny": 7},
 		"c": {"middle": 1, "small": 8, "tiny": 3},
@@ -98,7 +98,7 @@
 		layout layout
 		least  int
 	}{
-		{"today", today, 3},
+		{"today", presentFleet, 3},
 		{"grown", grown, 5},
 		{"slow engines only", layout{"a": {"small": 20}}, 2},
 		{"barely enough", layout{"a": {"small": 7}}, 1},
@@ -164,7 +164,7 @@
 // The pipes between halls carry about 40 requests a second, so each hall that can hold the
 // model must do so.
 func TestPlanGivesEachHallWholeModel(t *testing.T) {
-	for _, l := range []layout{today, grown} {
+	for _, l := range []layout{presentFleet, grown} {
 		targets := engines(l)
 		held := holding(targets, relay.Plan(engine(), targets))
 		for hall := range l {
@@ -189,7 +189,7 @@
 }
 
 func TestPlanDoesNotMoveServingEngines(t *testing.T) {
-	targets := engines(today)
+	targets := engines(presentFleet)
 	held := holding(targets, relay.Plan(engine(), targets))
 	held = holding(held, relay.Plan(engine(), held))
 	require.Empty(t, relay.Plan(engine(), held))
@@ -215,7 +215,7 @@
 
 // A fast engine that returns empty restores the speed of its hall.
 func TestPlanRestoresSpeedAfterEngineLoss(t *testing.T) {
-	targets := engines(today)
+	targets := engines(presentFleet)
 	held := holding(targets, relay.Plan(engine(), targets))
 	for i, lost := range held {
 		if lost.Accelerator != "large" && lost.Accelerator != "middle" {
@@ -236,9 +236,9 @@
 // On one of the users' days, a release removed engines that were the only holders of their
 // ranges in the hall, and the hall lacked these layers to the end.
 func TestPlanRestoresLostLayers(t *testing.T) {
-	targets := engines(today)
+	targets := engines(presentFleet)
 	held := holding(targets, relay.Plan(engine(), targets))
-	for hall := range today {
+	for hall := range presentFleet {
 		for _, lost := range inHall(held, hall) {
 			left := slices.DeleteFunc(slices.Clone(held), func(x relay.Target) bool { return x.ID == lost.ID })
 			for range 4 {
--- a/internal/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -18,10 +18,10 @@
 	_, route := newRouter(nil)
 	services := []relay.Service{{Name: "s", MaxConns: 1000, Engine: engine()}, {Name: "plain", MaxConns: 20}}
 	r := relay.NewRouter(relay.Settings{Hall: "a", Seed: 1, Started: start, Policy: p, Budget: relay.BudgetTerms{Share: 0.2, Fixed: 200, Window: 10 * time.Second}})
-	r.TakeDocument(&relay.Document{Version: 1, Services: services, Routes: []relay.Route{*route}})
-	r.TakeTargets(targets)
-	r.TakeVMs(10)
-	r.TakeOthers(nil, true)
+	r.SetDocument(&relay.Document{Version: 1, Services: services, Routes: []relay.Route{*route}})
+	r.UpdateTargets(targets)
+	r.SetVMCount(10)
+	r.SetOthersWork(nil, true)
 	return r, route
 }
 
@@ -40,7 +40,7 @@
 }
 
 func placedToday() []relay.Target {
-	return holding(engines(today), relay.Plan(engine(), engines(today)))
+	return holding(engines(presentFleet), relay.Plan(engine(), engines(presentFleet)))
 }
 
 // plain returns targets of a plain service.
@@ -55,12 +55,12 @@
 // afterFailure reports whether a VM chooses a target right after a failure or refusal.
 func afterFailure(p relay.Policy, fail func(*relay.Router, relay.TargetID)) any {
 	r, route := routerWithPolicy(p, plain(2))
-	a := relay.Ask{Route: route, Service: "plain"}
+	a := relay.PathRequest{Route: route, Service: "plain"}
 	fail(r, "p0")
 	used := 0
 	for range 20 {
 		path, _ := r.Choose(a, start)
-		if path.Passes("p0") {
+		if path.Includes("p0") {
 			used++
 		}
 		r.Release(path, false)
@@ -76,31 +76,31 @@
 	relay.Crowding:  func(p relay.Policy) any { return pathsWithPolicy(p, placedToday(), 40) },
 	relay.HerdGuess: func(p relay.Policy) any { return pathsWithPolicy(p, placedToday(), 40) },
 	relay.PartRanges: func(p relay.Policy) any {
-		return pathsWithPolicy(p, placed("large", config.Range{First: 0, Last: 35}, config.Range{First: 30, Last: 60}, config.Range{First: 50, Last: 80}), 1)
+		return pathsWithPolicy(p, enginesHolding("large", config.Range{First: 0, Last: 35}, config.Range{First: 30, Last: 60}, config.Range{First: 50, Last: 80}), 1)
 	},
 	relay.PipeCaution: func(p relay.Policy) any {
 		last := config.Range{First: 60, Last: 80}
-		targets := placed("large", config.Range{First: 0, Last: 40}, config.Range{First: 40, Last: 60}, last)
+		targets := enginesHolding("large", config.Range{First: 0, Last: 40}, config.Range{First: 40, Last: 60}, last)
 		targets[1].Hall = "b"
-		slower := placed("middle", last)[0]
+		slower := enginesHolding("middle", last)[0]
 		slower.Hall = "b"
 		r, route := routerWithPolicy(p, append(targets, slower))
 		a := ask(route)
 		a.Begun = true
 		path, _ := r.Choose(a, start)
-		return path.Passes(slower.ID)
+		return path.Includes(slower.ID)
 	},
 	relay.PauseAdmission: func(p relay.Policy) any {
-		r, route := routerWithPolicy(p.With(relay.HerdGuess, false), placed("large", config.Range{First: 0, Last: 15}, config.Range{First: 15, Last: 30}, config.Range{First: 30, Last: 45}, config.Range{First: 45, Last: 60}, config.Range{First: 60, Last: 80}))
+		r, route := routerWithPolicy(p.With(relay.HerdGuess, false), enginesHolding("large", config.Range{First: 0, Last: 15}, config.Range{First: 15, Last: 30}, config.Range{First: 30, Last: 45}, config.Range{First: 45, Last: 60}, config.Range{First: 60, Last: 80}))
 		route.Pause = 12 * time.Millisecond
 		return slices.Index(paths(r, route, 900), "refused")
 	},
 	relay.StartSampling: func(p relay.Policy) any {
 		r, route := routerWithPolicy(p, nil)
 		fresh := relay.NewRouter(relay.Settings{Hall: "a", Seed: 1, Started: start, Policy: p})
-		fresh.TakeDocument(r.Document())
-		fresh.TakeTargets(placedToday())
-		fresh.TakeVMs(100)
+		fresh.SetDocument(r.Document())
+		fresh.UpdateTargets(placedToday())
+		fresh.SetVMCount(100)
 		return slices.Index(paths(fresh, route, 900), "refused")
 	},
 	relay.UnreadPrompts: func(p relay.Policy) any { return pathsWithPolicy(p, placedToday(), 40) },
@@ -122,17 +122,17 @@
 	relay.RepeatShares: func(p relay.Policy) any {
 		r, _ := routerWithPolicy(p, nil)
 		repeats := 0
-		for r.Repeat("s", false, start.Add(time.Minute)) {
+		for r.TakeRepeat("s", false, start.Add(time.Minute)) {
 			repeats++
 		}
 		return repeats
 	},
 	relay.PooledRepeats: func(p relay.Policy) any {
 		r, _ := routerWithPolicy(p, nil)
-		r.TakeVMs(100)
-		r.TakeUsage(nil, 100, start)
+		r.SetVMCount(100)
+		r.SetFleetUsage(nil, 100, start)
 		granted := 0
-		for r.Repeat("s", true, start) {
+		for r.TakeRepeat("s", true, start) {
 			granted++
 		}
 		return granted
@@ -148,16 +148,16 @@
 		return first.RetryAt.Equal(second.RetryAt)
 	},
 	relay.StageReplacement: func(p relay.Policy) any {
-		r, route := routerWithPolicy(p, twoOfEach())
+		r, route := routerWithPolicy(p, replicatedEngines())
 		path, _ := r.Choose(ask(route), start)
 		_, ok := r.Substitute(path, []relay.TargetID{path.Stages[1].Target}, start)
 		return ok
 	},
 	relay.LeaveMoving: func(p relay.Policy) any {
-		r, route := routerWithPolicy(p, twoOfEach())
+		r, route := routerWithPolicy(p, replicatedEngines())
 		path, _ := r.Choose(ask(route), start)
-		r.TakeMarks(map[relay.TargetKey]relay.Mark{path.Stages[1].Target.Key(): relay.MarkMoving}, true)
-		_, moving := r.MovingOn(path)
+		r.ApplyMarks(map[relay.TargetKey]relay.Mark{path.Stages[1].Target.Key(): relay.MarkMoving}, true)
+		_, moving := r.MovingStage(path)
 		return moving
 	},
 	relay.OverdueRepair: func(p relay.Policy) any {
@@ -166,12 +166,12 @@
 		return known
 	},
 	relay.SlowEngines: func(p relay.Policy) any {
-		r, _ := routerWithPolicy(p, twoOfEach())
-		r.TakePace("a-large-0", 12, start)
+		r, _ := routerWithPolicy(p, replicatedEngines())
+		r.SetPace("a-large-0", 12, start)
 		return len(r.Findings(start).Slow)
 	},
 	relay.RepairMoves: func(p relay.Policy) any {
-		holders := placed("large", config.Range{First: 0, Last: 30}, config.Range{First: 0, Last: 30}, config.Range{First: 55, Last: 80})
+		holders := enginesHolding("large", config.Range{First: 0, Last: 30}, config.Range{First: 0, Last: 30}, config.Range{First: 55, Last: 80})
 		return len(p.Plan(engine(), holders))
 	},
 }
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -59,8 +59,8 @@
 	return t.With(TargetUpdate{}) == o.With(TargetUpdate{})
 }
 
-// Takes reports whether the target accepts new work.
-func (t Target) Takes() bool { return !t.Leaving && !t.Gone }
+// AcceptsWork reports whether the target accepts new work.
+func (t Target) AcceptsWork() bool { return !t.Leaving && !t.Gone }
 
 // merge returns the newer of two messages of the same incarnation. Leaving and Gone stay set once
 // either message sets them.
@@ -79,14 +79,14 @@
 	return newer
 }
 
-// silentLeast is the least silence after which a target counts as lost: a heartbeat may arrive
+// minLossTimeout is the least silence after which a target counts as lost: a heartbeat may arrive
 // seconds late, however short the heartbeat interval.
-const silentLeast = 3 * time.Second
+const minLossTimeout = 3 * time.Second
 
-// SilentAfter returns the silence after which a target with a heartbeat interval counts as lost:
+// LossTimeout returns the silence after which a target with a heartbeat interval counts as lost:
 // two and a half heartbeats, so that one late heartbeat does no harm.
-func SilentAfter(heartbeat time.Duration) time.Duration {
-	return max(2*heartbeat+heartbeat/2, silentLeast)
+func LossTimeout(heartbeat time.Duration) time.Duration {
+	return max(2*heartbeat+heartbeat/2, minLossTimeout)
 }
 
 // Registry holds the targets by incarnation. Use NewRegistry.
@@ -99,8 +99,8 @@
 	change uint64
 	// silence is the time without a report after which a target counts as lost.
 	silence time.Duration
-	// withholds indicates that engines are withheld until they are listed: see shortlist.go.
-	withholds bool
+	// withholdEngines indicates that engines are withheld until they are listed: see shortlist.go.
+	withholdEngines bool
 }
 
 type entry struct {
@@ -110,8 +110,8 @@
 	reportedAt, registered time.Time
 	// changed is the number of the last change of target, and introduced that of the last one
 	// that an update does not cover.
-	changed, introduced uint64
-	// ownChanged is the number of the last change for OwnSince, which includes that the target
+	changed, fullyChanged uint64
+	// ownChanged is the number of the last change for DirectChangedSince, which includes that the target
 	// began to report to this VM.
 	ownChanged uint64
 	// direct indicates that the last report of the target came to this VM.
@@ -130,9 +130,9 @@
 	return &Registry{targets: make(map[TargetID]entry), incarnations: newIncarnations(), silence: silence}
 }
 
-// Hear processes a report that the target itself sent to this VM, and returns whether followers
+// ReceiveReport processes a report that the target itself sent to this VM, and returns whether followers
 // are to be sent it before they ask.
-func (r *Registry) Hear(t Target, now time.Time) bool {
+func (r *Registry) ReceiveReport(t Target, now time.Time) bool {
 	if !t.Gone {
 		return r.take(t, now, true)
 	}
@@ -143,9 +143,9 @@
 	return isNew
 }
 
-// Learn processes a report forwarded by another VM, and returns whether it is new. That of a void
+// ReceiveForwarded processes a report forwarded by another VM, and returns whether it is new. That of a void
 // incarnation is not.
-func (r *Registry) Learn(t Target, now time.Time) bool { return r.take(t, now, false) }
+func (r *Registry) ReceiveForwarded(t Target, now time.Time) bool { return r.take(t, now, false) }
 
 func (r *Registry) take(t Target, now time.Time, direct bool) bool {
 	present, known := r.targets[t.ID]
@@ -158,7 +158,7 @@
 	e.target, e.reportedAt, e.direct = next, now, direct
 	if !known {
 		e.registered = now
-		e.withheld = r.withholds && next.isEngine()
+		e.withheld = r.withholdEngines && next.isEngine()
 	}
 	late := known && t.Call <= present.target.Call
 	if late {
@@ -179,7 +179,7 @@
 	}
 	// Those who asked for all targets while this one was silent were not sent it.
 	if !known || !present.target.sameExceptUpdate(next) || !late && r.isSilent(present, now) {
-		e.introduced = r.change
+		e.fullyChanged = r.change
 	}
 	if at, known := slices.BinarySearch(r.sortedIDs, t.ID); !known {
 		r.sortedIDs = slices.Insert(r.sortedIDs, at, t.ID)
@@ -217,13 +217,13 @@
 	return a != b
 }
 
-// Alive records a heartbeat that the target sent to another VM. Whether a target is silent is
+// ReceiveHeartbeat records a heartbeat that the target sent to another VM. Whether a target is silent is
 // known only where all heartbeats are received.
-func (r *Registry) Alive(id TargetID, call uint64, now time.Time) {
+func (r *Registry) ReceiveHeartbeat(id TargetID, call uint64, now time.Time) {
 	if e, ok := r.targets[id]; ok && call > e.target.Call {
 		if r.isSilent(e, now) {
 			r.change++
-			e.changed, e.introduced = r.change, r.change
+			e.changed, e.fullyChanged = r.change, r.change
 		}
 		before := e.target
 		e.target.Call = call
@@ -246,8 +246,8 @@
 // Len returns the number of targets.
 func (r *Registry) Len() int { return len(r.targets) }
 
-// Drop removes a target.
-func (r *Registry) Drop(id TargetID) {
+// Remove removes a target.
+func (r *Registry) Remove(id TargetID) {
 	if at, known := slices.BinarySearch(r.sortedIDs, id); known {
 		dropped := r.targets[id].target
 		r.sortedIDs = slices.Delete(r.sortedIDs, at, at+1)
@@ -261,27 +261,27 @@
 // Change returns the number of the newest change.
 func (r *Registry) Change() uint64 { return r.change }
 
-// Since returns the targets that changed after a change, sorted by identity.
-func (r *Registry) Since(change uint64) []Target {
+// ChangedSince returns the targets that changed after a change, sorted by identity.
+func (r *Registry) ChangedSince(change uint64) []Target {
 	return r.find(func(e entry) bool { return e.changed > change })
 }
 
-// ListedSince is Since without the engines that are withheld.
-func (r *Registry) ListedSince(change uint64) []Target {
-	return r.find(func(e entry) bool { return e.changed > change && e.listed() })
+// ListedChangedSince is Since without the engines that are withheld.
+func (r *Registry) ListedChangedSince(change uint64) []Target {
+	return r.find(func(e entry) bool { return e.changed > change && e.advertised() })
 }
 
-// OwnSince returns the targets that report to this very VM, or whose draining notice was reported
+// DirectChangedSince returns the targets that report to this very VM, or whose draining notice was reported
 // to it, and that have changed or begun to report to it after a change.
-func (r *Registry) OwnSince(change uint64) []Target {
+func (r *Registry) DirectChangedSince(change uint64) []Target {
 	return r.find(func(e entry) bool { return max(e.changed, e.ownChanged) > change && (e.direct || e.draining) })
 }
 
-// Introduced reports whether an update suffices for a receiver that has all changes up to a
+// UpdateSuffices reports whether an update suffices for a receiver that has all changes up to a
 // change: the rest of the target has not changed since.
-func (r *Registry) Introduced(id TargetID, change uint64) bool {
+func (r *Registry) UpdateSuffices(id TargetID, change uint64) bool {
 	e, ok := r.targets[id]
-	return ok && e.introduced <= change
+	return ok && e.fullyChanged <= change
 }
 
 // find returns the targets that meet a condition, sorted by identity, without void incarnations.
@@ -316,7 +316,7 @@
 }
 
 // All returns every target that is not void, sorted by identity.
-func (r *Registry) All() []Target { return r.Since(0) }
+func (r *Registry) All() []Target { return r.ChangedSince(0) }
 
 // Silent returns the targets that have not signed off and that are void or have not reported for
 // the silence of the registry. Where another target at the same address has reported since, the
@@ -359,8 +359,8 @@
 	return alive && e.registered.After(o.registered) && e.registered.Before(replacedAfter)
 }
 
-// Forget removes the targets that have not reported after a time.
-func (r *Registry) Forget(after time.Time) {
+// Expire removes the targets that have not reported after a time.
+func (r *Registry) Expire(after time.Time) {
 	var removed []Target
 	for id, e := range r.targets {
 		if e.reportedAt.Before(after) {
--- a/internal/relay/registry_test.go
+++ b/internal/relay/registry_test.go
@@ -22,28 +22,28 @@
 	r := relay.NewRegistry(silence)
 	leaving := message("i-1", 5)
 	leaving.Leaving = true
-	require.True(t, r.Hear(leaving, start))
-	require.False(t, r.Hear(message("i-1", 4), start))
-	r.Hear(message("i-1", 9), start)
+	require.True(t, r.ReceiveReport(leaving, start))
+	require.False(t, r.ReceiveReport(message("i-1", 4), start))
+	r.ReceiveReport(message("i-1", 9), start)
 	held, _ := r.Get("i-1")
 	require.True(t, held.Leaving)
-	require.False(t, held.Takes())
+	require.False(t, held.AcceptsWork())
 }
 
 func TestLateMessagesAreIgnored(t *testing.T) {
 	r := relay.NewRegistry(silence)
 	newer := message("i-1", 7)
 	newer.Layers = config.Range{First: 0, Last: 9}
-	r.Hear(newer, start)
-	require.False(t, r.Hear(message("i-1", 3), start.Add(time.Second)))
+	r.ReceiveReport(newer, start)
+	require.False(t, r.ReceiveReport(message("i-1", 3), start.Add(time.Second)))
 	held, _ := r.Get("i-1")
 	require.Equal(t, newer.Layers, held.Layers)
 }
 
 func TestSignOffKeepsEarlierFields(t *testing.T) {
 	r := relay.NewRegistry(silence)
-	r.Hear(message("i-1", 3), start)
-	r.Hear(relay.Target{ID: "i-1", Call: 1 << 62, Leaving: true, Gone: true}, start)
+	r.ReceiveReport(message("i-1", 3), start)
+	r.ReceiveReport(relay.Target{ID: "i-1", Call: 1 << 62, Leaving: true, Gone: true}, start)
 	held, _ := r.Get("i-1")
 	require.True(t, held.Gone)
 	require.Equal(t, "s", held.Service)
@@ -53,8 +53,8 @@
 // same address: 60 requests a second were refused with 421.
 func TestReplacedTargetIsSilent(t *testing.T) {
 	r := relay.NewRegistry(silence)
-	r.Hear(message("old", 30), start)
-	r.Hear(message("new", 1), start.Add(time.Second))
+	r.ReceiveReport(message("old", 30), start)
+	r.ReceiveReport(message("new", 1), start.Add(time.Second))
 	now := start.Add(2 * time.Second)
 	require.Equal(t, []relay.TargetID{"old"}, r.Silent(now, 1500*time.Millisecond))
 	require.Empty(t, r.Silent(start.Add(2*time.Second), silence))
@@ -63,22 +63,22 @@
 // A message that another VM forwards again is no new heartbeat.
 func TestRepeatedMessagesAreNoHeartbeats(t *testing.T) {
 	r := relay.NewRegistry(silence)
-	r.Hear(message("i-1", 3), start)
-	r.Learn(message("i-1", 3), start.Add(5*time.Second))
-	r.Alive("i-1", 3, start.Add(5*time.Second))
+	r.ReceiveReport(message("i-1", 3), start)
+	r.ReceiveForwarded(message("i-1", 3), start.Add(5*time.Second))
+	r.ReceiveHeartbeat("i-1", 3, start.Add(5*time.Second))
 	require.Len(t, r.Silent(start.Add(4*time.Second), 4*time.Second), 1)
-	r.Alive("i-1", 4, start.Add(5*time.Second))
+	r.ReceiveHeartbeat("i-1", 4, start.Add(5*time.Second))
 	require.Empty(t, r.Silent(start.Add(4*time.Second), 4*time.Second))
 }
 
 func TestFollowersReceiveChanges(t *testing.T) {
 	r := relay.NewRegistry(silence)
-	r.Hear(message("i-1", 1), start)
+	r.ReceiveReport(message("i-1", 1), start)
 	first := r.Change()
-	r.Hear(message("i-1", 2), start)
-	require.Empty(t, r.Since(first))
-	r.Hear(message("i-2", 1), start)
-	require.Len(t, r.Since(first), 1)
+	r.ReceiveReport(message("i-1", 2), start)
+	require.Empty(t, r.ChangedSince(first))
+	r.ReceiveReport(message("i-2", 1), start)
+	require.Len(t, r.ChangedSince(first), 1)
 	require.Len(t, r.All(), 2)
 }
 
@@ -87,20 +87,20 @@
 	a, b := relay.NewRegistry(silence), relay.NewRegistry(silence)
 	for i := range 300 {
 		target := message(relay.TargetID(fmt.Sprint("i-", i)), 1)
-		a.Hear(target, start)
+		a.ReceiveReport(target, start)
 		target.Call = 9
-		b.Learn(target, start)
+		b.ReceiveForwarded(target, start)
 	}
-	require.Empty(t, a.Unlike(b.Digest()), "the digest excludes the numbers of messages")
+	require.Empty(t, a.Differing(b.Digest()), "the digest excludes the numbers of messages")
 	changed := message("i-7", 10)
 	changed.Layers = config.Range{First: 3, Last: 9}
-	a.Hear(changed, start)
-	a.Hear(message("i-new", 1), start)
-	unlike := a.Unlike(b.Digest())
+	a.ReceiveReport(changed, start)
+	a.ReceiveReport(message("i-new", 1), start)
+	unlike := a.Differing(b.Digest())
 	require.Less(t, len(unlike), 30)
 	for _, target := range unlike {
-		b.Learn(target, start)
+		b.ReceiveForwarded(target, start)
 	}
-	require.Empty(t, a.Unlike(b.Digest()))
-	require.Len(t, a.Unlike(relay.Digest{1, 2}), 301, "digests of different lengths differ everywhere")
+	require.Empty(t, a.Differing(b.Digest()))
+	require.Len(t, a.Differing(relay.Digest{1, 2}), 301, "digests of different lengths differ everywhere")
 }
--- a/internal/relay/repeat.go
+++ b/internal/relay/repeat.go
@@ -8,9 +8,9 @@
 	Service string
 	// Begun is set if the caller has received a part of the answer.
 	Begun bool
-	// Asked counts the targets that were tried without success, and Sent those of them that
+	// Tried counts the targets that were tried without success, and Sent those of them that
 	// any byte of the request was sent to.
-	Asked, Sent int
+	Tried, Sent int
 	// Ran lists the targets that may have run the request, each once, without those that
 	// were later found to have ended.
 	Ran []TargetID
@@ -46,8 +46,8 @@
 	}[d]
 }
 
-// Passes reports whether the denial is temporary: it ends once other requests repeat less.
-func (d Denial) Passes() bool { return d == DeniedBudget }
+// Temporary reports whether the denial is temporary: it ends once other requests repeat less.
+func (d Denial) Temporary() bool { return d == DeniedBudget }
 
 // CouldRepeat reports whether MayRepeat would allow a repeat, without taking one from the
 // budget.
@@ -72,21 +72,21 @@
 	switch {
 	case len(a.Ran) > 0 && a.Route.Repeat == RepeatNever:
 		return DeniedRunsOnce
-	case a.Asked >= maxAsked && !a.Begun:
+	case a.Tried >= maxAsked && !a.Begun:
 		return DeniedAsked
 	case len(a.Ran) >= most && !a.Begun, most == 1 && a.Sent >= 1:
 		return DeniedRoute
-	case a.Sent > 0 && a.Reached && !r.Repeat(a.Service, a.Begun, now):
+	case a.Sent > 0 && a.Reached && !r.TakeRepeat(a.Service, a.Begun, now):
 		return DeniedBudget
 	}
 	return NotDenied
 }
 
-// OnlyOn returns the targets that a request may still begin on, or nil for any. A request
+// AllowedTargets returns the targets that a request may still begin on, or nil for any. A request
 // may run on as many targets as its route allows; after that, an answer that has begun
 // continues on targets that have run it. Targets that have signed off since do not count. A
 // target that is silent, or that VMs find dead, may still be live.
-func (r *Router) OnlyOn(a Attempts) []TargetID {
+func (r *Router) AllowedTargets(a Attempts) []TargetID {
 	if len(a.Ran) == 0 {
 		return nil
 	}
--- a/internal/relay/repeat_test.go
+++ b/internal/relay/repeat_test.go
@@ -12,14 +12,14 @@
 // When an unreachable engine accepted no connection, callers were refused for lack of a
 // budget of which nothing had been spent.
 func TestUnsentRequestIsNotARepeat(t *testing.T) {
-	r, route := newRouter(engines(today))
-	r.TakeVMs(100000)
-	denial := r.MayRepeat(relay.Attempts{Route: route, Service: "s", Asked: 1, Sent: 1, Reached: true}, start)
+	r, route := newRouter(engines(presentFleet))
+	r.SetVMCount(100000)
+	denial := r.MayRepeat(relay.Attempts{Route: route, Service: "s", Tried: 1, Sent: 1, Reached: true}, start)
 	require.Equal(t, relay.DeniedBudget, denial)
 	require.Equal(t, "the budget of repeats is used up", denial.String())
-	denial = r.MayRepeat(relay.Attempts{Route: route, Service: "s", Asked: 1}, start)
+	denial = r.MayRepeat(relay.Attempts{Route: route, Service: "s", Tried: 1}, start)
 	require.Equal(t, relay.NotDenied, denial)
-	denial = r.MayRepeat(relay.Attempts{Route: route, Service: "s", Asked: 4}, start)
+	denial = r.MayRepeat(relay.Attempts{Route: route, Service: "s", Tried: 4}, start)
 	require.Equal(t, relay.DeniedAsked, denial, "attempts are bounded")
 }
 
@@ -34,19 +34,19 @@
 		attempts relay.Attempts
 		may      bool
 	}{
-		{"one target allowed, not reached", relay.Attempts{Route: &once, Asked: 1}, true},
-		{"one target allowed, refused by it", relay.Attempts{Route: &once, Asked: 1, Sent: 1, Reached: true}, false},
-		{"may run once, refused", relay.Attempts{Route: &never, Asked: 1, Sent: 1, Reached: true}, true},
-		{"may run once, may have run", relay.Attempts{Route: &never, Asked: 1, Sent: 1, Ran: one, Reached: true}, false},
-		{"may run once, may have run, then not reached", relay.Attempts{Route: &never, Asked: 2, Sent: 1, Ran: one}, false},
-		{"resumes, ran once", relay.Attempts{Route: &resume, Asked: 1, Sent: 1, Ran: one, Reached: true}, true},
-		{"resumes, ran twice", relay.Attempts{Route: &resume, Asked: 2, Sent: 2, Ran: twice, Reached: true}, false},
-		{"resumes, many targets tried without success", relay.Attempts{Route: &resume, Asked: 5, Sent: 5, Ran: one, Reached: true}, false},
-		{"begun, many targets tried without success", relay.Attempts{Route: &resume, Asked: 5, Sent: 5, Ran: one, Begun: true, Reached: true}, true},
+		{"one target allowed, not reached", relay.Attempts{Route: &once, Tried: 1}, true},
+		{"one target allowed, refused by it", relay.Attempts{Route: &once, Tried: 1, Sent: 1, Reached: true}, false},
+		{"may run once, refused", relay.Attempts{Route: &never, Tried: 1, Sent: 1, Reached: true}, true},
+		{"may run once, may have run", relay.Attempts{Route: &never, Tried: 1, Sent: 1, Ran: one, Reached: true}, false},
+		{"may run once, may have run, then not reached", relay.Attempts{Route: &never, Tried: 2, Sent: 1, Ran: one}, false},
+		{"resumes, ran once", relay.Attempts{Route: &resume, Tried: 1, Sent: 1, Ran: one, Reached: true}, true},
+		{"resumes, ran twice", relay.Attempts{Route: &resume, Tried: 2, Sent: 2, Ran: twice, Reached: true}, false},
+		{"resumes, many targets tried without success", relay.Attempts{Route: &resume, Tried: 5, Sent: 5, Ran: one, Reached: true}, false},
+		{"begun, many targets tried without success", relay.Attempts{Route: &resume, Tried: 5, Sent: 5, Ran: one, Begun: true, Reached: true}, true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			r, _ := newRouter(engines(today))
+			r, _ := newRouter(engines(presentFleet))
 			test.attempts.Service = "s"
 			denial := r.MayRepeat(test.attempts, start.Add(time.Second))
 			require.Equal(t, test.may, denial == relay.NotDenied, denial)
@@ -58,16 +58,16 @@
 // although its VM had no repeat left: it could not continue elsewhere, and its caller lost
 // it.
 func TestCouldRepeatTakesNothingFromBudget(t *testing.T) {
-	r, route := newRouter(engines(today))
-	sent := relay.Attempts{Route: route, Service: "s", Asked: 1, Sent: 1, Ran: []relay.TargetID{"i-1"}, Reached: true, Begun: true}
+	r, route := newRouter(engines(presentFleet))
+	sent := relay.Attempts{Route: route, Service: "s", Tried: 1, Sent: 1, Ran: []relay.TargetID{"i-1"}, Reached: true, Begun: true}
 	for range 1000 {
 		require.True(t, r.CouldRepeat(sent, start), "the check takes nothing from the budget")
 	}
-	r.TakeVMs(100000)
+	r.SetVMCount(100000)
 	require.False(t, r.CouldRepeat(sent, start))
 	ran := sent
 	ran.Begun = false
-	ran.Asked, ran.Sent, ran.Ran = 2, 2, []relay.TargetID{"i-1", "i-2"}
+	ran.Tried, ran.Sent, ran.Ran = 2, 2, []relay.TargetID{"i-1", "i-2"}
 	require.Equal(t, relay.DeniedRoute, r.MayRepeat(ran, start), "its route allows two targets")
 	require.False(t, r.CouldRepeat(ran, start))
 }
@@ -77,14 +77,14 @@
 // begun and broke off were then cut for lack of budget.
 func TestBudgetReservesRepeatsForBegunStreams(t *testing.T) {
 	r, _ := newRouter(nil)
-	r.TakeVMs(10)
-	r.TakeUsage(map[string]relay.Usage{"s": {Requests: 1000, Repeats: 340}}, 10, start)
+	r.SetVMCount(10)
+	r.SetFleetUsage(map[string]relay.Usage{"s": {Requests: 1000, Repeats: 340}}, 10, start)
 	granted := 0
-	for r.Repeat("s", false, start) {
+	for r.TakeRepeat("s", false, start) {
 		granted++
 	}
 	require.Zero(t, granted, "340 of 400 are used, and the caller of a request that has not begun can retry")
-	for r.Repeat("s", true, start) {
+	for r.TakeRepeat("s", true, start) {
 		granted++
 	}
 	require.Equal(t, 4, granted, "a tenth of the rest")
@@ -94,20 +94,20 @@
 // one of those: 5 of 26 answers that were cut had no other target.
 func TestOnlyOnReturnsTargetsThatRanBegunAnswer(t *testing.T) {
 	r, route := newRouter(nil)
-	r.TakeTargets(twoOfEach())
+	r.UpdateTargets(replicatedEngines())
 	ran := relay.Attempts{Route: route, Service: "s", Ran: []relay.TargetID{"a-large-0"}, Begun: true}
-	require.Empty(t, r.OnlyOn(ran), "one more target is allowed")
+	require.Empty(t, r.AllowedTargets(ran), "one more target is allowed")
 	ran.Ran = []relay.TargetID{"a-large-0", "a-large-3"}
-	only := r.OnlyOn(ran)
+	only := r.AllowedTargets(ran)
 	require.Equal(t, ran.Ran, only)
 	a := ask(route)
 	a.Avoid = []relay.TargetID{"a-large-0"}
 	a.Only = []relay.TargetID{"a-large-0"}
 	require.Equal(t, relay.TargetID("a-large-0"), choose(t, r, a, start).First().Target, "even if the answer broke off there")
 
-	r.TakeMarks(map[relay.TargetKey]relay.Mark{relay.TargetID("a-large-0").Key(): relay.MarkSilent}, true)
-	require.Equal(t, ran.Ran, r.OnlyOn(ran), "a target that VMs find dead may be live")
+	r.ApplyMarks(map[relay.TargetKey]relay.Mark{relay.TargetID("a-large-0").Key(): relay.MarkSilent}, true)
+	require.Equal(t, ran.Ran, r.AllowedTargets(ran), "a target that VMs find dead may be live")
 	require.Equal(t, relay.TargetID("a-large-0"), choose(t, r, a, start).First().Target, "and is tried")
-	r.TakeTargets([]relay.Target{{ID: "a-large-3", Call: 9, Leaving: true, Gone: true}})
-	require.Empty(t, r.OnlyOn(ran), "a target that has signed off does not count")
+	r.UpdateTargets([]relay.Target{{ID: "a-large-3", Call: 9, Leaving: true, Gone: true}})
+	require.Empty(t, r.AllowedTargets(ran), "a target that has signed off does not count")
 }
--- a/internal/relay/route_path.go
+++ b/internal/relay/route_path.go
@@ -28,9 +28,9 @@
 	tokens int
 	// prompt is the number of tokens to be read before the answer begins.
 	prompt int
-	// changes is the number of changes of halls.
-	changes int
-	pass    passTimes
+	// crossings is the number of changes of halls.
+	crossings int
+	pass      passTimes
 	// permit is set if a permit of the first target is reserved for the request.
 	permit bool
 }
@@ -46,13 +46,13 @@
 // services.
 func (p Path) Forecast() time.Duration { return p.pass.loaded }
 
-// Passes reports whether the path includes a target.
-func (p Path) Passes(id TargetID) bool {
+// Includes reports whether the path includes a target.
+func (p Path) Includes(id TargetID) bool {
 	return slices.ContainsFunc(p.Stages, func(s Stage) bool { return s.Target == id })
 }
 
-// At returns the stage with an address.
-func (p Path) At(address string) (Stage, bool) {
+// StageAt returns the stage with an address.
+func (p Path) StageAt(address string) (Stage, bool) {
 	i := slices.IndexFunc(p.Stages, func(s Stage) bool { return s.Address == address })
 	if i < 0 {
 		return Stage{}, false
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -29,22 +29,22 @@
 	members  map[string][]*target
 	// marks holds the marks of all targets, including targets not known to this VM yet.
 	marks map[TargetKey]Mark
-	said
-	budgets map[string]*budget
-	sums    sums
-	vms     int
-	// othersKnown is set once this VM has received a report of the work of the others.
-	othersKnown bool
-	// changing counts the changes of halls on the paths in flight.
-	changing int
+	notices
+	budgets    map[string]*budget
+	fleetUsage fleetUsage
+	vms        int
+	// othersReported is set once this VM has received a report of the work of the others.
+	othersReported bool
+	// crossingsInFlight counts the changes of halls on the paths in flight.
+	crossingsInFlight int
 	// waiters holds the requests that wait for permits, by service.
 	waiters map[string]*waiters
-	// waits holds, by hall, the time of a pass with the waits before it as a multiple of
+	// waitFactors holds, by hall, the time of a pass with the waits before it as a multiple of
 	// the pass alone.
-	waits   map[string]average
-	overdue overdueTimes
-	// firstMean is the mean time from sending a request to its first event, in nanoseconds.
-	firstMean average
+	waitFactors map[string]average
+	overdue     overdueMultiple
+	// meanFirstEvent is the mean time from sending a request to its first event, in nanoseconds.
+	meanFirstEvent average
 	// meanPause is a moving mean of the pauses between events of recent answers, in
 	// nanoseconds.
 	meanPause average
@@ -53,22 +53,22 @@
 // NewRouter returns a Router without a document.
 func NewRouter(s Settings) *Router {
 	return &Router{
-		settings: s,
-		rand:     rand.New(rand.NewPCG(s.Seed, 1)),
-		targets:  make(map[TargetID]*target),
-		members:  make(map[string][]*target),
-		marks:    make(map[TargetKey]Mark),
-		said:     newSaid(s.Seed),
-		waiters:  make(map[string]*waiters),
-		budgets:  make(map[string]*budget),
-		waits:    make(map[string]average),
-		vms:      1,
+		settings:    s,
+		rand:        rand.New(rand.NewPCG(s.Seed, 1)),
+		targets:     make(map[TargetID]*target),
+		members:     make(map[string][]*target),
+		marks:       make(map[TargetKey]Mark),
+		notices:     newNotices(s.Seed),
+		waiters:     make(map[string]*waiters),
+		budgets:     make(map[string]*budget),
+		waitFactors: make(map[string]average),
+		vms:         1,
 	}
 }
 
-// TakeDocument puts a document in force. A document that is not newer than the present one
+// SetDocument puts a document in force. A document that is not newer than the present one
 // is ignored.
-func (r *Router) TakeDocument(d *Document) {
+func (r *Router) SetDocument(d *Document) {
 	if r.document != nil && d.Version <= r.document.Version {
 		return
 	}
@@ -89,12 +89,12 @@
 // Document returns the document in force, or nil.
 func (r *Router) Document() *Document { return r.document }
 
-// TakeVMs sets the number of entry VMs. It never decreases: see budget.go.
-func (r *Router) TakeVMs(n int) { r.vms = max(r.vms, n) }
+// SetVMCount sets the number of entry VMs. It never decreases: see budget.go.
+func (r *Router) SetVMCount(n int) { r.vms = max(r.vms, n) }
 
-// Informed reports whether the Router has a document and, for each of its services, targets
+// Ready reports whether the Router has a document and, for each of its services, targets
 // that can serve it.
-func (r *Router) Informed() bool {
+func (r *Router) Ready() bool {
 	if r.document == nil {
 		return false
 	}
@@ -107,7 +107,7 @@
 }
 
 // covered reports whether a service has a target, or engines for every layer.
-func (r *Router) covered(s *Service) bool { return r.coveredBy(s, (*target).takes) }
+func (r *Router) covered(s *Service) bool { return r.coveredBy(s, (*target).acceptsWork) }
 
 // coveredBy reports whether the targets of a service that meet a condition can serve it.
 func (r *Router) coveredBy(s *Service, condition func(*target) bool) bool {
@@ -142,17 +142,17 @@
 	return route, org, nil
 }
 
-// Count records a new request of a service. The repeat budget is a share of these.
-func (r *Router) Count(service string, now time.Time) {
+// CountRequest records a new request of a service. The repeat budget is a share of these.
+func (r *Router) CountRequest(service string, now time.Time) {
 	r.budget(service).requests.add(now, r.settings.Budget.Window)
 }
 
-// Repeat takes a repeat from the budget of a service and reports whether there was one.
+// TakeRepeat takes a repeat from the budget of a service and reports whether there was one.
 // begun is set if the caller has received a part of its answer.
-func (r *Router) Repeat(service string, begun bool, now time.Time) bool {
+func (r *Router) TakeRepeat(service string, begun bool, now time.Time) bool {
 	whole := begun || !r.settings.Policy.Has(RepeatShares)
-	if now.Before(r.sums.until) && r.settings.Policy.Has(PooledRepeats) {
-		return r.budget(service).takeOfSums(now, r.settings.Budget, r.sums.usage[service], r.sums.vms, r.vms, whole)
+	if now.Before(r.fleetUsage.until) && r.settings.Policy.Has(PooledRepeats) {
+		return r.budget(service).takePooled(now, r.settings.Budget, r.fleetUsage.usage[service], r.fleetUsage.vms, r.vms, whole)
 	}
 	return r.budget(service).take(now, r.settings.Budget, r.vms, now.Sub(r.settings.Started), whole)
 }
@@ -160,7 +160,7 @@
 func (r *Router) budget(service string) *budget {
 	b, ok := r.budgets[service]
 	if !ok {
-		b = &budget{drawn: r.drawn(service)}
+		b = &budget{roundUp: r.drawRoundUp(service)}
 		r.budgets[service] = b
 	}
 	return b
@@ -168,7 +168,7 @@
 
 // Choose picks a path and counts the request as in flight on it. The caller must return
 // each path with Release.
-func (r *Router) Choose(a Ask, now time.Time) (Path, *Refusal) {
+func (r *Router) Choose(a PathRequest, now time.Time) (Path, *Refusal) {
 	name := a.Service
 	if name == "" {
 		name = r.pickService(a.Route)
@@ -184,14 +184,14 @@
 	} else {
 		path, ok = r.chooseTarget(service, a, now)
 	}
-	r.wantPermits(name, a, path, now)
+	r.notePermitDemand(name, a, path, now)
 	if !ok {
-		return Path{}, r.noRoom(name, a, now)
+		return Path{}, r.noRoomRefusal(name, a, now)
 	}
 	path.permit = r.reservePermit(path.First().Target, now)
 	r.count(path, 1)
 	for _, s := range path.Stages {
-		r.targets[s.Target].own.Unread += path.prompt
+		r.targets[s.Target].ownWork.Unread += path.prompt
 	}
 	return path, nil
 }
@@ -229,18 +229,18 @@
 	return now.Add(retryDelayMin + time.Duration(r.rand.Int64N(int64(retryDelaySpread))))
 }
 
-// noRoom returns the refusal of a request that finds no target. If VMs back off from
+// noRoomRefusal returns the refusal of a request that finds no target. If VMs back off from
 // targets, there is no room before a backoff ends: the caller is told to retry after that,
 // at a random time within another length of the backoff, so that no more callers return at
 // once than were refused.
-func (r *Router) noRoom(service string, a Ask, now time.Time) *Refusal {
+func (r *Router) noRoomRefusal(service string, a PathRequest, now time.Time) *Refusal {
 	if refusal := r.noPermit(service, a, now); refusal != nil {
 		return refusal
 	}
-	until, length := r.backoffsUntil(service, a, now)
+	until, length := r.backoffEnd(service, a, now)
 	if until.IsZero() {
 		return &Refusal{Kind: RefusedNoRoom, RetryAt: r.retryTime(now), Reason: "no target of " + service + " has room"}
 	}
-	spread := time.Duration(r.rand.Int64N(int64(max(length, returnLeast))))
+	spread := time.Duration(r.rand.Int64N(int64(max(length, minReturnSpread))))
 	return &Refusal{Kind: RefusedNoRoom, RetryAt: until.Add(spread), NotBefore: until, Reason: "targets of " + service + " have asked to back off"}
 }
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -27,16 +27,16 @@
 		}},
 	}
 	r := relay.NewRouter(relay.Settings{Hall: "a", Seed: seed, Started: start, Budget: relay.BudgetTerms{Share: 0.2, Fixed: 200, Window: 10 * time.Second}})
-	r.TakeDocument(document)
-	r.TakeTargets(holding(targets, relay.Plan(engine(), targets)))
+	r.SetDocument(document)
+	r.UpdateTargets(holding(targets, relay.Plan(engine(), targets)))
 	return r, &document.Routes[0]
 }
 
-func ask(route *relay.Route) relay.Ask {
-	return relay.Ask{Route: route, Prompt: 772, Most: 430, Hint: 172}
+func ask(route *relay.Route) relay.PathRequest {
+	return relay.PathRequest{Route: route, Prompt: 772, MaxTokens: 430, LengthHint: 172}
 }
 
-func choose(t *testing.T, r *relay.Router, a relay.Ask, now time.Time) relay.Path {
+func choose(t *testing.T, r *relay.Router, a relay.PathRequest, now time.Time) relay.Path {
 	t.Helper()
 	path, refusal := r.Choose(a, now)
 	require.Nil(t, refusal)
@@ -63,7 +63,7 @@
 }
 
 func TestPathsRunEachLayerOnceWithinOneHall(t *testing.T) {
-	r, route := newRouter(engines(today))
+	r, route := newRouter(engines(presentFleet))
 	for range 150 {
 		path := choose(t, r, ask(route), start)
 		r.Begun(path)
@@ -73,7 +73,7 @@
 }
 
 func TestChooseRefusesWhenMemoryIsFull(t *testing.T) {
-	r, route := newRouter(engines(today))
+	r, route := newRouter(engines(presentFleet))
 	var refusal *relay.Refusal
 	taken := 0
 	for refusal == nil {
@@ -87,39 +87,39 @@
 }
 
 func TestReleaseFreesMemory(t *testing.T) {
-	r, route := newRouter(engines(today))
+	r, route := newRouter(engines(presentFleet))
 	for range 2000 {
 		r.Release(choose(t, r, ask(route), start), false)
 	}
-	require.Empty(t, r.Own())
+	require.Empty(t, r.OwnWork())
 }
 
 // A refused request made its engine count as dead, and the requests running there were cut.
 func TestRefusalDoesNotMakeTargetSuspect(t *testing.T) {
-	r, route := newRouter(engines(today))
+	r, route := newRouter(engines(presentFleet))
 	full := choose(t, r, ask(route), start).First().Target
 	r.Refused(full, start)
 	require.False(t, r.Suspect(full, start))
-	require.False(t, choose(t, r, ask(route), start).Passes(full))
+	require.False(t, choose(t, r, ask(route), start).Includes(full))
 	later := start.Add(time.Second)
 	seen := false
 	for range 200 {
 		path := choose(t, r, ask(route), later)
 		r.Release(path, false)
-		seen = seen || path.Passes(full)
+		seen = seen || path.Includes(full)
 	}
 	require.True(t, seen)
 }
 
 func TestPathsAvoidDeadEngines(t *testing.T) {
-	r, route := newRouter(engines(today))
+	r, route := newRouter(engines(presentFleet))
 	dead := choose(t, r, ask(route), start).First().Target
 	r.Failed(dead, true, start)
 	require.True(t, r.Suspect(dead, start))
 	for range 50 {
 		path := choose(t, r, ask(route), start)
 		requireWhole(t, path)
-		require.False(t, path.Passes(dead))
+		require.False(t, path.Includes(dead))
 	}
 	r.Succeeded(dead, start)
 	require.False(t, r.Suspect(dead, start))
@@ -128,9 +128,9 @@
 // All VMs switched to one hall at once on load reports that were half a second old. A VM
 // assumes that since the last report, the others have done as it did.
 func TestLoadExtrapolatesOwnWorkToOtherVMs(t *testing.T) {
-	r, route := newRouter(engines(today))
-	r.TakeVMs(11)
-	r.TakeOthers(nil, true)
+	r, route := newRouter(engines(presentFleet))
+	r.SetVMCount(11)
+	r.SetOthersWork(nil, true)
 	used := make(map[byte]int)
 	for range 18 {
 		used[choose(t, r, ask(route), start).Stages[0].Target[0]]++
@@ -139,28 +139,28 @@
 }
 
 func TestLeavingTargetsGetNoRequests(t *testing.T) {
-	r, route := newRouter(engines(today))
+	r, route := newRouter(engines(presentFleet))
 	leaving := choose(t, r, ask(route), start).First().Target
-	r.TakeTargets([]relay.Target{{ID: leaving, Call: 9, Leaving: true}})
+	r.UpdateTargets([]relay.Target{{ID: leaving, Call: 9, Leaving: true}})
 	for range 50 {
-		require.False(t, choose(t, r, ask(route), start).Passes(leaving))
+		require.False(t, choose(t, r, ask(route), start).Includes(leaving))
 	}
 }
 
 func TestRepeatsStayWithinBudget(t *testing.T) {
-	r, _ := newRouter(engines(today))
-	r.TakeVMs(10)
+	r, _ := newRouter(engines(presentFleet))
+	r.SetVMCount(10)
 	for range 100 {
-		r.Count("s", start)
+		r.CountRequest("s", start)
 	}
 	later := start.Add(9 * time.Second)
 	for range 100 {
-		r.Count("s", later)
+		r.CountRequest("s", later)
 	}
 	spend := func(begun bool) int {
 		granted := 0
 		for range 1000 {
-			if r.Repeat("s", begun, later) {
+			if r.TakeRepeat("s", begun, later) {
 				granted++
 			}
 		}
@@ -171,7 +171,7 @@
 	rest := spend(true)
 	require.Greater(t, rest, 5)
 	require.LessOrEqual(t, unbegun+rest, 40+200/10)
-	require.True(t, r.Repeat("s", true, later.Add(11*time.Second)))
+	require.True(t, r.TakeRepeat("s", true, later.Add(11*time.Second)))
 }
 
 // At 300 VMs, each had 2.6 repeats of its own in ten seconds and refused callers after a
@@ -182,11 +182,11 @@
 	routers := make([]*relay.Router, vms)
 	for i := range routers {
 		routers[i], _ = newRouterWithSeed(nil, uint64(i))
-		routers[i].TakeVMs(vms)
+		routers[i].SetVMCount(vms)
 	}
 	total := 0
 	repeats := func(r *relay.Router, now time.Time) {
-		for r.Repeat("s", true, now) {
+		for r.TakeRepeat("s", true, now) {
 			total++
 		}
 	}
@@ -198,7 +198,7 @@
 			told["s"] = told["s"].Plus(relay.Usage{Repeats: r.Usage(now)["s"].Repeats})
 		}
 		for _, r := range routers {
-			r.TakeUsage(told, vms, now)
+			r.SetFleetUsage(told, vms, now)
 		}
 		if step == 1 {
 			require.GreaterOrEqual(t, total, 2*40, "40 VMs that meet a lost target have at least 2 repeats each")
@@ -231,15 +231,15 @@
 			routers := make([]*relay.Router, vms)
 			for i := range routers {
 				routers[i], _ = newRouterWithSeed(nil, uint64(i))
-				routers[i].TakeVMs(vms)
+				routers[i].SetVMCount(vms)
 			}
 			for range 20 {
 				now = now.Add(100 * time.Millisecond)
 				for _, r := range routers {
 					if test.usage != nil {
-						r.TakeUsage(test.usage, vms, now)
+						r.SetFleetUsage(test.usage, vms, now)
 					}
-					if r.Repeat("s", true, now) {
+					if r.TakeRepeat("s", true, now) {
 						total++
 					}
 				}
@@ -256,21 +256,21 @@
 // The shares of VMs that are not in the sums are reserved for them.
 func TestBudgetReservesSharesOfUnreportedVMs(t *testing.T) {
 	r, _ := newRouter(nil)
-	r.TakeVMs(10)
-	r.TakeUsage(map[string]relay.Usage{"s": {Repeats: 95}}, 5, start)
-	require.False(t, r.Repeat("s", true, start), "five of ten VMs have 100 of 200")
-	r.TakeUsage(map[string]relay.Usage{"s": {Repeats: 95}}, 10, start)
-	require.True(t, r.Repeat("s", true, start))
+	r.SetVMCount(10)
+	r.SetFleetUsage(map[string]relay.Usage{"s": {Repeats: 95}}, 5, start)
+	require.False(t, r.TakeRepeat("s", true, start), "five of ten VMs have 100 of 200")
+	r.SetFleetUsage(map[string]relay.Usage{"s": {Repeats: 95}}, 10, start)
+	require.True(t, r.TakeRepeat("s", true, start))
 }
 
 // Old sums are ignored.
 func TestBudgetWithoutFreshSumsIsOwnShare(t *testing.T) {
 	r, _ := newRouter(nil)
-	r.TakeVMs(100)
-	r.TakeUsage(nil, 100, start)
+	r.SetVMCount(100)
+	r.SetFleetUsage(nil, 100, start)
 	later := start.Add(2 * time.Second)
 	granted := 0
-	for r.Repeat("s", true, later) {
+	for r.TakeRepeat("s", true, later) {
 		granted++
 	}
 	require.LessOrEqual(t, granted, 2)
@@ -278,10 +278,10 @@
 
 // A process does not know how much budget its predecessor on the VM has used.
 func TestNewProcessHasReducedBudget(t *testing.T) {
-	r, _ := newRouter(engines(today))
-	r.TakeVMs(10)
+	r, _ := newRouter(engines(presentFleet))
+	r.SetVMCount(10)
 	granted := 0
-	for r.Repeat("s", true, start) {
+	for r.TakeRepeat("s", true, start) {
 		granted++
 	}
 	require.Positive(t, granted)
@@ -293,7 +293,7 @@
 func TestVMsWithSameViewSpreadOverHalls(t *testing.T) {
 	used := make(map[byte]int)
 	for vm := range 60 {
-		r, route := newRouterWithSeed(engines(today), uint64(vm))
+		r, route := newRouterWithSeed(engines(presentFleet), uint64(vm))
 		used[choose(t, r, ask(route), start).Stages[0].Target[0]]++
 	}
 	require.Len(t, used, 3)
@@ -304,63 +304,63 @@
 
 // A waiting prompt delays the next first event long before memory is full.
 func TestUnreadPromptsCountUntilAnswerBegins(t *testing.T) {
-	r, route := newRouter(engines(today))
+	r, route := newRouter(engines(presentFleet))
 	paths := make([]relay.Path, 0, 40)
 	for range 40 {
 		paths = append(paths, choose(t, r, ask(route), start))
 	}
 	unread := 0
-	for _, w := range r.Own() {
+	for _, w := range r.OwnWork() {
 		unread += w.Unread
 	}
 	require.Positive(t, unread)
 	for _, p := range paths {
 		r.Begun(p)
 	}
-	for id, w := range r.Own() {
+	for id, w := range r.OwnWork() {
 		require.Zero(t, w.Unread, id)
 	}
 	for _, p := range paths {
 		r.Release(p, true)
 	}
-	require.Empty(t, r.Own())
+	require.Empty(t, r.OwnWork())
 }
 
 // After a power loss, a VM had its lease before it had received any target, and refused all
 // callers for lack of room.
 func TestInformedRequiresTargetsForEachService(t *testing.T) {
-	targets := engines(today)
+	targets := engines(presentFleet)
 	held := holding(targets, relay.Plan(engine(), targets))
 	r := relay.NewRouter(relay.Settings{Hall: "a", Budget: relay.BudgetTerms{Window: time.Second}})
-	require.False(t, r.Informed())
-	r.TakeDocument(&relay.Document{Version: 1, Services: []relay.Service{{Name: "s", Engine: engine()}, {Name: "plain"}}})
-	require.False(t, r.Informed())
-	r.TakeTargets(held)
-	require.False(t, r.Informed())
-	r.TakeTargets([]relay.Target{{ID: "p", Service: "plain", Address: "x"}})
-	require.True(t, r.Informed())
+	require.False(t, r.Ready())
+	r.SetDocument(&relay.Document{Version: 1, Services: []relay.Service{{Name: "s", Engine: engine()}, {Name: "plain"}}})
+	require.False(t, r.Ready())
+	r.UpdateTargets(held)
+	require.False(t, r.Ready())
+	r.UpdateTargets([]relay.Target{{ID: "p", Service: "plain", Address: "x"}})
+	require.True(t, r.Ready())
 }
 
 // An engine that gives up its layers reports them for many seconds more and refuses
 // requests for them: on a day of the grown fleet, 150 requests a second reached two such
 // engines.
 func TestMovingAndSilentEnginesGetNoRequests(t *testing.T) {
-	r, route := newRouter(engines(today))
+	r, route := newRouter(engines(presentFleet))
 	moving := choose(t, r, ask(route), start).First().Target
-	r.TakeMarks(map[relay.TargetKey]relay.Mark{moving.Key(): relay.MarkMoving}, true)
+	r.ApplyMarks(map[relay.TargetKey]relay.Mark{moving.Key(): relay.MarkMoving}, true)
 	silent := choose(t, r, ask(route), start).First().Target
-	r.TakeMarks(map[relay.TargetKey]relay.Mark{silent.Key(): relay.MarkSilent}, false)
+	r.ApplyMarks(map[relay.TargetKey]relay.Mark{silent.Key(): relay.MarkSilent}, false)
 	for range 50 {
 		path := choose(t, r, ask(route), start)
-		require.False(t, path.Passes(moving))
-		require.False(t, path.Passes(silent))
+		require.False(t, path.Includes(moving))
+		require.False(t, path.Includes(silent))
 	}
 	require.False(t, r.Suspect(moving, start))
 	require.True(t, r.Suspect(silent, start))
 }
 
 func TestFindingsSeparateDeadFromSound(t *testing.T) {
-	r, route := newRouter(engines(today))
+	r, route := newRouter(engines(presentFleet))
 	path := choose(t, r, ask(route), start)
 	bad, good := path.Stages[0].Target, path.Stages[1].Target
 	r.Failed(bad, true, start)
@@ -389,15 +389,15 @@
 	served := 0
 	for vm := range vms {
 		r, route := newRouterWithSeed(nil, uint64(vm+1))
-		r.TakeDocument(&relay.Document{Version: 2, Services: []relay.Service{{Name: "s", MaxConns: 1000, Engine: e}}})
-		r.TakeTargets(targets)
-		r.TakeVMs(vms)
+		r.SetDocument(&relay.Document{Version: 2, Services: []relay.Service{{Name: "s", MaxConns: 1000, Engine: e}}})
+		r.UpdateTargets(targets)
+		r.SetVMCount(vms)
 		for range calls {
 			if _, refusal := r.Choose(ask(route), start); refusal == nil {
 				served++
 			}
 		}
-		for id, w := range r.Own() {
+		for id, w := range r.OwnWork() {
 			tokens[id] += w.Tokens
 		}
 	}
@@ -419,7 +419,7 @@
 	e := engine()
 	targets := engines(layout{"a": {"large": 1, "middle": 4}})
 	r, route := newRouterWithSeed(targets, 1)
-	r.TakeOthers(nil, true)
+	r.SetOthersWork(nil, true)
 	room := math.Inf(1)
 	for _, target := range holding(targets, relay.Plan(e, targets)) {
 		for _, a := range e.Accelerators {
--- a/internal/relay/shortlist.go
+++ b/internal/relay/shortlist.go
@@ -15,12 +15,12 @@
 //
 // Algorithm: a control VM withholds engines until they are on the shortlist of their hall:
 // the fastest engines that hold memory at each layer for shortlistRoom times the answers in
-// progress, and at least ShortlistLeast engines. All control VMs compute the same list from
+// progress, and at least MinShortlist engines. All control VMs compute the same list from
 // state that they share. The list is recomputed as load and engines change, and an engine
 // that was listed stays listed: a VM that has received an engine keeps receiving its
 // updates.
 //
-// Invariants: in a hall with no more than ShortlistLeast engines that hold layers, all of
+// Invariants: in a hall with no more than MinShortlist engines that hold layers, all of
 // them are listed. An engine that leaves is advertised, listed or not. A VM that has
 // received an incarnation also receives the one that replaces it.
 //
@@ -33,20 +33,20 @@
 	// answers in progress: the load may double and a third of the engines be lost before
 	// more are listed.
 	shortlistRoom = 3
-	// ShortlistLeast is the number of engines of a hall that are listed at any load, which
+	// MinShortlist is the number of engines of a hall that are listed at any load, which
 	// an entry VM can always afford to know.
-	ShortlistLeast = 64
+	MinShortlist = 64
 )
 
 // isEngine reports whether a target runs a part of a model.
 func (t Target) isEngine() bool { return t.Accelerator != "" }
 
-// listed reports whether entry VMs that follow the registry receive a target.
-func (e entry) listed() bool { return !e.withheld || !e.target.Takes() }
+// advertised reports whether entry VMs that follow the registry receive a target.
+func (e entry) advertised() bool { return !e.withheld || !e.target.AcceptsWork() }
 
 // WithholdEngines makes the registry withhold engines that it does not know yet until they
 // are listed.
-func (r *Registry) WithholdEngines() { r.withholds = true }
+func (r *Registry) WithholdEngines() { r.withholdEngines = true }
 
 // Withheld reports whether any engine is withheld.
 func (r *Registry) Withheld() bool {
@@ -58,15 +58,15 @@
 	return false
 }
 
-// List advertises an engine to followers and reports whether it was withheld.
-func (r *Registry) List(id TargetID) bool {
+// AddToShortlist advertises an engine to followers and reports whether it was withheld.
+func (r *Registry) AddToShortlist(id TargetID) bool {
 	e, known := r.targets[id]
 	if !known || !e.withheld {
 		return false
 	}
 	r.change++
 	e.withheld = false
-	e.changed, e.introduced = r.change, r.change
+	e.changed, e.fullyChanged = r.change, r.change
 	r.targets[id] = e
 	return true
 }
@@ -99,7 +99,7 @@
 	var listed []TargetID
 	for _, u := range units {
 		layers := u.target.Layers
-		if len(listed) >= ShortlistLeast && slices.Min(level[layers.First:layers.Last]) >= need {
+		if len(listed) >= MinShortlist && slices.Min(level[layers.First:layers.Last]) >= need {
 			continue
 		}
 		addLevel(level, layers, e.answersAt(u.kind, layers.Len()))
@@ -108,9 +108,9 @@
 	return listed
 }
 
-// InProgress returns the number of answers that engines have in progress, by the work at
+// AnswersInProgress returns the number of answers that engines have in progress, by the work at
 // them.
-func (e *Engine) InProgress(engines []Target, work map[TargetKey]Work) float64 {
+func (e *Engine) AnswersInProgress(engines []Target, work map[TargetKey]Work) float64 {
 	passes := 0.0
 	for i := range engines {
 		passes += float64(work[engines[i].ID.Key()].Requests * engines[i].Layers.Len())
--- a/internal/relay/shortlist_test.go
+++ b/internal/relay/shortlist_test.go
@@ -43,7 +43,7 @@
 		return counts
 	}
 	idle := kinds(engine().Shortlist(append(targets, few...), 0))
-	require.Equal(t, relay.ShortlistLeast, idle["a middle"], "the fastest engines first")
+	require.Equal(t, relay.MinShortlist, idle["a middle"], "the fastest engines first")
 	require.Zero(t, idle["a small"])
 	require.Len(t, few, idle["b small"], "a hall with few engines lists all of them")
 
@@ -69,24 +69,24 @@
 	r.WithholdEngines()
 	targets := replicas("a", "small", 1)
 	for _, target := range targets {
-		r.Hear(target, start)
+		r.ReceiveReport(target, start)
 	}
 	plain := relay.Target{ID: "plain", Service: "w", Address: "w:80", Call: 1}
-	r.Hear(plain, start)
-	require.Equal(t, []relay.Target{plain}, r.ListedSince(0))
+	r.ReceiveReport(plain, start)
+	require.Equal(t, []relay.Target{plain}, r.ListedChangedSince(0))
 	require.Len(t, r.All(), len(targets)+1)
 
 	change := r.Change()
-	require.True(t, r.List(targets[2].ID))
-	require.False(t, r.List(targets[2].ID), "already listed")
-	require.Equal(t, []relay.Target{targets[2]}, r.ListedSince(change))
-	require.False(t, r.Introduced(targets[2].ID, change), "the follower has not received it yet")
+	require.True(t, r.AddToShortlist(targets[2].ID))
+	require.False(t, r.AddToShortlist(targets[2].ID), "already listed")
+	require.Equal(t, []relay.Target{targets[2]}, r.ListedChangedSince(change))
+	require.False(t, r.UpdateSuffices(targets[2].ID, change), "the follower has not received it yet")
 
 	change = r.Change()
 	leaving := targets[5]
 	leaving.Call, leaving.Leaving = 2, true
-	r.Hear(leaving, start)
-	require.Equal(t, []relay.Target{leaving}, r.ListedSince(change), "a VM may have received it from another control VM")
+	r.ReceiveReport(leaving, start)
+	require.Equal(t, []relay.Target{leaving}, r.ListedChangedSince(change), "a VM may have received it from another control VM")
 }
 
 // An engine that restarts at its address holds nothing and is on no shortlist: VMs that had
@@ -96,11 +96,11 @@
 	r.WithholdEngines()
 	first := replicas("a", "small", 1)[0]
 	first.ID = relay.NewTargetID("i-1", 1000)
-	r.Hear(first, start)
-	r.List(first.ID)
+	r.ReceiveReport(first, start)
+	r.AddToShortlist(first.ID)
 	change := r.Change()
 	next := first
 	next.ID, next.Layers = relay.NewTargetID("i-1", 2000), config.Range{}
-	require.True(t, r.Hear(next, start))
-	require.Equal(t, []relay.Target{next}, r.ListedSince(change))
+	require.True(t, r.ReceiveReport(next, start))
+	require.Equal(t, []relay.Target{next}, r.ListedChangedSince(change))
 }
--- a/internal/relay/spare.go
+++ b/internal/relay/spare.go
@@ -19,15 +19,15 @@
 	minCopies = 3
 )
 
-// NeedsMore reports whether empty engines should load layers: while no requests are in
+// NeedsMoreLoads reports whether empty engines should load layers: while no requests are in
 // flight, or if a hall that could hold the model lacks copies or is in use.
-func (e *Engine) NeedsMore(targets []Target) bool {
+func (e *Engine) NeedsMoreLoads(targets []Target) bool {
 	halls := make(map[string][]unit)
 	var all []unit
 	work := 0
 	for _, t := range targets {
 		kind, ok := e.accelerator(t.Accelerator)
-		if !ok || !t.Takes() {
+		if !ok || !t.AcceptsWork() {
 			continue
 		}
 		work += t.Load
@@ -46,12 +46,12 @@
 	return false
 }
 
-// MayBegin reports whether a first plan may be made for these engines although more may
+// ReadyForFirstPlan reports whether a first plan may be made for these engines although more may
 // join: a fleet of thousands can take until its first request to register.
-func (e *Engine) MayBegin(targets []Target) bool {
+func (e *Engine) ReadyForFirstPlan(targets []Target) bool {
 	layers := make(map[string]int)
 	for _, t := range targets {
-		if kind, ok := e.accelerator(t.Accelerator); ok && t.Takes() {
+		if kind, ok := e.accelerator(t.Accelerator); ok && t.AcceptsWork() {
 			layers[t.Hall] += e.layersFor(kind, int(e.usual()))
 		}
 	}
--- a/internal/relay/substitute.go
+++ b/internal/relay/substitute.go
@@ -34,7 +34,7 @@
 		if at <= 0 {
 			return Path{}, false
 		}
-		stages := r.replacementStages(s, Ask{Prompt: p.tokens, Avoid: avoid, answer: 1}, p.Stages[at], p.Stages[0], now)
+		stages := r.replacementStages(s, PathRequest{Prompt: p.tokens, Avoid: avoid, answer: 1}, p.Stages[at], p.Stages[0], now)
 		if len(stages) == 0 {
 			return Path{}, false
 		}
@@ -55,8 +55,8 @@
 	return next, true
 }
 
-// Restore undoes Substitute: it counts the request as in flight on the original path again.
-func (r *Router) Restore(replaced, p Path) {
+// UndoSubstitute undoes Substitute: it counts the request as in flight on the original path again.
+func (r *Router) UndoSubstitute(replaced, p Path) {
 	r.count(replaced, -1)
 	r.count(p, 1)
 }
@@ -64,7 +64,7 @@
 // replacementStages returns the stages that replace a lost one: a single engine, or several
 // that hold its layers between them, or none if the hall has no room. A hall whose engines
 // hold different ranges more often has several than one.
-func (r *Router) replacementStages(s *Service, a Ask, lost, first Stage, now time.Time) []Stage {
+func (r *Router) replacementStages(s *Service, a PathRequest, lost, first Stage, now time.Time) []Stage {
 	if best := r.replacementEngine(s, a, lost, first.hall, now); best != nil {
 		return []Stage{{Target: best.ID, Address: best.Address, Layers: lost.Layers, hall: best.Hall}}
 	}
@@ -86,7 +86,7 @@
 // is drawn with a probability inversely proportional to the time that it would take, so
 // that all finish at about the same time: the minimum of times that are each multiplied by
 // an exponential variate falls on one with a probability proportional to its inverse.
-func (r *Router) replacementEngine(s *Service, a Ask, stage Stage, hall string, now time.Time) *target {
+func (r *Router) replacementEngine(s *Service, a PathRequest, stage Stage, hall string, now time.Time) *target {
 	var best *target
 	soonest := 0.0
 	for _, t := range r.usable(s.Name, a, now, false) {
@@ -106,8 +106,8 @@
 	return best
 }
 
-// MovingOn returns a later stage of a path whose engine was ordered to hold other layers.
-func (r *Router) MovingOn(p Path) (TargetID, bool) {
+// MovingStage returns a later stage of a path whose engine was ordered to hold other layers.
+func (r *Router) MovingStage(p Path) (TargetID, bool) {
 	if !r.settings.Policy.Has(LeaveMoving) {
 		return "", false
 	}
--- a/internal/relay/substitute_test.go
+++ b/internal/relay/substitute_test.go
@@ -11,8 +11,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// placed returns engines of hall "a" that hold the given ranges.
-func placed(kind string, ranges ...config.Range) []relay.Target {
+// enginesHolding returns engines of hall "a" that hold the given ranges.
+func enginesHolding(kind string, ranges ...config.Range) []relay.Target {
 	var targets []relay.Target
 	for i, layers := range ranges {
 		targets = append(targets, relay.Target{
@@ -23,15 +23,15 @@
 	return targets
 }
 
-// twoOfEach returns engines of hall "a" and one of hall "b". In hall "a", two engines hold
+// replicatedEngines returns engines of hall "a" and one of hall "b". In hall "a", two engines hold
 // each of the first two parts of the model and one holds the last, which the engine of hall
 // "b" holds too.
-func twoOfEach() []relay.Target {
+func replicatedEngines() []relay.Target {
 	first := config.Range{First: 0, Last: 30}
 	second := config.Range{First: 30, Last: 55}
 	third := config.Range{First: 55, Last: 80}
-	targets := placed("large", first, second, third, first, second)
-	elsewhere := placed("middle", third)[0]
+	targets := enginesHolding("large", first, second, third, first, second)
+	elsewhere := enginesHolding("middle", third)[0]
 	elsewhere.ID, elsewhere.Address, elsewhere.Hall = "b-large-0", "b:80", "b"
 	return append(targets, elsewhere)
 }
@@ -40,7 +40,7 @@
 // read their prompts again.
 func TestSubstituteReplacesLaterStageWithinHall(t *testing.T) {
 	r, route := newRouter(nil)
-	r.TakeTargets(twoOfEach())
+	r.UpdateTargets(replicatedEngines())
 	path := choose(t, r, ask(route), start)
 	r.Begun(path)
 	lost := path.Stages[1].Target
@@ -49,16 +49,16 @@
 	requireWhole(t, next)
 	require.Equal(t, path.First(), next.First())
 	require.Equal(t, path.Stages[2], next.Stages[2])
-	require.False(t, next.Passes(lost))
+	require.False(t, next.Includes(lost))
 	require.Len(t, hallsOf(next), 1)
 
 	r.Release(next, true)
-	require.Empty(t, r.Own(), "the work counted on the replaced stage is released")
+	require.Empty(t, r.OwnWork(), "the work counted on the replaced stage is released")
 }
 
 func TestSubstituteRejectsIrreplaceableStages(t *testing.T) {
 	r, route := newRouter(nil)
-	r.TakeTargets(twoOfEach())
+	r.UpdateTargets(replicatedEngines())
 	path := choose(t, r, ask(route), start)
 	_, ok := r.Substitute(path, []relay.TargetID{path.First().Target}, start)
 	require.False(t, ok, "the first stage has the connection")
@@ -71,25 +71,25 @@
 // If the engine refuses the replacement, the request counts on its original path again.
 func TestRestoreUndoesSubstitute(t *testing.T) {
 	r, route := newRouter(nil)
-	r.TakeTargets(twoOfEach())
+	r.UpdateTargets(replicatedEngines())
 	path := choose(t, r, ask(route), start)
 	r.Begun(path)
-	before := r.Own()
+	before := r.OwnWork()
 	next, ok := r.Substitute(path, []relay.TargetID{path.Stages[1].Target}, start)
 	require.True(t, ok)
-	require.NotEqual(t, before, r.Own())
-	r.Restore(next, path)
-	require.Equal(t, before, r.Own())
+	require.NotEqual(t, before, r.OwnWork())
+	r.UndoSubstitute(next, path)
+	require.Equal(t, before, r.OwnWork())
 }
 
 func TestMovingOnReportsMovingStage(t *testing.T) {
 	r, route := newRouter(nil)
-	r.TakeTargets(twoOfEach())
+	r.UpdateTargets(replicatedEngines())
 	path := choose(t, r, ask(route), start)
-	_, moving := r.MovingOn(path)
+	_, moving := r.MovingStage(path)
 	require.False(t, moving)
-	r.TakeMarks(map[relay.TargetKey]relay.Mark{path.Stages[1].Target.Key(): relay.MarkMoving}, true)
-	id, moving := r.MovingOn(path)
+	r.ApplyMarks(map[relay.TargetKey]relay.Mark{path.Stages[1].Target.Key(): relay.MarkMoving}, true)
+	id, moving := r.MovingStage(path)
 	require.True(t, moving)
 	require.Equal(t, path.Stages[1].Target, id)
 }
@@ -100,9 +100,9 @@
 	r, route := newRouter(nil)
 	first := config.Range{First: 0, Last: 30}
 	lost := config.Range{First: 30, Last: 55}
-	targets := placed("large", first, lost, config.Range{First: 55, Last: 80},
+	targets := enginesHolding("large", first, lost, config.Range{First: 55, Last: 80},
 		config.Range{First: 25, Last: 40}, config.Range{First: 40, Last: 60})
-	r.TakeTargets(targets)
+	r.UpdateTargets(targets)
 	r.Failed(targets[3].ID, true, start)
 	path := choose(t, r, ask(route), start)
 	require.Equal(t, lost, path.Stages[1].Layers)
@@ -113,5 +113,5 @@
 	require.Len(t, next.Stages, 4)
 	require.Equal(t, path.First(), next.First())
 	r.Release(next, false)
-	require.Empty(t, r.Own())
+	require.Empty(t, r.OwnWork())
 }
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -18,7 +18,7 @@
 // request that crashes its target does so as it begins. The leader gathers the reports of all VMs
 // by fingerprint. Runs that overlap in time are one loss: copies of one request that run on all
 // engines of a rack end together when the rack fails, which is no more evidence against it
-// than the end of one of them. A request with CrashesMost losses, one after the other, or with two
+// than the end of one of them. A request with QuarantineCrashes losses, one after the other, or with two
 // losses of quarantineTargets targets in all, and no answer anywhere between, is put into
 // quarantine, which is replicated with the configuration: a VM accepts no work without a lease,
 // and a lease brings it to the newest revision. A complete answer anywhere clears the request.
@@ -36,10 +36,10 @@
 // the others in mid-answer beside it.
 
 const (
-	// CrashesMost is the number of targets, one after the other, that a request has to crash to
+	// QuarantineCrashes is the number of targets, one after the other, that a request has to crash to
 	// be put into quarantine. Each costs an engine for some 5 s; two in a row happen by chance to
 	// innocent requests when several targets a second are lost.
-	CrashesMost = 3
+	QuarantineCrashes = 3
 	// quarantineTargets is the number of targets that two losses in a row have to make up: two
 	// single ones are chance, and a rack fails under the same copies once.
 	quarantineTargets = 4
@@ -86,8 +86,8 @@
 // NewSuspects returns Suspects without any.
 func NewSuspects() Suspects { return Suspects{known: make(map[Fingerprint]suspect)} }
 
-// Take records a run, and reports whether its request is to be put into quarantine.
-func (s *Suspects) Take(run CrashedRun) bool {
+// Record records a run, and reports whether its request is to be put into quarantine.
+func (s *Suspects) Record(run CrashedRun) bool {
 	known := s.get(run.Request, run.Ended)
 	if !run.Ended.After(known.succeededAt) || slices.ContainsFunc(known.runs, func(o CrashedRun) bool { return o.Target == run.Target }) {
 		return known.crashesTargets()
@@ -116,7 +116,7 @@
 // crashesTargets reports whether the runs show that the request crashes the targets that run it.
 func (s suspect) crashesTargets() bool {
 	losses := sequentialLosses(s.runs)
-	return losses >= CrashesMost || losses > 1 && len(s.runs) >= quarantineTargets
+	return losses >= QuarantineCrashes || losses > 1 && len(s.runs) >= quarantineTargets
 }
 
 // sequentialLosses returns the greatest number of runs, sorted by their ends, of which each began
--- a/internal/relay/suspects_test.go
+++ b/internal/relay/suspects_test.go
@@ -44,7 +44,7 @@
 			s := relay.NewSuspects()
 			got := false
 			for _, r := range c.runs {
-				got = s.Take(r)
+				got = s.Record(r)
 			}
 			require.Equal(t, c.want, got)
 		})
@@ -53,22 +53,22 @@
 
 func TestCompleteAnswerClearsRequest(t *testing.T) {
 	s := relay.NewSuspects()
-	s.Take(crashed("a", 1, 0, 100))
-	s.Take(crashed("a", 2, 201, 300))
+	s.Record(crashed("a", 1, 0, 100))
+	s.Record(crashed("a", 2, 201, 300))
 	s.Clear(crashed("a", 1, 0, 0).Request, crashed("a", 1, 0, 310).Ended)
-	require.False(t, s.Take(crashed("a", 2, 201, 300)), "a late report of an earlier run")
-	require.False(t, s.Take(crashed("a", 3, 400, 500)))
-	require.False(t, s.Take(crashed("a", 4, 650, 700)))
-	require.True(t, s.Take(crashed("a", 5, 850, 900)))
+	require.False(t, s.Record(crashed("a", 2, 201, 300)), "a late report of an earlier run")
+	require.False(t, s.Record(crashed("a", 3, 400, 500)))
+	require.False(t, s.Record(crashed("a", 4, 650, 700)))
+	require.True(t, s.Record(crashed("a", 5, 850, 900)))
 }
 
 // Copies arrive so fast that all runs that are kept overlap: what was before them counts.
 func TestBurstOfCrashesIsFound(t *testing.T) {
 	s := relay.NewSuspects()
-	s.Take(crashed("a", 1, 0, 100))
+	s.Record(crashed("a", 1, 0, 100))
 	found := false
 	for i := range 50 {
-		found = s.Take(crashed("a", 2+i, 1000+i, 1050+i))
+		found = s.Record(crashed("a", 2+i, 1000+i, 1050+i))
 	}
 	require.True(t, found)
 }
@@ -76,11 +76,11 @@
 func TestSuspectsAreBoundedAndKeepTheNewest(t *testing.T) {
 	s := relay.NewSuspects()
 	for i := range 5000 {
-		s.Take(crashed(fmt.Sprint("other-", i), 1, 300*i, 300*i+5))
-		s.Take(crashed("a", 2+i%2, 300*i+6, 300*i+9))
+		s.Record(crashed(fmt.Sprint("other-", i), 1, 300*i, 300*i+5))
+		s.Record(crashed("a", 2+i%2, 300*i+6, 300*i+9))
 	}
 	require.LessOrEqual(t, s.Len(), 1024)
-	require.True(t, s.Take(crashed("a", 9, 1600000, 1600001)), "a request with new reports stays")
+	require.True(t, s.Record(crashed("a", 9, 1600000, 1600001)), "a request with new reports stays")
 }
 
 // The result is the same in any order, and however often a report arrives.
@@ -94,7 +94,7 @@
 			s := relay.NewSuspects()
 			got := false
 			for _, r := range runs {
-				got = s.Take(r)
+				got = s.Record(r)
 			}
 			return got
 		}
@@ -118,7 +118,7 @@
 }
 
 func TestRecentKeepsRecentValues(t *testing.T) {
-	r := relay.NewRecent[int](3, time.Minute)
+	r := relay.NewRecentSet[int](3, time.Minute)
 	at := func(s int) time.Time { return time.Unix(1000, 0).Add(time.Duration(s) * time.Second) }
 	r.Add(1, at(0))
 	require.True(t, r.Has(1, at(59)))
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -33,15 +33,15 @@
 	return Work{Requests: n * w.Requests, Tokens: n * w.Tokens, Unread: n * w.Unread}
 }
 
-// TakeOthers sets the work in flight of other VMs. Whole indicates that targets that are missing
+// SetOthersWork sets the work in flight of other VMs. Whole indicates that targets that are missing
 // have none; otherwise they have about what they had.
-func (r *Router) TakeOthers(work map[TargetKey]Work, whole bool) {
-	r.othersKnown = r.othersKnown || whole
+func (r *Router) SetOthersWork(work map[TargetKey]Work, whole bool) {
+	r.othersReported = r.othersReported || whole
 	for _, t := range r.targets {
 		if w, ok := work[t.key]; ok || whole {
-			t.others = w
+			t.othersWork = w
 		}
-		t.ownReported = t.own
+		t.ownWorkAtReport = t.ownWork
 	}
 }
 
@@ -61,29 +61,29 @@
 // A VM without any report has most likely started together with all others: it assumes that each
 // of them has as much in flight as it has itself.
 func (r *Router) load(t *target) Work {
-	if !r.othersKnown && r.settings.Policy.Has(StartSampling) {
-		return t.own.Times(r.vms)
+	if !r.othersReported && r.settings.Policy.Has(StartSampling) {
+		return t.ownWork.Times(r.vms)
 	}
-	load := t.own.Plus(t.others)
-	excess := t.own.Requests - t.ownReported.Requests - herdTolerance
+	load := t.ownWork.Plus(t.othersWork)
+	excess := t.ownWork.Requests - t.ownWorkAtReport.Requests - herdTolerance
 	if excess <= 0 || !r.settings.Policy.Has(HerdGuess) {
 		return load
 	}
 	herd := min(r.vms-1, maxHerdVMs)
 	load.Requests += herd * excess
-	load.Tokens += herd * excess * t.own.Tokens / t.own.Requests
+	load.Tokens += herd * excess * t.ownWork.Tokens / t.ownWork.Requests
 	return load
 }
 
-// OthersKnown reports whether this VM has received the work in flight of others.
-func (r *Router) OthersKnown() bool { return r.othersKnown }
+// OthersWorkKnown reports whether this VM has received the work in flight of others.
+func (r *Router) OthersWorkKnown() bool { return r.othersReported }
 
-// Own returns the work in flight of this VM.
-func (r *Router) Own() map[TargetKey]Work {
+// OwnWork returns the work in flight of this VM.
+func (r *Router) OwnWork() map[TargetKey]Work {
 	own := make(map[TargetKey]Work)
 	for _, t := range r.targets {
-		if t.own.Requests > 0 {
-			own[t.key] = t.own
+		if t.ownWork.Requests > 0 {
+			own[t.key] = t.ownWork
 		}
 	}
 	return own
@@ -93,7 +93,7 @@
 func (r *Router) Begun(p Path) {
 	for _, s := range p.Stages {
 		if t, ok := r.targets[s.Target]; ok {
-			t.own.Unread -= p.prompt
+			t.ownWork.Unread -= p.prompt
 		}
 	}
 }
@@ -107,16 +107,16 @@
 }
 
 func (r *Router) count(p Path, sign int) {
-	r.changing += sign * p.changes
+	r.crossingsInFlight += sign * p.crossings
 	for _, s := range p.Stages {
 		t, ok := r.targets[s.Target]
 		if !ok {
 			continue
 		}
-		t.own.Requests += sign
-		t.own.Tokens += sign * p.tokens * s.Layers.Len()
-		if (t.Gone || t.void) && t.own.Requests <= 0 {
-			r.drop(t)
+		t.ownWork.Requests += sign
+		t.ownWork.Tokens += sign * p.tokens * s.Layers.Len()
+		if (t.Gone || t.superseded) && t.ownWork.Requests <= 0 {
+			r.removeTarget(t)
 		}
 	}
 }
--- a/internal/silence/link.go
+++ b/internal/silence/link.go
@@ -41,21 +41,21 @@
 	maxLateChecks = 2
 )
 
-// Trips estimates round-trip times. The zero value has no samples.
-type Trips struct{ mean, deviation float64 }
+// RTT estimates round-trip times. The zero value has no samples.
+type RTT struct{ mean, deviation float64 }
 
 // With returns the estimate updated with a round trip.
-func (t Trips) With(trip time.Duration) Trips {
+func (t RTT) With(trip time.Duration) RTT {
 	value := float64(trip)
 	if t.mean == 0 {
-		return Trips{mean: value, deviation: value / 2}
+		return RTT{mean: value, deviation: value / 2}
 	}
 	deviation := max(value-t.mean, t.mean-value)
-	return Trips{mean: t.mean + meanGain*(value-t.mean), deviation: t.deviation + deviationGain*(deviation-t.deviation)}
+	return RTT{mean: t.mean + meanGain*(value-t.mean), deviation: t.deviation + deviationGain*(deviation-t.deviation)}
 }
 
-// Usual returns the time within which nearly all round trips end, clamped to two bounds.
-func (t Trips) Usual(least, most time.Duration) time.Duration {
+// Timeout returns the time within which nearly all round trips end, clamped to two bounds.
+func (t RTT) Timeout(least, most time.Duration) time.Duration {
 	return min(max(time.Duration(t.mean+deviationFactor*t.deviation), least), most)
 }
 
@@ -65,17 +65,17 @@
 const (
 	// NoAction says that the link needs no action.
 	NoAction Action = iota
-	// Ask says that a probe must be sent, which the other end answers at once.
-	Ask
-	// Void says that the connection is silent.
-	Void
+	// SendProbe says that a probe must be sent, which the other end answers at once.
+	SendProbe
+	// ConnSilent says that the connection is silent.
+	ConnSilent
 )
 
 // Link is the sending end of a link, across all its successive connections.
 type Link struct {
 	bound time.Duration
 	// roundTrips estimates the round trips of probes.
-	roundTrips Trips
+	roundTrips RTT
 	// probeDelay is how long a message may be unacknowledged before a probe is sent.
 	probeDelay time.Duration
 	// sent is the last number sent, acked the last one that was acknowledged.
@@ -107,16 +107,16 @@
 	return l, l.sent
 }
 
-// Asked returns the link after a probe was sent, which carries the last number, too.
-func (l Link) Asked(now time.Time) Link {
+// Probed returns the link after a probe was sent, which carries the last number, too.
+func (l Link) Probed(now time.Time) Link {
 	l.probedAt = now
 	return l
 }
 
-// Proved returns the link after a number was acknowledged. Later messages count as
+// Acked returns the link after a number was acknowledged. Later messages count as
 // unacknowledged from now on. Numbers that were never sent are ignored: they are from a former
 // process.
-func (l Link) Proved(number uint64, now time.Time) Link {
+func (l Link) Acked(number uint64, now time.Time) Link {
 	if number > l.sent || number <= l.acked {
 		return l
 	}
@@ -138,39 +138,39 @@
 
 // AckedAll returns the link after the other end has sent a message without a number on the same
 // connection. It acknowledges everything.
-func (l Link) AckedAll(now time.Time) Link { return l.Proved(l.sent, now) }
+func (l Link) AckedAll(now time.Time) Link { return l.Acked(l.sent, now) }
 
-// Speaks returns the link after the other end has sent a number of its own, so that it is judged.
-func (l Link) Speaks() Link {
+// Acknowledging returns the link after the other end has sent a number of its own, so that it is judged.
+func (l Link) Acknowledging() Link {
 	l.acknowledges = true
 	return l
 }
 
-// Renewed returns the link for a new connection: unacknowledged messages are lost.
-func (l Link) Renewed() Link {
+// Reconnected returns the link for a new connection: unacknowledged messages are lost.
+func (l Link) Reconnected() Link {
 	l.unackedSince, l.probedAt, l.lateChecks = time.Time{}, time.Time{}, 0
 	return l
 }
 
-// Voided returns the link after its connection was found silent.
-func (l Link) Voided() Link {
-	l = l.Renewed()
+// FoundSilent returns the link after its connection was found silent.
+func (l Link) FoundSilent() Link {
+	l = l.Reconnected()
 	l.silentConns++
 	return l
 }
 
-// OpenFor returns how long messages have been unacknowledged.
-func (l Link) OpenFor(now time.Time) time.Duration {
+// UnackedFor returns how long messages have been unacknowledged.
+func (l Link) UnackedFor(now time.Time) time.Duration {
 	if l.unackedSince.IsZero() {
 		return 0
 	}
 	return now.Sub(l.unackedSince)
 }
 
-// Patience returns how long to wait for the answer to a probe. It doubles with each connection
+// ProbeTimeout returns how long to wait for the answer to a probe. It doubles with each connection
 // found silent since the last acknowledgement: the other end may be stalled as a whole.
-func (l Link) Patience() time.Duration {
-	wait := l.roundTrips.Usual(minProbeTimeout, l.bound/2)
+func (l Link) ProbeTimeout() time.Duration {
+	wait := l.roundTrips.Timeout(minProbeTimeout, l.bound/2)
 	for range l.silentConns {
 		wait = min(2*wait, l.bound/2)
 	}
@@ -185,22 +185,22 @@
 	case l.probedAt.IsZero():
 		return l.unackedSince.Add(l.probeDelay), true
 	}
-	return l.probedAt.Add(l.Patience()), true
+	return l.probedAt.Add(l.ProbeTimeout()), true
 }
 
-// Look checks the link. It returns the updated link and the action to take.
-func (l Link) Look(now time.Time) (Link, Action) {
+// Check checks the link. It returns the updated link and the action to take.
+func (l Link) Check(now time.Time) (Link, Action) {
 	due, any := l.NextCheck()
 	switch {
 	case !any || now.Before(due):
 		return l, NoAction
 	case l.probedAt.IsZero():
-		return l, Ask
+		return l, SendProbe
 	case !l.acknowledges:
-		return l.Renewed(), NoAction
+		return l.Reconnected(), NoAction
 	case now.Sub(due) > maxCheckDelay && l.lateChecks < maxLateChecks:
 		l.lateChecks++
-		return l, Ask
+		return l, SendProbe
 	}
-	return l, Void
+	return l, ConnSilent
 }
--- a/internal/silence/link_test.go
+++ b/internal/silence/link_test.go
@@ -25,12 +25,12 @@
 			return 0
 		}
 		var action silence.Action
-		l, action = l.Look(at)
+		l, action = l.Check(at)
 		switch action {
-		case silence.Void:
+		case silence.ConnSilent:
 			return at.Sub(start)
-		case silence.Ask:
-			l = onProbe(l.Asked(at), at)
+		case silence.SendProbe:
+			l = onProbe(l.Probed(at), at)
 		}
 	}
 }
@@ -44,13 +44,13 @@
 	for range 50 {
 		var n uint64
 		l, n = l.Sent(at)
-		l = l.Asked(at).Proved(n, at.Add(trip))
+		l = l.Probed(at).Acked(n, at.Add(trip))
 		at = at.Add(time.Second)
 	}
 	for range 50 {
 		var n uint64
 		l, n = l.Sent(at)
-		l = l.Proved(n, at)
+		l = l.Acked(n, at)
 		at = at.Add(time.Second)
 	}
 	return l
@@ -80,7 +80,7 @@
 	probes := 0
 	took := checkUntilSilent(l, func(l silence.Link, at time.Time) silence.Link {
 		probes++
-		return l.Proved(n, at.Add(2*ms))
+		return l.Acked(n, at.Add(2*ms))
 	})
 	require.Zero(t, took)
 	require.Equal(t, 1, probes)
@@ -90,7 +90,7 @@
 // the processor time of the control VMs by half with 91 entry VMs.
 func TestProbesBecomeRareIfOtherEndSendsSeldom(t *testing.T) {
 	const interval, messages = 300 * ms, 100
-	l, probes := silence.NewLink(bound).Speaks(), 0
+	l, probes := silence.NewLink(bound).Acknowledging(), 0
 	now := start
 	for range messages {
 		var n uint64
@@ -98,12 +98,12 @@
 		receivedAt := now.Add(interval)
 		if at, due := l.NextCheck(); due && at.Before(receivedAt) {
 			var action silence.Action
-			l, action = l.Look(at)
-			require.Equal(t, silence.Ask, action)
+			l, action = l.Check(at)
+			require.Equal(t, silence.SendProbe, action)
 			probes++
-			l = l.Asked(at).Proved(n, at.Add(ms))
+			l = l.Probed(at).Acked(n, at.Add(ms))
 		}
-		l = l.Proved(n, receivedAt)
+		l = l.Acked(n, receivedAt)
 		now = receivedAt
 	}
 	require.LessOrEqual(t, probes, 3)
@@ -112,25 +112,25 @@
 func TestEndThatNeverAcknowledgedIsNotJudged(t *testing.T) {
 	l, _ := silence.NewLink(bound).Sent(start)
 	require.Zero(t, checkUntilSilent(l, unanswered))
-	l, _ = silence.NewLink(bound).Speaks().Sent(start)
+	l, _ = silence.NewLink(bound).Acknowledging().Sent(start)
 	require.Positive(t, checkUntilSilent(l, unanswered))
 }
 
 // If the other end is stalled as a whole, it must not be redialled at the initial rate.
 func TestProbeTimeoutGrowsWithEachSilentConnection(t *testing.T) {
 	l := newUsedLink(ms)
-	last := l.Patience()
+	last := l.ProbeTimeout()
 	for range 3 {
-		l = l.Voided()
-		require.GreaterOrEqual(t, l.Patience(), last)
-		last = l.Patience()
+		l = l.FoundSilent()
+		require.GreaterOrEqual(t, l.ProbeTimeout(), last)
+		last = l.ProbeTimeout()
 	}
 	require.Equal(t, bound/2, last)
 }
 
 func TestNumbersOfFormerProcessAreIgnored(t *testing.T) {
-	l, n := silence.NewLink(bound).Speaks().Sent(start)
-	l = l.Proved(n+500, start)
+	l, n := silence.NewLink(bound).Acknowledging().Sent(start)
+	l = l.Acked(n+500, start)
 	require.Positive(t, checkUntilSilent(l, unanswered))
 }
 
@@ -138,41 +138,41 @@
 func TestLateCheckProbesAgain(t *testing.T) {
 	l, _ := newUsedLink(ms).Sent(start)
 	at, _ := l.NextCheck()
-	l, action := l.Look(at)
-	require.Equal(t, silence.Ask, action)
-	l = l.Asked(at)
+	l, action := l.Check(at)
+	require.Equal(t, silence.SendProbe, action)
+	l = l.Probed(at)
 	for range 2 {
 		at, _ = l.NextCheck()
 		at = at.Add(time.Second)
-		l, action = l.Look(at)
-		require.Equal(t, silence.Ask, action)
-		l = l.Asked(at)
+		l, action = l.Check(at)
+		require.Equal(t, silence.SendProbe, action)
+		l = l.Probed(at)
 	}
 	at, _ = l.NextCheck()
-	_, action = l.Look(at.Add(time.Second))
-	require.Equal(t, silence.Void, action)
+	_, action = l.Check(at.Add(time.Second))
+	require.Equal(t, silence.ConnSilent, action)
 }
 
 // For any sequence of events, a link is found silent only after a probe that was not answered.
 func FuzzSilenceFollowsUnansweredProbe(f *testing.F) {
 	f.Add([]byte{0, 3, 1, 0, 2, 9, 0, 3, 3, 3})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		l, now, probed, number := silence.NewLink(bound).Speaks(), start, false, uint64(0)
+		l, now, probed, number := silence.NewLink(bound).Acknowledging(), start, false, uint64(0)
 		for _, s := range steps {
 			now = now.Add(time.Duration(s) * ms)
 			switch s % 4 {
 			case 0:
 				l, number = l.Sent(now)
 			case 1:
-				l, probed = l.Proved(number, now), false
+				l, probed = l.Acked(number, now), false
 			case 2:
-				l, probed = l.Voided(), false
+				l, probed = l.FoundSilent(), false
 			case 3:
 				var action silence.Action
-				l, action = l.Look(now)
-				require.False(t, action == silence.Void && !probed)
-				if action == silence.Ask {
-					l, probed = l.Asked(now), true
+				l, action = l.Check(now)
+				require.False(t, action == silence.ConnSilent && !probed)
+				if action == silence.SendProbe {
+					l, probed = l.Probed(now), true
 				}
 			}
 		}
--- a/internal/target/admit_test.go
+++ b/internal/target/admit_test.go
@@ -19,7 +19,7 @@
 	refused := errors.New("not now")
 	for _, fresh := range []bool{false, true} {
 		_, err := x.Do(context.Background(), s.address, &target.Request{
-			Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Fresh: fresh,
+			Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, NewConn: fresh,
 			Matches: func(http.Header) bool { return true },
 			Admit:   func() error { return refused },
 		})
--- a/internal/target/answer_fuzz_test.go
+++ b/internal/target/answer_fuzz_test.go
@@ -29,7 +29,7 @@
 		go answerOnce(l, text)
 		x := target.NewExchanger(func() {})
 		answer, err := x.Do(t.Context(), l.Addr().String(), &target.Request{
-			Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Fresh: true,
+			Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, NewConn: true,
 			Matches: func(h http.Header) bool { return h.Get("Id") == "a" },
 		})
 		if err != nil {
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -91,16 +91,16 @@
 // Run sends an order for a run and waits for its reply.
 func (c *Client) Run(ctx context.Context, r core.Run) core.RunEnded {
 	ended := core.RunEnded{Stream: r.Stream, Epoch: r.Epoch, Position: r.Position}
-	if clock.Sampled().After(r.NotAfter) {
+	if clock.SampleNow().After(r.NotAfter) {
 		ended.Result, ended.Target = core.ResultRefused, r.Chain[0].Target
 		return ended
 	}
-	ctx, cancel := clock.WithDeadline(ctx, r.Silence)
+	ctx, cancel := clock.WithDeadline(ctx, r.ReplyDeadline)
 	defer cancel()
 	order := RunOrder{
 		Stream: r.Stream, Epoch: r.Epoch, Position: r.Position, Model: r.Model,
 		Prompt: r.Prompt, Chain: r.Chain, Priority: int(r.Class),
-		SilenceMillis: clock.Until(r.Silence).Milliseconds(),
+		TimeoutMillis: clock.Until(r.ReplyDeadline).Milliseconds(),
 	}
 	if r.Position > 0 {
 		order.Token = &r.Token
@@ -117,12 +117,12 @@
 
 // Rebuild sends an order for a rebuild and waits for its reply.
 func (c *Client) Rebuild(ctx context.Context, r core.Rebuild) core.RebuildEnded {
-	ctx, cancel := clock.WithDeadline(ctx, r.Silence)
+	ctx, cancel := clock.WithDeadline(ctx, r.ReplyDeadline)
 	defer cancel()
 	reply, err := Post[RebuildReply](ctx, c, r.Stage.Address, PathRebuild, RebuildOrder{
 		Stream: r.Stream, Epoch: r.Epoch, Position: r.Position, Model: r.Model, Stage: r.Stage,
 		Source: r.Source, Prompt: r.Prompt, Tokens: r.Tokens,
-		SilenceMillis: clock.Until(r.Silence).Milliseconds(),
+		TimeoutMillis: clock.Until(r.ReplyDeadline).Milliseconds(),
 	})
 	if err != nil {
 		reply = RebuildReply{Result: core.ResultBroken, Target: r.Stage.Target}
@@ -143,7 +143,7 @@
 // Order sends a placement order, unless it has expired.
 func (c *Client) Order(ctx context.Context, o core.Order) core.OrderEnded {
 	ended := core.OrderEnded{Target: o.Placement.Target, Fence: o.Fence}
-	remaining := o.NotAfter.Sub(clock.Sampled())
+	remaining := o.NotAfter.Sub(clock.SampleNow())
 	if remaining <= 0 {
 		return ended
 	}
@@ -151,7 +151,7 @@
 	defer cancel()
 	reply, err := Post[PlaceReply](ctx, c, o.Address, PathOrder, PlaceOrder{
 		Fence: o.Fence, Model: o.Placement.Model, Version: o.Placement.Version,
-		Adapters: o.Adapters, Layers: o.Placement.Layers, LifeMillis: remaining.Milliseconds(),
+		Adapters: o.Adapters, Layers: o.Placement.Layers, TTLMillis: remaining.Milliseconds(),
 	})
 	ended.Done = err == nil && reply.Result == OrderDone
 	return ended
@@ -169,7 +169,7 @@
 	watched.Busy = report.Busy
 	watched.Report.Reached = true
 	watched.Report.Leaving = report.Leaving
-	watched.Report.Holding = report.Holding
+	watched.Report.AppliedSequence = report.Holding
 	return watched
 }
 
@@ -205,7 +205,7 @@
 // Dispatch sends a call to a runner, unless the permission to send it has expired.
 func (c *Client) Dispatch(ctx context.Context, d core.Dispatch, call Call) core.DispatchEnded {
 	ended := core.DispatchEnded{Conn: d.Conn, ID: d.ID, Target: d.Target, Result: core.ResultRefused}
-	if clock.Sampled().After(d.NotAfter) {
+	if clock.SampleNow().After(d.NotAfter) {
 		return ended
 	}
 	ctx, cancel := clock.WithDeadline(ctx, d.Deadline)
@@ -234,11 +234,11 @@
 	if err != nil {
 		return ended
 	}
-	ended.Limit.PerSecond, ended.Limit.Limited, err = RateLimit(response.Header.Values(HeaderLimit))
+	ended.Limit.PerSecond, ended.Limit.Limited, err = ParseRateLimit(response.Header.Values(HeaderRateLimit))
 	if err == nil || ended.Limit.Limited { // an unreadable header says nothing about a limit
-		ended.Limit.SentAt, ended.Limit.HeardAt = sentAt, clock.Now()
+		ended.Limit.SentAt, ended.Limit.ReceivedAt = sentAt, clock.Now()
 	}
-	ended.BackoffUntil, _ = BackoffUntil(response.StatusCode, response.Header, clock.Now()) // an unreadable header requests no backoff
+	ended.BackoffUntil, _ = ParseBackoff(response.StatusCode, response.Header, clock.Now()) // an unreadable header requests no backoff
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(HeaderNotRun) != "" {
 		ended.Result = core.ResultRefused
 		return ended
--- a/internal/target/client_test.go
+++ b/internal/target/client_test.go
@@ -29,7 +29,7 @@
 func order(server *httptest.Server, position int, silence time.Duration) core.Run {
 	now := time.Now()
 	return core.Run{Stream: "s", Position: position, Chain: []core.Stage{{Target: "e1", Address: server.Listener.Addr().String()}},
-		Silence: now.Add(silence), NotAfter: now.Add(time.Minute)}
+		ReplyDeadline: now.Add(silence), NotAfter: now.Add(time.Minute)}
 }
 
 func TestRunsShareLinkWithRepliesInAnyOrder(t *testing.T) {
--- a/internal/target/drop_test.go
+++ b/internal/target/drop_test.go
@@ -18,7 +18,7 @@
 			_, err := exchange(t, x, address, false)
 			require.NoError(t, err)
 		}
-		x.Drop(s.address)
+		x.CloseIdle(s.address)
 	}
 	require.Equal(t, int32(2), s.conns.Load())
 	require.Equal(t, int32(1), other.conns.Load())
--- a/internal/target/exchange.go
+++ b/internal/target/exchange.go
@@ -76,7 +76,7 @@
 // NewExchanger returns an Exchanger without connections.
 func NewExchanger(dialled func()) *Exchanger {
 	return &Exchanger{
-		dialer:      net.Dialer{Timeout: dialTimeout, Control: wire.Unacked(unackedTimeout), KeepAlive: -1},
+		dialer:      net.Dialer{Timeout: dialTimeout, Control: wire.TCPUserTimeout(unackedTimeout), KeepAlive: -1},
 		idle:        make(map[string][]*link),
 		Dialled:     dialled,
 		redialSlots: make(chan struct{}, maxConcurrentRedials),
@@ -91,20 +91,20 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh requests a new connection: the target may have closed an idle one,
+	// NewConn requests a new connection: the target may have closed an idle one,
 	// and then it would be unknown whether the request ran.
-	Fresh bool
+	NewConn bool
 	// Matches reports whether an answer belongs to this request. Other answers
 	// on the same connection are surplus and skipped.
 	Matches func(http.Header) bool
-	// Patience is the longest pause in the answer before Silent is called, which
+	// MaxPause is the longest pause in the answer before Silent is called, which
 	// reports whether to keep waiting. Zero waits without limit.
-	Patience time.Duration
-	Silent   func() bool
-	// Kept bounds the wait for the first byte on a reused connection.
-	Kept KeptWait
-	// Again says that the request replaces one on a silent connection.
-	Again bool
+	MaxPause    time.Duration
+	KeepWaiting func() bool
+	// FirstByte bounds the wait for the first byte on a reused connection.
+	FirstByte FirstByteWait
+	// Redial says that the request replaces one on a silent connection.
+	Redial bool
 	// Admit is called on an open connection, just before the first byte is sent. If it
 	// returns an error, the request is not sent; a nil Admit admits every request.
 	Admit func() error
@@ -150,12 +150,12 @@
 		if l.boundsFirstByte() {
 			return l.readFirstBytes(p)
 		}
-		if r == nil || r.Patience <= 0 {
+		if r == nil || r.MaxPause <= 0 {
 			n, err := l.Conn.Read(p)
 			l.answered = l.answered || n > 0
 			return n, err
 		}
-		if err := l.Conn.SetReadDeadline(time.Now().Add(r.Patience)); err != nil {
+		if err := l.Conn.SetReadDeadline(time.Now().Add(r.MaxPause)); err != nil {
 			return 0, err
 		}
 		n, err := l.Conn.Read(p)
@@ -164,7 +164,7 @@
 		if n > 0 || !errors.As(err, &netErr) || !netErr.Timeout() {
 			return n, err
 		}
-		if !r.Silent() {
+		if !r.KeepWaiting() {
 			return 0, ErrSilent
 		}
 	}
--- a/internal/target/exchange_test.go
+++ b/internal/target/exchange_test.go
@@ -77,9 +77,9 @@
 func exchange(t *testing.T, x *target.Exchanger, address string, fresh bool) (string, error) {
 	t.Helper()
 	answer, err := x.Do(context.Background(), address, &target.Request{
-		Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Body: []byte("ask"), Fresh: fresh,
+		Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Body: []byte("ask"), NewConn: fresh,
 		Matches:  func(h http.Header) bool { return h.Get("Id") == "1" },
-		Patience: 50 * time.Millisecond, Silent: func() bool { return false },
+		MaxPause: 50 * time.Millisecond, KeepWaiting: func() bool { return false },
 	})
 	if err != nil {
 		return "", err
--- a/internal/target/kept.go
+++ b/internal/target/kept.go
@@ -16,42 +16,42 @@
 // connection, if it may be repeated. The target itself counts as failed only if the new
 // connection is silent too.
 
-// ErrKeptSilent is wrapped by errors of requests that received no byte in time on a reused
+// ErrReusedSilent is wrapped by errors of requests that received no byte in time on a reused
 // connection. Do returns it together with ErrStale.
-var ErrKeptSilent = errors.New("kept connection is silent")
+var ErrReusedSilent = errors.New("kept connection is silent")
 
 // maxConcurrentRedials bounds concurrent dials that replace silent connections: a VM has some 100
 // exchanges open, which are all found silent within one or two waits, and a dial takes a few
 // milliseconds.
 const maxConcurrentRedials = 16
 
-// KeptWait bounds the wait for the first byte on a reused connection.
-type KeptWait struct {
-	// For is the wait before Leave is called, once; zero waits without limit.
-	For time.Duration
-	// Leave reports whether to abandon the connection because the request may be sent again.
-	Leave func() bool
+// FirstByteWait bounds the wait for the first byte on a reused connection.
+type FirstByteWait struct {
+	// Timeout is the wait before Leave is called, once; zero waits without limit.
+	Timeout time.Duration
+	// Abandon reports whether to abandon the connection because the request may be sent again.
+	Abandon func() bool
 }
 
-// boundsFirstByte reports whether the wait for the first byte is bounded by KeptWait.
+// boundsFirstByte reports whether the wait for the first byte is bounded by FirstByteWait.
 func (l *link) boundsFirstByte() bool {
-	return l.reused && !l.answered && l.request != nil && l.request.Kept.For > 0
+	return l.reused && !l.answered && l.request != nil && l.request.FirstByte.Timeout > 0
 }
 
 // readFirstBytes reads the first bytes of an answer on a reused connection.
 func (l *link) readFirstBytes(p []byte) (int, error) {
-	wait := l.request.Kept
-	if err := l.Conn.SetReadDeadline(clock.ToRuntime(l.sentAt.Add(wait.For))); err != nil {
+	wait := l.request.FirstByte
+	if err := l.Conn.SetReadDeadline(clock.ToRuntime(l.sentAt.Add(wait.Timeout))); err != nil {
 		return 0, err
 	}
 	n, err := l.Conn.Read(p)
 	l.answered = n > 0
 	var netErr net.Error
 	timedOut := errors.As(err, &netErr) && netErr.Timeout()
-	if timedOut && wait.Leave() {
-		return 0, ErrKeptSilent
+	if timedOut && wait.Abandon() {
+		return 0, ErrReusedSilent
 	}
-	l.request.Kept = KeptWait{}
+	l.request.FirstByte = FirstByteWait{}
 	if err := l.Conn.SetReadDeadline(time.Time{}); err != nil {
 		return n, err
 	}
@@ -64,8 +64,8 @@
 // acquireFor returns a connection for a request. Concurrent dials that replace silent connections
 // are limited to maxConcurrentRedials.
 func (x *Exchanger) acquireFor(ctx context.Context, address string, r *Request) (*link, error) {
-	if !r.Again {
-		return x.acquire(ctx, address, r.Fresh)
+	if !r.Redial {
+		return x.acquire(ctx, address, r.NewConn)
 	}
 	select {
 	case x.redialSlots <- struct{}{}:
@@ -73,12 +73,12 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	return x.acquire(ctx, address, r.Fresh)
+	return x.acquire(ctx, address, r.NewConn)
 }
 
-// Void closes the idle connections to an address that have received no byte since a time,
+// CloseIdleSince closes the idle connections to an address that have received no byte since a time,
 // because one that was idle as long was found silent. It returns how many it closed.
-func (x *Exchanger) Void(address string, since time.Time) int {
+func (x *Exchanger) CloseIdleSince(address string, since time.Time) int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	conns := x.idle[address]
--- a/internal/target/kept_test.go
+++ b/internal/target/kept_test.go
@@ -22,14 +22,14 @@
 
 // newRelayedTarget returns a relay in front of a target that answers every request, an Exchanger,
 // and its number of dials.
-func newRelayedTarget(t *testing.T) (*fake.Relay, *target.Exchanger, *atomic.Int64) {
+func newRelayedTarget(t *testing.T) (*fake.Proxy, *target.Exchanger, *atomic.Int64) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Keep-Alive", "timeout=600")
 		w.Header().Set("Id", "1")
 		_, _ = io.WriteString(w, "ok") // the caller may have closed the connection
 	}))
-	relay, err := fake.NewRelay("127.0.0.1:0", server.Listener.Addr().String())
+	relay, err := fake.NewProxy("127.0.0.1:0", server.Listener.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		relay.Close()
@@ -40,9 +40,9 @@
 	return relay, target.NewExchanger(func() { dialled.Add(1) }), dialled
 }
 
-func requestReused(x *target.Exchanger, address string, wait target.KeptWait) error {
+func requestReused(x *target.Exchanger, address string, wait target.FirstByteWait) error {
 	answer, err := x.Do(context.Background(), address, &target.Request{
-		Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Body: []byte("ask"), Kept: wait,
+		Method: http.MethodPost, URI: "/", Host: "h", Header: http.Header{}, Body: []byte("ask"), FirstByte: wait,
 		Matches: func(h http.Header) bool { return h.Get("Id") == "1" },
 	})
 	if err != nil {
@@ -58,13 +58,13 @@
 // A request on a reused connection that had fallen silent waited until its caller's deadline.
 func TestSilentReusedConnectionIsAbandoned(t *testing.T) {
 	relay, x, dialled := newRelayedTarget(t)
-	wait := target.KeptWait{For: firstByteWait, Leave: always}
+	wait := target.FirstByteWait{Timeout: firstByteWait, Abandon: always}
 	require.NoError(t, requestReused(x, relay.Address(), wait))
 	require.NoError(t, requestReused(x, relay.Address(), wait))
 	require.Equal(t, int64(1), dialled.Load())
 	relay.Silence()
 	err := requestReused(x, relay.Address(), wait)
-	require.ErrorIs(t, err, target.ErrKeptSilent)
+	require.ErrorIs(t, err, target.ErrReusedSilent)
 	require.ErrorIs(t, err, target.ErrStale)
 	require.NoError(t, requestReused(x, relay.Address(), wait))
 	require.Equal(t, int64(2), dialled.Load())
@@ -73,10 +73,10 @@
 // Where the request may not be repeated, its answer is awaited to the end.
 func TestSlowAnswerIsAwaitedIfRequestIsNotRepeatable(t *testing.T) {
 	relay, x, _ := newRelayedTarget(t)
-	require.NoError(t, requestReused(x, relay.Address(), target.KeptWait{}))
-	relay.Slow(2 * firstByteWait)
+	require.NoError(t, requestReused(x, relay.Address(), target.FirstByteWait{}))
+	relay.SetDelay(2 * firstByteWait)
 	calls := 0
-	require.NoError(t, requestReused(x, relay.Address(), target.KeptWait{For: firstByteWait, Leave: func() bool { calls++; return false }}))
+	require.NoError(t, requestReused(x, relay.Address(), target.FirstByteWait{Timeout: firstByteWait, Abandon: func() bool { calls++; return false }}))
 	require.Equal(t, 1, calls)
 }
 
@@ -88,7 +88,7 @@
 		var open []*target.Answer
 		for range n {
 			answer, err := x.Do(context.Background(), relay.Address(), &target.Request{
-				Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, Fresh: true,
+				Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, NewConn: true,
 				Matches: func(http.Header) bool { return true },
 			})
 			require.NoError(t, err)
@@ -103,9 +103,9 @@
 	fill(kept)
 	cutoff := time.Now()
 	fill(1)
-	require.Equal(t, kept, x.Void(relay.Address(), cutoff))
-	require.Equal(t, 1, x.Void(relay.Address(), time.Now()))
-	require.Zero(t, x.Void(relay.Address(), time.Now()))
+	require.Equal(t, kept, x.CloseIdleSince(relay.Address(), cutoff))
+	require.Equal(t, 1, x.CloseIdleSince(relay.Address(), time.Now()))
+	require.Zero(t, x.CloseIdleSince(relay.Address(), time.Now()))
 }
 
 // When all connections fall silent together, only a few replacements are dialled at once.
@@ -128,7 +128,7 @@
 	for range requests {
 		all.Go(func() {
 			_, _ = x.Do(ctx, l.Addr().String(), &target.Request{ // nothing answers
-				Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, Fresh: true, Again: true,
+				Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, NewConn: true, Redial: true,
 				Matches: func(http.Header) bool { return true },
 			})
 		})
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -89,8 +89,8 @@
 	x.idle[l.address] = append(x.idle[l.address], l)
 }
 
-// Drop closes the idle connections to an address whose target no longer runs.
-func (x *Exchanger) Drop(address string) {
+// CloseIdle closes the idle connections to an address whose target no longer runs.
+func (x *Exchanger) CloseIdle(address string) {
 	x.mu.Lock()
 	conns := x.idle[address]
 	delete(x.idle, address)
@@ -100,8 +100,8 @@
 	}
 }
 
-// Sweep closes the idle connections that have expired.
-func (x *Exchanger) Sweep(now time.Time) {
+// CloseExpired closes the idle connections that have expired.
+func (x *Exchanger) CloseExpired(now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for address, conns := range x.idle {
--- a/internal/target/protocol.go
+++ b/internal/target/protocol.go
@@ -35,8 +35,8 @@
 	Activations []uint64     `json:"activations,omitempty"`
 	Chain       []core.Stage `json:"chain"`
 	Priority    int          `json:"priority"`
-	// SilenceMillis is how long the sender waits for the answer.
-	SilenceMillis int64 `json:"silence_millis"`
+	// TimeoutMillis is how long the sender waits for the answer.
+	TimeoutMillis int64 `json:"silence_millis"`
 }
 
 // RunReply answers a RunOrder.
@@ -62,7 +62,7 @@
 	Source        *core.Stage    `json:"source,omitempty"`
 	Prompt        string         `json:"prompt,omitempty"`
 	Tokens        []core.Token   `json:"tokens,omitempty"`
-	SilenceMillis int64          `json:"silence_millis"`
+	TimeoutMillis int64          `json:"silence_millis"`
 }
 
 // RebuildReply answers a RebuildOrder.
@@ -98,8 +98,8 @@
 	Version  string       `json:"version"`
 	Adapters []string     `json:"adapters,omitempty"`
 	Layers   config.Range `json:"layers"`
-	// LifeMillis is how long the engine may still begin to execute the order.
-	LifeMillis int64 `json:"life_millis"`
+	// TTLMillis is how long the engine may still begin to execute the order.
+	TTLMillis int64 `json:"life_millis"`
 }
 
 // OrderResult is the outcome of a PlaceOrder.
--- a/internal/target/retry_after.go
+++ b/internal/target/retry_after.go
@@ -21,10 +21,10 @@
 // a time without overflow.
 const maxBackoff = 100 * 365 * 24 * time.Hour
 
-// BackoffUntil returns until when a target that rejected a request accepts no more, or zero if
+// ParseBackoff returns until when a target that rejected a request accepts no more, or zero if
 // it requests no backoff. The latest of several times counts; an error says that one can't be
 // parsed.
-func BackoffUntil(status int, h http.Header, now time.Time) (until time.Time, err error) {
+func ParseBackoff(status int, h http.Header, now time.Time) (until time.Time, err error) {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return time.Time{}, nil
 	}
--- a/internal/target/silence.go
+++ b/internal/target/silence.go
@@ -36,7 +36,7 @@
 const probeNumber = 0
 
 // WithSilence returns a Client with run links of its own. It closes silent connections within
-// bound and reports them to onSilent; a bound of zero leaves them to the kernel.
+// bound and reports them to connectionSilent; a bound of zero leaves them to the kernel.
 func (c *Client) WithSilence(bound time.Duration, onSilent SilentFunc) *Client {
 	next := *c
 	next.silence = silenceDetection{bound: bound, onSilent: onSilent}
@@ -112,15 +112,15 @@
 	now := time.Now()
 	l.mu.Lock()
 	l.armed = false
-	age, timeout := l.state.OpenFor(now), l.state.Patience()
-	state, action := l.state.Look(now)
+	age, timeout := l.state.UnackedFor(now), l.state.ProbeTimeout()
+	state, action := l.state.Check(now)
 	l.state = state
-	if action == silence.Ask {
-		l.state = state.Asked(now)
+	if action == silence.SendProbe {
+		l.state = state.Probed(now)
 		_ = l.writer.Write(RunLine{Number: probeNumber}) // a probe that can't be sent remains unanswered
 	}
 	// The next check may become due before the link is broken.
-	expired := action == silence.Void && !l.broken && !l.silent
+	expired := action == silence.ConnSilent && !l.broken && !l.silent
 	l.silent = l.silent || expired
 	l.arm(now)
 	l.mu.Unlock()
--- a/internal/target/silence_test.go
+++ b/internal/target/silence_test.go
@@ -21,9 +21,9 @@
 const silenceBound = 800 * time.Millisecond
 
 // newRelayFor starts a relay in front of a server; it is closed at the end of the test.
-func newRelayFor(t *testing.T, server *httptest.Server) *fake.Relay {
+func newRelayFor(t *testing.T, server *httptest.Server) *fake.Proxy {
 	t.Helper()
-	relay, err := fake.NewRelay("127.0.0.1:0", server.Listener.Addr().String())
+	relay, err := fake.NewProxy("127.0.0.1:0", server.Listener.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(relay.Close)
 	return relay
@@ -62,7 +62,7 @@
 		now := time.Now()
 		return client.Run(t.Context(), core.Run{
 			Stream: "s", Position: position, Chain: []core.Stage{{Target: "e1", Address: relay.Address()}},
-			Silence: now.Add(time.Minute), NotAfter: now.Add(time.Minute),
+			ReplyDeadline: now.Add(time.Minute), NotAfter: now.Add(time.Minute),
 		})
 	}
 	require.Equal(t, core.ResultDone, run(0).Result)
@@ -74,7 +74,7 @@
 	}
 	all.Wait()
 	require.Equal(t, 1, found.count("runs"))
-	require.Equal(t, 2, relay.Joined())
+	require.Equal(t, 2, relay.ConnectionCount())
 }
 
 // An engine that takes long to run an order still answers probes on its link.
@@ -97,7 +97,7 @@
 	_, err = client.RunOrder(t.Context(), relay.Address(), order)
 	require.NoError(t, err)
 	require.Zero(t, found.count("runs"))
-	require.Equal(t, 1, relay.Joined())
+	require.Equal(t, 1, relay.ConnectionCount())
 }
 
 // A target whose reused connection had fallen silent was counted as unreachable.
--- a/internal/wire/dial.go
+++ b/internal/wire/dial.go
@@ -27,25 +27,25 @@
 	unackedTimeout = 1500 * time.Millisecond
 )
 
-// Keys are the certificate and authority for mutual TLS. The zero value means
+// Credentials are the certificate and authority for mutual TLS. The zero value means
 // plain text.
-type Keys struct{ config *tls.Config }
+type Credentials struct{ config *tls.Config }
 
-// LoadKeys reads a certificate, its key and the authority from PEM files.
-func LoadKeys(certificate, key, authority string) (Keys, error) {
+// LoadCredentials reads a certificate, its key and the authority from PEM files.
+func LoadCredentials(certificate, key, authority string) (Credentials, error) {
 	pair, err := tls.LoadX509KeyPair(certificate, key)
 	if err != nil {
-		return Keys{}, fmt.Errorf("keys: %w; check tls.certificate and tls.key", err)
+		return Credentials{}, fmt.Errorf("keys: %w; check tls.certificate and tls.key", err)
 	}
 	pem, err := os.ReadFile(authority)
 	if err != nil {
-		return Keys{}, fmt.Errorf("keys: %w; check tls.authority", err)
+		return Credentials{}, fmt.Errorf("keys: %w; check tls.authority", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return Keys{}, fmt.Errorf("keys: no certificate in %s; name the authority's PEM file", authority)
+		return Credentials{}, fmt.Errorf("keys: no certificate in %s; name the authority's PEM file", authority)
 	}
-	return Keys{config: &tls.Config{
+	return Credentials{config: &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		Certificates: []tls.Certificate{pair},
 		RootCAs:      pool,
@@ -55,7 +55,7 @@
 }
 
 // Listener wraps l so that it accepts only peers with a valid certificate.
-func (k Keys) Listener(l net.Listener) net.Listener {
+func (k Credentials) Listener(l net.Listener) net.Listener {
 	if k.config == nil {
 		return l
 	}
@@ -96,10 +96,10 @@
 }
 
 // Dial connects to the peer address of a daemon.
-func (k Keys) Dial(ctx context.Context, address string) (*drpcconn.Conn, error) {
+func (k Credentials) Dial(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	dialer := net.Dialer{Control: Unacked(unackedTimeout)}
+	dialer := net.Dialer{Control: TCPUserTimeout(unackedTimeout)}
 	raw, err := DialWithRetry(ctx, attemptTimeout, func(ctx context.Context) (net.Conn, error) {
 		return dialer.DialContext(ctx, "tcp", address)
 	})
--- a/internal/wire/socket.go
+++ b/internal/wire/socket.go
@@ -9,10 +9,10 @@
 // tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 18
 
-// Unacked returns a Control function for a net.Dialer that bounds how long sent bytes may
+// TCPUserTimeout returns a Control function for a net.Dialer that bounds how long sent bytes may
 // stay unacknowledged before the kernel breaks the connection. Behind a network partition
 // nothing else would end it.
-func Unacked(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
+func TCPUserTimeout(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failed error
 		err := raw.Control(func(fd uintptr) {
--- a/query/query.go
+++ b/query/query.go
@@ -27,31 +27,31 @@
 	"github.com/spoolbank/spoolbank/internal/core/config"
 )
 
-// What names a list that the show statement prints.
-type What string
+// ListName names a list that the show statement prints.
+type ListName string
 
 // The lists that the show statement prints.
 const (
-	Config        What = "config"
-	Events        What = "events"
-	Leases        What = "leases"
-	Limits        What = "limits"
-	Models        What = "models"
-	Organisations What = "organisations"
-	Pipelines     What = "pipelines"
-	Quarantine    What = "quarantine"
-	Replicas      What = "replicas"
-	Requests      What = "requests"
-	Backoffs      What = "backoffs"
-	Services      What = "services"
-	Targets       What = "targets"
-	Unread        What = "unread"
-	VMs           What = "vms"
+	Config        ListName = "config"
+	Events        ListName = "events"
+	Leases        ListName = "leases"
+	Limits        ListName = "limits"
+	Models        ListName = "models"
+	Organisations ListName = "organisations"
+	Pipelines     ListName = "pipelines"
+	Quarantine    ListName = "quarantine"
+	Replicas      ListName = "replicas"
+	Requests      ListName = "requests"
+	Backoffs      ListName = "backoffs"
+	Services      ListName = "services"
+	Targets       ListName = "targets"
+	Unread        ListName = "unread"
+	VMs           ListName = "vms"
 )
 
 // Lists returns the names of all lists that can be shown, sorted.
-func Lists() []What {
-	return []What{Backoffs, Config, Events, Leases, Limits, Models, Organisations, Pipelines, Quarantine, Replicas, Requests, Services, Targets, Unread, VMs}
+func Lists() []ListName {
+	return []ListName{Backoffs, Config, Events, Leases, Limits, Models, Organisations, Pipelines, Quarantine, Replicas, Requests, Services, Targets, Unread, VMs}
 }
 
 // Statement is a parsed statement. Exactly one field is set.
@@ -69,14 +69,14 @@
 
 // Show requests the rows of a list that meet all conditions.
 type Show struct {
-	What  What
+	List  ListName
 	Where []Condition
 }
 
 // Local reports whether each VM has only its own rows of the list, so that the
 // client must query every VM.
 func (s Show) Local() bool {
-	return s.What == Requests || s.What == Backoffs || s.What == Limits || s.What == Unread
+	return s.List == Requests || s.List == Backoffs || s.List == Limits || s.List == Unread
 }
 
 // Condition compares a field of a row with a value.
@@ -314,11 +314,11 @@
 var drainable = []config.Kind{config.KindTarget, config.KindVM}
 
 func (s showNode) show() (*Show, error) {
-	what := What(s.What)
+	what := ListName(s.What)
 	if !slices.Contains(Lists(), what) {
 		return nil, &SyntaxError{s.Pos.Column, fmt.Sprintf("there is no list %q; use one of %v", s.What, Lists())}
 	}
-	show := &Show{What: what}
+	show := &Show{List: what}
 	for _, c := range s.Where {
 		show.Where = append(show.Where, Condition{Field: c.Field, Column: c.Pos.Column, Op: Op(c.Op), Value: c.Value})
 	}
