--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -130,7 +130,7 @@
 	}
 	defer f.close()
 	if _, err := os.Stat(f.filePath(fileIdentity)); err == nil {
-		return fmt.Errorf("%w: %s already belongs to a cluster; bootstrap runs once, on one VM with an empty folder", ErrInUse, path)
+		return fmt.Errorf("%w: %s belongs to a cluster already; bootstrap is done once, on one VM with an empty folder", ErrInUse, path)
 	}
 	cluster := make([]byte, 8)
 	if _, err := rand.Read(cluster); err != nil {
