--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -41,7 +41,7 @@
 }
 
 // run advances time while the target sends heartbeats. Entry VMs report its notice as a router
-// does: until a target report that they receive says the same.
+// does: until a target report that they receive confirms it.
 func (f *drainingFleet) run(d time.Duration) {
 	for until := f.now.Add(d); f.now.Before(until); {
 		f.hallFleet.run(tickEvery)
@@ -72,7 +72,7 @@
 }
 
 // A draining notice with an answer to an entry VM has the same effect for all VMs as a
-// heartbeat that says so, whatever the target's heartbeats say, whichever VM receives them and
+// heartbeat with that mark, whatever the target's heartbeats contain, whichever VM receives them and
 // whatever is lost.
 func TestDrainingNoticeReachesAllVMs(t *testing.T) {
 	for name, disturb := range map[string]func(f *drainingFleet){
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -113,7 +113,7 @@
 	Target string
 	Result RunResult
 	Answer CallAnswer
-	// ParseBackoff is the end of the backoff that the target requests of this VM; zero where
+	// BackoffUntil is the end of the backoff that the target requests of this VM; zero where
 	// it requests none.
 	BackoffUntil time.Time
 	// Limit is the rate limit that the target reports; its ReceivedAt is zero where it reports none.
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -188,8 +188,8 @@
 	// usage counts the requests and repeats of usageBy entry VMs, by service.
 	usage   map[string]relay.Usage
 	usageBy int
-	// marks are those of silent targets, of targets that far more entry VMs find dead than
-	// sound, of engines that are to give up layers, and of slow or limited targets.
+	// marks are those of silent targets, of targets that far more entry VMs find failed than
+	// healthy, of engines that are to give up layers, and of slow or limited targets.
 	marks map[relay.TargetKey]relay.Mark
 }
 
@@ -240,7 +240,7 @@
 	return l.fleet
 }
 
-// marksOf returns the marks of targets, given how many entry VMs find each one dead or sound.
+// marksOf returns the marks of targets, given how many entry VMs find each failed or healthy.
 //
 // An engine that holds no layers yet isn't marked: an order takes nothing from its users. At a
 // start all engines are ordered at once.
--- a/internal/core/leading.go
+++ b/internal/core/leading.go
@@ -49,7 +49,7 @@
 	// quarantine is proposed and not committed yet.
 	suspects     relay.Suspects
 	quarantining map[relay.Fingerprint]bool
-	// lender grants the permits of rate-limited targets to entry VMs.
+	// permits grants the permits of rate-limited targets to entry VMs.
 	lender *relay.PermitAllocator[ReplicaID]
 	// workCompleteAt is when the work of all entry VMs is known after an election.
 	workCompleteAt time.Time
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -94,8 +94,8 @@
 	Number      uint64 `cbor:"number"`
 }
 
-// StartReply answers the StartQuery of incarnation RequesterIncarnation with the sender's incarnation and
-// the end of its log.
+// StartReply answers the StartQuery of incarnation RequesterIncarnation with the sender's
+// incarnation and the end of its log.
 type StartReply struct {
 	RequesterIncarnation uint64 `cbor:"asked_by"`
 	Number               uint64 `cbor:"number"`
@@ -145,7 +145,7 @@
 }
 
 // Join asks the leader to add a replica as a learner. A VM that is not the leader
-// forwards it, with the replica that asked in For.
+// forwards it, with the requesting replica in For.
 type Join struct {
 	For ReplicaID `cbor:"for"`
 	// Volatile is set when the replica has no disk.
@@ -184,7 +184,7 @@
 	HallUnreachable bool `cbor:"away,omitempty"`
 	// Leaving asks to be left out of the addresses given to callers.
 	Leaving bool `cbor:"leaving"`
-	// AnswersInProgress is the number of requests in progress. Load is in thousandths of capacity.
+	// InProgress is the number of requests in progress. Load is in thousandths of capacity.
 	InProgress int            `cbor:"in_progress"`
 	Load       int            `cbor:"load"`
 	Reports    []TargetReport `cbor:"reports,omitempty"`
@@ -196,7 +196,7 @@
 	Work map[relay.TargetKey]relay.Work `cbor:"work,omitempty"`
 	// Usage is the entry VM's requests and repeats in the last window, by service.
 	Usage map[string]relay.Usage `cbor:"usage,omitempty"`
-	// Failed lists the targets that failed recently without a success since, Sound
+	// Failed lists the targets that failed recently without a success since, Healthy
 	// those that served successfully.
 	Failed  []relay.TargetKey `cbor:"dead,omitempty"`
 	Healthy []relay.TargetKey `cbor:"well,omitempty"`
@@ -239,7 +239,7 @@
 	// Usage is the sum of their requests and repeats, VMs the number of entry VMs.
 	Usage map[string]relay.Usage `cbor:"usage,omitempty"`
 	VMs   int                    `cbor:"vms"`
-	// Failed and Sound count the entry VMs that reported a target as such.
+	// Failed and Healthy count the entry VMs that reported a target as such.
 	Failed  map[relay.TargetKey]int `cbor:"dead,omitempty"`
 	Healthy map[relay.TargetKey]int `cbor:"well,omitempty"`
 	// Slow lists the targets that report themselves as slow to any of them, sorted.
@@ -324,7 +324,7 @@
 	Revision config.Revision `cbor:"revision"`
 	Deltas   []Delta         `cbor:"deltas,omitempty"`
 	State    *config.State   `cbor:"state,omitempty"`
-	// ViewVersion is the version of the list of entry VMs after View and Gone
+	// ViewVersion is the version of the list of entry VMs after View and Removed
 	// are applied, which hold the changes since the holder's version. With
 	// ViewComplete, View is the whole list.
 	ViewVersion  uint64      `cbor:"view_version"`
--- a/internal/core/own_limits.go
+++ b/internal/core/own_limits.go
@@ -45,7 +45,7 @@
 	return n.entry.limits.PerSecond(id, n.now) > 0 && n.entry.limits.Take(id, n.now)
 }
 
-// notePermitDemand records that work waits for the runners of a pool, and requests permits if any
+// wantPermits records that work waits for the runners of a pool, and requests permits if any
 // route lacks one.
 func (n *Node) wantPermits(p *pool) {
 	short := false
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -83,8 +83,8 @@
 	// be made.
 	enginesSeen int
 	settledAt   time.Time
-	// By service, noted holds what was last logged of the plan and its faults, holds the
-	// capacity of the layers that engines hold, and capacityAt when that is updated next.
+	// logged, by service, is what was last logged of the plan and its faults, capacity that of
+	// the layers that engines hold, and capacityAt when that is updated next.
 	logged     map[string]planLog
 	capacity   map[string]relay.Capacity
 	capacityAt map[string]time.Time
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -48,7 +48,7 @@
 // than a request. An entry VM also reports such notices with its renewals.
 type TargetDrains struct{ Target relay.TargetID }
 
-// TargetReportReply answers TargetSpoke. Taken is false where the target should report to another
+// TargetReportReply answers TargetSpoke. Accepted is false where the target should report to another
 // control VM.
 type TargetReportReply struct {
 	Conn     ConnID
@@ -58,7 +58,7 @@
 }
 
 // WorkCounted is the work of this VM in flight at targets, and which of them it has recently
-// found dead or sound.
+// found failed or healthy.
 type WorkCounted struct {
 	Work map[relay.TargetKey]relay.Work
 	// Usage counts this VM's requests and repeats in the last window, by service.
@@ -74,8 +74,8 @@
 // TargetsLearned passes new reports of targets to the runtime.
 type TargetsLearned struct{ Targets []relay.Target }
 
-// TargetsEnded tells the runtime which incarnations of targets have ended because a later one
-// has begun. Teller is the VM that reported it: a control VM, or this VM if the target reported
+// TargetsEnded reports to the runtime which incarnations of targets have ended because a later
+// one has begun. ReportedBy is the VM that reported it: a control VM, or this VM if the target reported
 // to it.
 type TargetsEnded struct {
 	Ended      []relay.Succession
@@ -130,7 +130,7 @@
 	// partition between VMs lasts.
 	targetExpiry = 60 * time.Second
 	// minDeadFindings is the number of entry VMs that must find a target dead, and deadRatio how
-	// many must for each that finds it sound. VMs partitioned from targets find all of them
+	// many must for each that finds it healthy. VMs partitioned from targets find all of them
 	// dead, and are fewer than the others.
 	minDeadFindings = 2
 	deadRatio       = 2
--- a/internal/core/spread_property_test.go
+++ b/internal/core/spread_property_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// speak sends a target's report to a control VM.
+// report sends a target's report to a control VM.
 func (s *registryCluster) speak(id relay.TargetID, to core.VMName) {
 	target := s.truth[id]
 	target.Call++
--- a/internal/relay/ask.go
+++ b/internal/relay/ask.go
@@ -7,8 +7,8 @@
 	Route *Route
 	// Service is set if the request has already been sent to a target of that service.
 	Service string
-	// Prompt is the number of tokens of a stream's prompt, Most the limit on the tokens of
-	// its answer, and Hint the caller's estimate of them. Most and Hint are 0 if the caller
+	// Prompt is the number of tokens of a stream's prompt, MaxTokens the limit on the tokens
+	// of its answer, and LengthHint the caller's estimate of them. Both are 0 if the caller
 	// gives none.
 	Prompt, MaxTokens, LengthHint int
 	// Avoid lists targets that have failed this request.
--- a/internal/relay/backoffs.go
+++ b/internal/relay/backoffs.go
@@ -41,7 +41,7 @@
 	// again may ask for a year.
 	maxBackoffs = 4096
 	// minReturnSpread is the least time over which callers that were refused because of backoffs are
-	// told to come back: a target serves some ten requests a slot in it.
+	// asked to retry: a target serves some ten requests a slot in it.
 	minReturnSpread = 500 * time.Millisecond
 )
 
--- a/internal/relay/backoffs_test.go
+++ b/internal/relay/backoffs_test.go
@@ -102,7 +102,7 @@
 	require.Equal(t, relay.TargetID("i-3"), picked(t, r, a, start))
 }
 
-// Requests to a service that VMs back off from are refused at once. Their callers are told to
+// Requests to a service that VMs back off from are refused at once. Their callers are asked to
 // come back when the first target may be asked again, spread over as long a time as they were
 // refused for.
 func TestRefusedCallersReturnSpreadAfterFirstBackoff(t *testing.T) {
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -34,7 +34,7 @@
 	// joined and are not known everywhere.
 	budgetUsableShare = 0.95
 	// unstartedShare is the part of a VM's own budget for requests whose callers have received
-	// nothing yet: they can be told to come back, and a stream in mid-answer can't.
+	// nothing yet: they can be asked to retry, and a stream in mid-answer can't.
 	// pooledUnstartedShare is that of the budget of all VMs, which is divided more finely: what
 	// is kept back covers the loss of an engine that 130 streams pass, of a bound of 900.
 	unstartedShare       = 0.6
@@ -75,15 +75,15 @@
 	repeats  window
 	// recent counts the repeats of the last sumsTTL.
 	recent window
-	// drawn, from 0 to 1, decides about the fraction of a part: it counts as one repeat if the
-	// sum of both is at least 1.
+	// roundUp, from 0 to 1, decides about the fraction of a part: it counts as one repeat if
+	// the sum of both is at least 1.
 	roundUp float64
 }
 
-// fleetUsage are the usage of all VMs together.
+// fleetUsage is the usage of all VMs together.
 type fleetUsage struct {
 	usage map[string]Usage
-	// vms is the number of VMs in them, and until when they count.
+	// vms is the number of VMs in it, and until when it counts.
 	vms   int
 	until time.Time
 }
--- a/internal/relay/candidates.go
+++ b/internal/relay/candidates.go
@@ -33,7 +33,7 @@
 	// ownWorkAtReport is the work of this VM when the work of the others was last reported.
 	ownWorkAtReport Work
 	// silent is set if no VM has received a recent heartbeat of the target, or if at least
-	// twice as many entry VMs find it dead as find it sound. moving is set if it was ordered
+	// twice as many entry VMs find it failed as find it healthy. moving is set if it was ordered
 	// to hold other layers.
 	silent bool
 	moving bool
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -133,8 +133,8 @@
 
 // Findings is what a VM has recently found of targets, sorted.
 type Findings struct {
-	// Dead are those that have failed and done nothing since, Sound those where a request has
-	// succeeded since the last failure.
+	// Failed are those that have failed and done nothing since, Healthy those where a request
+	// has succeeded since the last failure.
 	Dead, Sound []TargetKey
 	// Slow are those that report that they are slow.
 	Slow []TargetKey
--- a/internal/relay/incarnation.go
+++ b/internal/relay/incarnation.go
@@ -105,7 +105,7 @@
 	Call uint64   `cbor:"call"`
 }
 
-// absence is a Missed with the time at which it was recorded here.
+// absence is an AbsenceNote with the time at which it was recorded here.
 type absence struct {
 	call uint64
 	at   time.Time
--- a/internal/relay/lender.go
+++ b/internal/relay/lender.go
@@ -100,7 +100,7 @@
 	Answer LimitAnswer
 	// Wanted counts the requests of the last second that wanted the target.
 	Wanted int
-	// Left is the permits that it holds, and Taken the number of the last grant that it accepted.
+	// Left is the permits that it holds, and Taken the number of the last grant it accepted.
 	Left  int
 	Taken uint64
 	// Unpaid counts what it has sent without a permit since it began to keep the limit, and
@@ -121,11 +121,12 @@
 	Count int `cbor:"count"`
 }
 
-// PermitAllocator grants the permits of limited targets to holders. It is not safe for concurrent use.
+// PermitAllocator grants the permits of limited targets to holders. It is not safe for concurrent
+// use.
 type PermitAllocator[Holder comparable] struct {
 	rand *rand.Rand
 	life time.Duration
-	// readyAt is when the permits of the previous lender have expired.
+	// readyAt is when the permits of the previous allocator have expired.
 	readyAt time.Time
 	limits  map[TargetKey]*sharedLimit[Holder]
 }
@@ -168,8 +169,8 @@
 	count  int
 }
 
-// NewPermitAllocator returns a Lender that knows no limit, and that replaces another one. Life is how long
-// it counts a permit as outstanding: PermitTTL, lengthened by the bound on the drift of clocks.
+// NewPermitAllocator returns a PermitAllocator that knows no limit and replaces another one. ttl is
+// how long it counts a permit as outstanding: PermitTTL, lengthened by the bound on clock drift.
 func NewPermitAllocator[Holder comparable](seed uint64, life time.Duration, now time.Time) *PermitAllocator[Holder] {
 	return &PermitAllocator[Holder]{rand: rand.New(rand.NewPCG(seed, 1)), life: life, readyAt: now.Add(life), limits: make(map[TargetKey]*sharedLimit[Holder])}
 }
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -38,8 +38,8 @@
 	answer LimitAnswer
 	// perSecond is the limit that was last received from the target or the leader.
 	perSecond float64
-	// marked indicates that the leader marks the target as limited; otherwise what the leader has
-	// reported counts until knownUntil.
+	// knownUntil is until when what the leader has reported counts, unless marked is set: the
+	// leader marks the target as limited.
 	knownUntil time.Time
 	marked     bool
 	heldPermits
@@ -266,7 +266,7 @@
 	m.reserved++
 }
 
-// Use ends a reservation. Sent indicates that its request goes to the target now; Use reports
+// Use ends a reservation. sent indicates that its request goes to the target now; Use reports
 // whether it may.
 func (l *RateLimits) Use(id TargetID, sent bool, now time.Time) bool {
 	known, ok := l.byTarget[id.Key()]
--- a/internal/relay/notice.go
+++ b/internal/relay/notice.go
@@ -12,7 +12,7 @@
 type Notice struct {
 	// Leaving indicates that it is about to end.
 	Leaving bool
-	// ParseBackoff is until when it accepts nothing from this VM; zero if it asks for no backoff.
+	// BackoffUntil is until when it accepts nothing from this VM; zero if it asks for no backoff.
 	BackoffUntil time.Time
 	// Limited indicates that it accepts no more than Limit requests a second, from all VMs
 	// together, Unlimited that it names no such limit. Neither is set if that cannot be
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -27,7 +27,7 @@
 	// costs a short question to each engine of a path, and with this value there is one in 22
 	// answers of 46 events.
 	pausesPerOverdue = 1000
-	// initialOverdueMultiple is the multiple until pauses have changed it: few answers of sound
+	// initialOverdueMultiple is the multiple until pauses have changed it: few answers of healthy
 	// engines have a longer pause. minOverdueMultiple and maxOverdueMultiple bound it.
 	initialOverdueMultiple = 2.0
 	minOverdueMultiple     = 1.6
@@ -87,7 +87,7 @@
 	return time.Duration(firstEventMultiple * r.meanFirstEvent.value)
 }
 
-// ObservePause records the pause before an event of an answer over sound engines, which moves the
+// ObservePause records the pause before an event of an answer over healthy engines, which moves the
 // estimate of pauses. Where pauses differ much, as under more requests than there is capacity
 // for, ten needless checks are enough to raise the multiple by one.
 func (r *Router) ObservePause(before Pace, pause time.Duration) {
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -19,7 +19,7 @@
 	Slots       int      `cbor:"slots"`
 	// Call is the number of the message with this report; a higher one is newer.
 	Call uint64 `cbor:"call"`
-	// Leaving targets accept no new work. Gone ones have signed off. Neither is ever reset for
+	// Leaving targets accept no new work; Gone ones have signed off. Neither is ever reset for
 	// this incarnation.
 	Leaving bool `cbor:"leaving,omitempty"`
 	Gone    bool `cbor:"gone,omitempty"`
@@ -266,7 +266,7 @@
 	return r.find(func(e entry) bool { return e.changed > change })
 }
 
-// ListedChangedSince is Since without the engines that are withheld.
+// ListedChangedSince is ChangedSince without the engines that are withheld.
 func (r *Registry) ListedChangedSince(change uint64) []Target {
 	return r.find(func(e entry) bool { return e.changed > change && e.advertised() })
 }
--- a/internal/relay/repeat.go
+++ b/internal/relay/repeat.go
@@ -60,7 +60,7 @@
 }
 
 // maxAsked bounds the targets that are tried for a request that has not begun: its caller
-// can be told to retry. A request whose caller has a part of the answer is tried until the
+// can be asked to retry. A request whose caller has a part of the answer is tried until the
 // wait for it is over.
 const maxAsked = 4
 
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -230,7 +230,7 @@
 }
 
 // noRoomRefusal returns the refusal of a request that finds no target. If VMs back off from
-// targets, there is no room before a backoff ends: the caller is told to retry after that,
+// targets, there is no room before a backoff ends: the caller is asked to retry after that,
 // at a random time within another length of the backoff, so that no more callers return at
 // once than were refused.
 func (r *Router) noRoomRefusal(service string, a PathRequest, now time.Time) *Refusal {
