--- a/internal/core/change_log.go
+++ b/internal/core/change_log.go
@@ -70,22 +70,22 @@
 
 func (l *changeLog[V]) superseded(c targetChange) bool { return l.sent[c.target].number != c.number }
 
-// valueDelta has the changed values up to the number upto. If whole is set, the receiver's
+// valueDelta has the changed values up to the number through. If complete is set, the receiver's
 // number was not of this log: every other target has the zero value or is part of a later
 // delta.
 type valueDelta[V comparable] struct {
-	values map[relay.TargetKey]V
-	upto   uint64
-	whole  bool
+	values   map[relay.TargetKey]V
+	through  uint64
+	complete bool
 }
 
 // since returns the changes after a number: those of up to most targets, the oldest first.
 func (l *changeLog[V]) since(number uint64, most int) valueDelta[V] {
-	n := valueDelta[V]{values: make(map[relay.TargetKey]V), whole: number < l.first || number > l.last}
-	if n.whole {
+	n := valueDelta[V]{values: make(map[relay.TargetKey]V), complete: number < l.first || number > l.last}
+	if n.complete {
 		number = l.first
 	}
-	n.upto = number
+	n.through = number
 	next := sort.Search(len(l.changes), func(i int) bool { return l.changes[i].number > number })
 	for _, c := range l.changes[next:] {
 		if l.superseded(c) {
@@ -95,9 +95,9 @@
 			return n
 		}
 		n.values[c.target] = l.sent[c.target].value
-		n.upto = c.number
+		n.through = c.number
 	}
-	n.upto = l.last
+	n.through = l.last
 	return n
 }
 
@@ -113,8 +113,8 @@
 }
 
 // apply applies a delta. Targets with the zero value are removed.
-func (f *changeFollower[V]) apply(values map[relay.TargetKey]V, upto uint64, whole bool) {
-	if whole {
+func (f *changeFollower[V]) apply(values map[relay.TargetKey]V, through uint64, complete bool) {
+	if complete {
 		clear(f.values)
 	}
 	maps.Copy(f.values, values)
@@ -124,5 +124,5 @@
 			delete(f.values, key)
 		}
 	}
-	f.seen = upto
+	f.seen = through
 }
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -24,7 +24,7 @@
 	heartbeatsTo core.VMName
 	silent       bool
 	target       relay.Target
-	beatAt       time.Time
+	heartbeatAt  time.Time
 }
 
 func newDrainingFleet(t require.TestingT) *drainingFleet {
@@ -52,12 +52,12 @@
 			}
 			f.found[vm] = found
 		}
-		if f.silent || f.now.Before(f.beatAt) {
+		if f.silent || f.now.Before(f.heartbeatAt) {
 			continue
 		}
-		f.beatAt = f.now.Add(heartbeatInterval)
+		f.heartbeatAt = f.now.Add(heartbeatInterval)
 		f.target.Call++
-		f.speak(f.heartbeatsTo, f.target)
+		f.sendReport(f.heartbeatsTo, f.target)
 	}
 }
 
@@ -72,8 +72,8 @@
 }
 
 // A draining notice with an answer to an entry VM has the same effect for all VMs as a
-// heartbeat with that mark, whatever the target's heartbeats contain, whichever VM receives them and
-// whatever is lost.
+// heartbeat with that mark, whatever the target's heartbeats contain, whichever VM receives them
+// and whatever is lost.
 func TestDrainingNoticeReachesAllVMs(t *testing.T) {
 	for name, disturb := range map[string]func(f *drainingFleet){
 		"no fault":                            func(*drainingFleet) {},
@@ -151,10 +151,10 @@
 	f.silent = true
 	old, next := relay.NewTargetID("i-2", 100), relay.NewTargetID("i-2", 200)
 	target := relay.Target{ID: old, Service: "s", Address: "10.1.0.2:80", Hall: "hall2", Slots: 6, Call: 1}
-	f.speak("c2-0", target)
+	f.sendReport("c2-0", target)
 	f.run(time.Second)
 	target.ID = next
-	f.speak("c2-0", target)
+	f.sendReport("c2-0", target)
 	f.found["e0-0"] = relay.Findings{Leaving: []relay.TargetID{old}}
 	f.run(3 * time.Second)
 	for _, vm := range f.entries() {
@@ -171,7 +171,7 @@
 	ready := f.target
 	ready.Call += 100
 	ready.Slots = 12
-	news := core.RegistryUpdate{Incarnation: 99, Upto: 1, Targets: []relay.Target{ready}}
+	news := core.RegistryUpdate{Incarnation: 99, Through: 1, Targets: []relay.Target{ready}}
 	f.step("e0-0", core.Received{Envelope: core.Envelope{From: core.ReplicaID{VM: "c1-1", Incarnation: 99}, To: "e0-0", Body: core.Message{TargetNews: &news}}})
 	require.Equal(t, ready.Slots, f.learned["e0-0"][drainingTarget].Slots)
 	require.True(t, f.learned["e0-0"][drainingTarget].Leaving)
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -73,7 +73,7 @@
 	f := n.leader.fleetNow(n)
 	report := &fleetReport{
 		term: n.replica.hard.Term, leader: n.settings.Self.VM, vms: f.vms,
-		workKnown: n.knowsWork(), work: n.leader.work, marks: n.leader.marks, usage: f.usage, usageBy: f.usageBy,
+		workKnown: n.knowsWork(), work: n.leader.work, marks: n.leader.marks, usage: f.usage, usageVMs: f.usageVMs,
 	}
 	if !n.now.Before(n.leader.viewCompleteAt) {
 		report.view = n.leader.view
@@ -85,15 +85,15 @@
 func (t *fleetReport) addToGrant(g *Grant, to Renew) {
 	g.VMs = t.vms
 	marks := t.marks.since(to.MarksSeen, maxMarksPerGrant)
-	g.Marks, g.MarksThrough, g.MarksComplete = marks.values, marks.upto, marks.whole
+	g.Marks, g.MarksThrough, g.MarksComplete = marks.values, marks.through, marks.complete
 	if !t.workKnown {
 		g.WorkThrough = to.WorkSeen
 		return
 	}
 	g.WorkReported = true
-	g.Usage, g.UsageVMs = t.usage, t.usageBy
+	g.Usage, g.UsageVMs = t.usage, t.usageVMs
 	work := t.work.since(to.WorkSeen, maxWorkPerGrant)
-	g.Others, g.WorkThrough, g.OthersComplete = work.values, work.upto, work.whole
+	g.Others, g.WorkThrough, g.OthersComplete = work.values, work.through, work.complete
 	for key, w := range g.Others {
 		g.Others[key] = w.Minus(to.Work[key])
 	}
@@ -104,15 +104,15 @@
 	f := n.leader.fleetNow(n)
 	g.VMs = f.vms
 	marks := n.leader.marks.since(b.MarksSeen, maxTargetsPerBatch)
-	g.Marks, g.MarksThrough, g.MarksComplete = marks.values, marks.upto, marks.whole
+	g.Marks, g.MarksThrough, g.MarksComplete = marks.values, marks.through, marks.complete
 	if !n.knowsWork() {
 		g.WorkThrough = b.WorkSeen
 		return
 	}
 	g.WorkReported = true
-	g.Usage, g.UsageVMs = f.usage, f.usageBy
+	g.Usage, g.UsageVMs = f.usage, f.usageVMs
 	work := n.leader.work.since(b.WorkSeen, maxTargetsPerBatch)
-	g.Work, g.WorkThrough, g.WorkComplete = work.values, work.upto, work.whole
+	g.Work, g.WorkThrough, g.WorkComplete = work.values, work.through, work.complete
 }
 
 // knowsWork reports whether this leader knows the work of all entry VMs.
@@ -185,9 +185,9 @@
 	at   time.Time
 	vms  int
 	work map[relay.TargetKey]relay.Work
-	// usage counts the requests and repeats of usageBy entry VMs, by service.
-	usage   map[string]relay.Usage
-	usageBy int
+	// usage counts the requests and repeats of usageVMs entry VMs, by service.
+	usage    map[string]relay.Usage
+	usageVMs int
 	// marks are those of silent targets, of targets that far more entry VMs find failed than
 	// healthy, of engines that are to give up layers, and of slow or limited targets.
 	marks map[relay.TargetKey]relay.Mark
@@ -201,11 +201,11 @@
 		return l.fleet
 	}
 	l.fleet = fleet{at: n.now, work: make(map[relay.TargetKey]relay.Work), usage: make(map[string]relay.Usage)}
-	dead := make(map[relay.TargetKey]int)
-	sound := make(map[relay.TargetKey]int)
+	failed := make(map[relay.TargetKey]int)
+	healthy := make(map[relay.TargetKey]int)
 	var slow []relay.TargetKey
 	add := func(part FleetAggregate) {
-		l.fleet.usageBy += part.VMs
+		l.fleet.usageVMs += part.VMs
 		for service, s := range part.Usage {
 			l.fleet.usage[service] = l.fleet.usage[service].Plus(s)
 		}
@@ -213,10 +213,10 @@
 			l.fleet.work[id] = l.fleet.work[id].Plus(w)
 		}
 		for id, vms := range part.Failed {
-			dead[id] += vms
+			failed[id] += vms
 		}
 		for id, vms := range part.Healthy {
-			sound[id] += vms
+			healthy[id] += vms
 		}
 		slow = append(slow, part.Slow...)
 	}
@@ -228,12 +228,12 @@
 	}
 	l.fleet.vms = n.entriesKnown()
 	l.work.update(l.fleet.work)
-	l.fleet.marks = n.marksOf(dead, sound)
+	l.fleet.marks = n.marksOf(failed, healthy)
 	for _, key := range slow {
 		l.fleet.marks[key] = l.fleet.marks[key].With(relay.MarkSlow)
 	}
-	l.lender.Forget(n.now)
-	for _, key := range l.lender.Limited() {
+	l.permitAllocator.Forget(n.now)
+	for _, key := range l.permitAllocator.Limited() {
 		l.fleet.marks[key] = l.fleet.marks[key].With(relay.MarkLimited)
 	}
 	l.marks.update(l.fleet.marks)
@@ -244,13 +244,13 @@
 //
 // An engine that holds no layers yet isn't marked: an order takes nothing from its users. At a
 // start all engines are ordered at once.
-func (n *Node) marksOf(dead, sound map[relay.TargetKey]int) map[relay.TargetKey]relay.Mark {
+func (n *Node) marksOf(failed, healthy map[relay.TargetKey]int) map[relay.TargetKey]relay.Mark {
 	marks := make(map[relay.TargetKey]relay.Mark)
 	for _, id := range n.silentTargets() {
 		marks[id.Key()] = relay.MarkSilent
 	}
-	for key, vms := range dead {
-		if vms >= minDeadFindings && vms >= deadRatio*sound[key] {
+	for key, vms := range failed {
+		if vms >= minFailedFindings && vms >= failedRatio*healthy[key] {
 			marks[key] = relay.MarkSilent
 		}
 	}
@@ -276,5 +276,5 @@
 		return
 	}
 	n.entry.workSeen, n.entry.marksSeen = g.WorkThrough, g.MarksThrough
-	n.emit(FleetLearned{LeaseUntil: n.entry.lease.until, VMs: g.VMs, Others: g.Others, OthersWhole: g.OthersComplete, OthersReported: g.WorkReported, Usage: g.Usage, UsageBy: g.UsageVMs, Marks: g.Marks, MarksWhole: g.MarksComplete})
+	n.emit(FleetLearned{LeaseUntil: n.entry.lease.until, VMs: g.VMs, Others: g.Others, OthersComplete: g.OthersComplete, OthersReported: g.WorkReported, Usage: g.Usage, UsageVMs: g.UsageVMs, Marks: g.Marks, MarksComplete: g.MarksComplete})
 }
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -57,14 +57,14 @@
 	each := int(int64(len(f.engines)) * int64(tickEvery) / int64(sizedHeartbeat))
 	for until := f.now.Add(d); f.now.Before(until); {
 		for range each {
-			f.speak(f.reported % len(f.engines))
+			f.sendReport(f.reported % len(f.engines))
 			f.reported++
 		}
 		f.run(tickEvery)
 	}
 }
 
-func (f *sizedFleet) speak(i int) {
+func (f *sizedFleet) sendReport(i int) {
 	e := &f.engines[i]
 	e.Call++
 	to := core.VMName(fmt.Sprintf("c%d-%d", i%sizedHalls, i/sizedHalls%sizedControls))
--- a/internal/core/followers.go
+++ b/internal/core/followers.go
@@ -21,7 +21,7 @@
 		n.updateAcknowledged(id, f)
 		return
 	}
-	if !f.Heartbeats && len(n.betterControls(f.Hall, f.Away)) > 0 {
+	if !f.Heartbeats && len(n.betterControls(f.Hall, f.HallUnreachable)) > 0 {
 		return
 	}
 	from := id.VM
@@ -106,7 +106,7 @@
 		inFlight[t.ID] = true
 	}
 	heartbeats := slices.DeleteFunc(n.registry.targets.HeartbeatsSince(f.heartbeatsAt), func(b relay.Heartbeat) bool { return inFlight[b.ID] })
-	n.send(vm, Message{TargetNews: &RegistryUpdate{Incarnation: n.settings.Seed, After: f.acknowledged, Upto: f.acknowledged, Heartbeats: heartbeats}})
+	n.send(vm, Message{TargetNews: &RegistryUpdate{Incarnation: n.settings.Seed, After: f.acknowledged, Through: f.acknowledged, Heartbeats: heartbeats}})
 }
 
 // noteLeaving records that some of the given targets are leaving.
@@ -128,7 +128,7 @@
 	f.leaving = n.registry.targets.Change()
 	leaving := slices.DeleteFunc(n.changedAfter(after, f.control), func(t relay.Target) bool { return t.AcceptsWork() })
 	if len(leaving) > 0 {
-		n.send(vm, Message{TargetNews: &RegistryUpdate{Incarnation: n.settings.Seed, After: f.acknowledged, Upto: f.acknowledged, Targets: leaving}})
+		n.send(vm, Message{TargetNews: &RegistryUpdate{Incarnation: n.settings.Seed, After: f.acknowledged, Through: f.acknowledged, Targets: leaving}})
 	}
 }
 
@@ -146,7 +146,7 @@
 	case whole:
 		targets = n.live(targets)
 	}
-	n.sendUpdate(vm, f, targets, RegistryUpdate{Whole: whole})
+	n.sendUpdate(vm, f, targets, RegistryUpdate{Complete: whole})
 }
 
 // push sends changes to all followers: all of them to entry VMs, and those that this VM
@@ -222,8 +222,8 @@
 func (n *Node) sendUpdate(vm VMName, f *follower, targets []relay.Target, update RegistryUpdate) {
 	update.Incarnation = n.settings.Seed
 	update.After = f.after
-	update.Upto = n.registry.targets.Change()
-	update.Missed = n.registry.targets.AbsenceNotes()
+	update.Through = n.registry.targets.Change()
+	update.AbsenceNotes = n.registry.targets.AbsenceNotes()
 	for _, t := range targets {
 		if n.registry.targets.UpdateSuffices(t.ID, f.after) {
 			update.Updates = append(update.Updates, t.Update())
@@ -235,9 +235,9 @@
 		update.Heartbeats = n.registry.targets.HeartbeatsSince(f.heartbeatsAt)
 		f.heartbeatsAt = n.now
 	}
-	f.after = update.Upto
+	f.after = update.Through
 	if len(targets) > 0 {
-		f.sent = update.Upto
+		f.sent = update.Through
 		transfer := time.Duration(len(targets)) * resendDelayPerTarget
 		f.resendAt = n.now.Add(min(initialResendDelay<<min(f.lost, maxResendDoublings), maxResendDelay) + transfer)
 		f.overdueAt = n.now.Add(initialResendDelay + transfer)
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -24,25 +24,25 @@
 	Acknowledge bool `cbor:"came,omitempty"`
 	// Digest is set if the asker knows targets but has received none from the receiver.
 	Digest relay.Digest `cbor:"digest,omitempty"`
-	// Hall is the asker's data hall. Away reports that no control VM of that hall has answered
-	// an entry VM.
-	Hall string `cbor:"hall,omitempty"`
-	Away bool   `cbor:"away,omitempty"`
+	// Hall is the asker's data hall. HallUnreachable reports that no control VM of that hall
+	// has answered an entry VM.
+	Hall            string `cbor:"hall,omitempty"`
+	HallUnreachable bool   `cbor:"away,omitempty"`
 }
 
-// RegistryUpdate carries the changes of a registry after After, up to Upto.
+// RegistryUpdate carries the changes of a registry after After, up to Through.
 type RegistryUpdate struct {
 	Incarnation uint64         `cbor:"life"`
 	After       uint64         `cbor:"after,omitempty"`
-	Upto        uint64         `cbor:"upto"`
+	Through     uint64         `cbor:"upto"`
 	Targets     []relay.Target `cbor:"targets,omitempty"`
 	// Updates are of targets that the receiver was sent up to After.
 	Updates    []relay.TargetUpdate `cbor:"updates,omitempty"`
 	Heartbeats []relay.Heartbeat    `cbor:"beats,omitempty"`
-	// Missed are incarnations that aren't current although they began last.
-	Missed []relay.AbsenceNote `cbor:"missed,omitempty"`
-	// Whole reports that these are all targets that the sender knows.
-	Whole bool `cbor:"whole,omitempty"`
+	// AbsenceNotes are incarnations that aren't current although they began last.
+	AbsenceNotes []relay.AbsenceNote `cbor:"missed,omitempty"`
+	// Complete reports that these are all targets that the sender knows.
+	Complete bool `cbor:"whole,omitempty"`
 }
 
 type position struct {
@@ -79,7 +79,7 @@
 		return
 	}
 	at, known := n.registry.followed[source]
-	ask := Follow{Incarnation: at.incarnation, After: at.after, Hall: n.settings.Address.Hall, Away: !n.entry.lease.ownHallRetryAt.IsZero()}
+	ask := Follow{Incarnation: at.incarnation, After: at.after, Hall: n.settings.Address.Hall, HallUnreachable: !n.entry.lease.ownHallRetryAt.IsZero()}
 	if !known && n.registry.fullState {
 		ask.Digest = n.registry.targets.Digest()
 	}
@@ -126,7 +126,7 @@
 	ask := Follow{Incarnation: at.incarnation, After: at.after, Heartbeats: n.settings.Control, OwnOnly: true, Acknowledge: true, Hall: n.settings.Address.Hall}
 	if !n.settings.Control {
 		ask.OwnOnly = false
-		ask.Away = !n.entry.lease.ownHallRetryAt.IsZero()
+		ask.HallUnreachable = !n.entry.lease.ownHallRetryAt.IsZero()
 	}
 	n.send(from, Message{Follow: &ask})
 }
@@ -136,10 +136,10 @@
 	at := n.registry.followed[from]
 	if update.After == 0 || update.Incarnation == at.incarnation && update.After <= at.after {
 		// Otherwise an earlier update was lost, and is asked for again.
-		n.registry.followed[from] = position{incarnation: update.Incarnation, after: max(update.Upto, at.afterIn(update.Incarnation))}
+		n.registry.followed[from] = position{incarnation: update.Incarnation, after: max(update.Through, at.afterIn(update.Incarnation))}
 	}
-	n.registry.fullState = n.registry.fullState || update.Whole
-	for _, m := range update.Missed {
+	n.registry.fullState = n.registry.fullState || update.Complete
+	for _, m := range update.AbsenceNotes {
 		n.registry.targets.ReceiveAbsence(m, n.now)
 	}
 	var learned []relay.Target
--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -113,9 +113,9 @@
 	// version.
 	view     entryList
 	viewSeen uint64
-	// usage is the requests and repeats of usageBy entry VMs.
-	usage   map[string]relay.Usage
-	usageBy int
+	// usage is the requests and repeats of usageVMs entry VMs.
+	usage    map[string]relay.Usage
+	usageVMs int
 	// total is the work of all entry VMs; workKnown reports whether the leader knows it.
 	total     changeFollower[relay.Work]
 	workKnown bool
@@ -353,7 +353,7 @@
 	t.vms = b.VMs
 	t.marked.apply(b.Marks, b.MarksThrough, b.MarksComplete)
 	t.marks.update(t.marked.values)
-	t.usage, t.usageBy = b.Usage, b.UsageVMs
+	t.usage, t.usageVMs = b.Usage, b.UsageVMs
 	if b.ViewVersion > t.viewSeen {
 		t.viewSeen = b.ViewVersion
 		t.view.merge(b.View, b.Removed, b.ViewComplete)
--- a/internal/core/halls_test.go
+++ b/internal/core/halls_test.go
@@ -217,16 +217,16 @@
 
 func (f *hallFleet) takeFleet(vm core.VMName, e core.FleetLearned) {
 	f.fleets[vm] = e
-	if e.OthersWhole {
+	if e.OthersComplete {
 		f.others[vm] = make(map[relay.TargetKey]relay.Work)
 	}
 	for id, w := range e.Others {
 		f.others[vm][id] = w
 	}
 	if limits, ok := f.limits[vm]; ok {
-		limits.ApplyMarks(e.Marks, e.MarksWhole, f.now)
+		limits.ApplyMarks(e.Marks, e.MarksComplete, f.now)
 	}
-	if e.MarksWhole {
+	if e.MarksComplete {
 		clear(f.marks[vm])
 	}
 	for key, m := range e.Marks {
@@ -392,16 +392,16 @@
 	}
 }
 
-func (f *hallFleet) speak(to core.VMName, t relay.Target) {
+func (f *hallFleet) sendReport(to core.VMName, t relay.Target) {
 	f.step(to, core.TargetSpoke{Conn: 1, Target: t})
 }
 
 // A report received by any control VM reaches all entry VMs well within the drain bound.
 func TestTargetReportReachesAllHalls(t *testing.T) {
 	f := started(t, usersFleet)
-	f.speak("c3-2", relay.Target{ID: "i-1", Address: "a", Call: 1})
+	f.sendReport("c3-2", relay.Target{ID: "i-1", Address: "a", Call: 1})
 	f.run(time.Second)
-	f.speak("c1-3", relay.Target{ID: "i-1", Address: "a", Call: 2, Leaving: true})
+	f.sendReport("c1-3", relay.Target{ID: "i-1", Address: "a", Call: 2, Leaving: true})
 	f.run(time.Second)
 	for _, vm := range f.entries() {
 		require.True(t, f.learned[vm]["i-1"].Leaving, vm)
@@ -418,7 +418,7 @@
 		f.put(uint64(revision) + 100)
 		f.until("every VM has the change", 2*time.Second, func() bool { return f.leased(revision + 1) })
 	}
-	f.speak(f.leader(), relay.Target{ID: "i-9", Address: "a", Call: 1, Leaving: true})
+	f.sendReport(f.leader(), relay.Target{ID: "i-9", Address: "a", Call: 1, Leaving: true})
 	f.run(2 * time.Second)
 	for _, vm := range f.entries() {
 		require.Contains(t, f.learned[vm], relay.TargetID("i-9"), vm)
--- a/internal/core/hints_test.go
+++ b/internal/core/hints_test.go
@@ -75,7 +75,7 @@
 		return asks
 	}
 	require.GreaterOrEqual(t, asks(now.Add(280*time.Millisecond)), 2)
-	n.Step(now, from(asked, core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 1, Upto: 1, Whole: true}}))
+	n.Step(now, from(asked, core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 1, Through: 1, Complete: true}}))
 	for range 10 {
 		n.Step(now, from(asked, core.Message{Grant: &core.Grant{To: 1, Term: 1, Number: renewal}}))
 		require.Zero(t, asks(now.Add(200*time.Millisecond)))
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -76,14 +76,14 @@
 		}
 	}
 	for i, message := range late {
-		f.speak(f.controlsBut(old)[i%5], message)
+		f.sendReport(f.controlsBut(old)[i%5], message)
 		f.step(f.controlsBut(old)[0], core.LayersOrdered{Target: message.ID, Outcome: core.OrderBegun})
 	}
 	f.until("another leads", 10*time.Second, func() bool { return f.leaderBut(old) != "" })
 	f.until("engines hold all layers again", time.Minute, f.covered)
 	for i, message := range late {
 		message.Call++
-		f.speak(f.controlsBut(old)[(i+1)%5], message)
+		f.sendReport(f.controlsBut(old)[(i+1)%5], message)
 	}
 	f.run(2 * time.Second)
 	f.requireIncarnations(t)
@@ -164,7 +164,7 @@
 		for until := f.now.Add(d); f.now.Before(until); {
 			call++
 			for i := range engines {
-				f.speak("c1-0", relay.Target{
+				f.sendReport("c1-0", relay.Target{
 					ID: relay.NewTargetID(fmt.Sprint("i-", i), born), Service: "s", Address: fmt.Sprint("10.1.0.", i, ":80"),
 					Hall: "hall1", Accelerator: "a100", Slots: 192, Call: call,
 				})
--- a/internal/core/leading.go
+++ b/internal/core/leading.go
@@ -49,8 +49,8 @@
 	// quarantine is proposed and not committed yet.
 	suspects     relay.Suspects
 	quarantining map[relay.Fingerprint]bool
-	// permits grants the permits of rate-limited targets to entry VMs.
-	lender *relay.PermitAllocator[ReplicaID]
+	// permitAllocator grants the permits of rate-limited targets to entry VMs.
+	permitAllocator *relay.PermitAllocator[ReplicaID]
 	// workCompleteAt is when the work of all entry VMs is known after an election.
 	workCompleteAt time.Time
 }
@@ -115,7 +115,7 @@
 
 func (n *Node) startLeading() {
 	n.leader.reset()
-	n.leader.lender = relay.NewPermitAllocator[ReplicaID](n.rand.Uint64(), n.settings.Timing.Lengthened(relay.PermitTTL), n.now)
+	n.leader.permitAllocator = relay.NewPermitAllocator[ReplicaID](n.rand.Uint64(), n.settings.Timing.Lengthened(relay.PermitTTL), n.now)
 	n.leader.formerLeasesUntil = n.now.Add(n.settings.Timing.Lengthened(n.settings.Timing.LeaseDuration))
 	n.leader.view = newEntryList(uint64(n.replica.hard.Term) << 32)
 	n.leader.work = newWorkLog(uint64(n.replica.hard.Term) << 32)
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -18,19 +18,19 @@
 	// The fields are encoded without names, since these values are sent often.
 	_      struct{}        `cbor:",toarray"`
 	Target relay.TargetKey `cbor:"target"`
-	// Heard reports that the asker has received an answer of the target, and Limited that the
+	// Answered reports that the asker has received an answer of the target, and Limited that the
 	// answer named a limit.
-	Heard     bool    `cbor:"heard"`
+	Answered  bool    `cbor:"heard"`
 	Limited   bool    `cbor:"limited"`
 	PerSecond float64 `cbor:"per_second"`
-	// SentMillis and HeardMillis are the ages of the request and of its answer.
-	SentMillis  uint32 `cbor:"sent_millis"`
-	HeardMillis uint32 `cbor:"heard_millis"`
-	Wanted      int    `cbor:"wanted"`
-	Left        int    `cbor:"left"`
-	Taken       uint64 `cbor:"taken"`
-	Unpaid      uint64 `cbor:"unpaid"`
-	Returned    uint64 `cbor:"returned"`
+	// SentMillis and ReceivedMillis are the ages of the request and of its answer.
+	SentMillis     uint32 `cbor:"sent_millis"`
+	ReceivedMillis uint32 `cbor:"heard_millis"`
+	Wanted         int    `cbor:"wanted"`
+	Left           int    `cbor:"left"`
+	Taken          uint64 `cbor:"taken"`
+	Unpaid         uint64 `cbor:"unpaid"`
+	Returned       uint64 `cbor:"returned"`
 }
 
 // HolderAsks are the permit requests of one entry VM in a RenewBatch. Number is that of its
@@ -100,11 +100,11 @@
 	asks := make([]LimitAsk, len(known))
 	for i, a := range known {
 		asks[i] = LimitAsk{
-			Target: a.Target, Heard: !a.Answer.ReceivedAt.IsZero(), Limited: a.Answer.Limited, PerSecond: a.Answer.PerSecond,
+			Target: a.Target, Answered: !a.Answer.ReceivedAt.IsZero(), Limited: a.Answer.Limited, PerSecond: a.Answer.PerSecond,
 			Wanted: a.Wanted, Left: a.Left, Taken: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned,
 		}
-		if asks[i].Heard {
-			asks[i].SentMillis, asks[i].HeardMillis = age(a.Answer.SentAt, n.now), age(a.Answer.ReceivedAt, n.now)
+		if asks[i].Answered {
+			asks[i].SentMillis, asks[i].ReceivedMillis = age(a.Answer.SentAt, n.now), age(a.Answer.ReceivedAt, n.now)
 		}
 	}
 	return asks
@@ -113,8 +113,8 @@
 // permitAsk converts the ages of an ask to times of this VM's clock.
 func (a LimitAsk) permitAsk(now time.Time) relay.PermitRequest {
 	ask := relay.PermitRequest{Target: a.Target, Wanted: a.Wanted, Left: a.Left, Taken: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned}
-	if a.Heard {
-		ask.Answer = relay.LimitAnswer{Limited: a.Limited, PerSecond: a.PerSecond, SentAt: timeOfAge(a.SentMillis, now), ReceivedAt: timeOfAge(a.HeardMillis, now)}
+	if a.Answered {
+		ask.Answer = relay.LimitAnswer{Limited: a.Limited, PerSecond: a.PerSecond, SentAt: timeOfAge(a.SentMillis, now), ReceivedAt: timeOfAge(a.ReceivedMillis, now)}
 	}
 	return ask
 }
@@ -123,7 +123,7 @@
 func (n *Node) grantPermits(to ReplicaID, number uint64, asks []LimitAsk) []relay.Permits {
 	var permits []relay.Permits
 	for _, a := range asks {
-		if p, ok := n.leader.lender.Request(to, number, a.permitAsk(n.now), n.now); ok {
+		if p, ok := n.leader.permitAllocator.Request(to, number, a.permitAsk(n.now), n.now); ok {
 			permits = append(permits, p)
 		}
 	}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -265,7 +265,7 @@
 	permits := make([]relay.Permits, 16)
 	for i := range asks {
 		key := relay.NewTargetID("i-7f3a91c2", uint64(1790000000000+i)).Key()
-		asks[i] = core.LimitAsk{Target: key, Heard: true, Limited: true, PerSecond: 4.5, SentMillis: 1200, HeardMillis: 1000, Wanted: 19, Left: 1, Taken: 70000, Unpaid: 3, Returned: 200}
+		asks[i] = core.LimitAsk{Target: key, Answered: true, Limited: true, PerSecond: 4.5, SentMillis: 1200, ReceivedMillis: 1000, Wanted: 19, Left: 1, Taken: 70000, Unpaid: 3, Returned: 200}
 		permits[i] = relay.Permits{Target: key, PerSecond: 4.5, Count: 1}
 	}
 	renew, err := wire.Marshal(&core.Renew{Limits: asks})
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -253,7 +253,7 @@
 	n.leader.placing.orders[a.Target] = layerOrder{layers: a.Layers, until: n.now.Add(load + unknownOrderTimeout)}
 	n.leader.placing.inFlight[a.Target] = true
 	n.note("engine ordered to hold layers "+a.Layers.String(), string(a.Target))
-	n.leader.lender.Charge(a.Target.Key())
+	n.leader.permitAllocator.Charge(a.Target.Key())
 	n.emit(OrderLayers{Target: a.Target, Address: t.Address, Layers: a.Layers, NotAfter: n.now.Add(layerOrderLifetime)})
 }
 
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -89,18 +89,18 @@
 	VMs        int
 	// Others is the work of other VMs in flight at targets: at all of them if OthersComplete,
 	// otherwise where it has changed much.
-	Others      map[relay.TargetKey]relay.Work
-	OthersWhole bool
+	Others         map[relay.TargetKey]relay.Work
+	OthersComplete bool
 	// OthersReported reports whether the leader knows the work of other VMs.
 	OthersReported bool
 	// Usage counts the requests and repeats of UsageVMs entry VMs in the last window, by
 	// service; it is valid where OthersReported is set.
-	Usage   map[string]relay.Usage
-	UsageBy int
+	Usage    map[string]relay.Usage
+	UsageVMs int
 	// Marks are the changed marks of targets; MarksComplete reports that all other targets have
 	// none.
-	Marks      map[relay.TargetKey]relay.Mark
-	MarksWhole bool
+	Marks         map[relay.TargetKey]relay.Mark
+	MarksComplete bool
 }
 
 func (TargetSpoke) isEvent()  {}
@@ -129,11 +129,11 @@
 	// targetExpiry is the silence after which a target is removed: far longer than a network
 	// partition between VMs lasts.
 	targetExpiry = 60 * time.Second
-	// minDeadFindings is the number of entry VMs that must find a target dead, and deadRatio how
-	// many must for each that finds it healthy. VMs partitioned from targets find all of them
-	// dead, and are fewer than the others.
-	minDeadFindings = 2
-	deadRatio       = 2
+	// minFailedFindings is the number of entry VMs that must find a target failed, failedRatio
+	// how many must for each that finds it healthy. VMs partitioned from targets find all of
+	// them failed, and are fewer than the others.
+	minFailedFindings = 2
+	failedRatio       = 2
 	// pushIntervalPerFollower is the interval between two pushes, per follower, so that the
 	// share of the processor that pushes take doesn't grow with the followers. It stays well
 	// within the 2 s that a report may take.
--- a/internal/core/spread_property_test.go
+++ b/internal/core/spread_property_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// report sends a target's report to a control VM.
-func (s *registryCluster) speak(id relay.TargetID, to core.VMName) {
+// sendReport sends a target's report to a control VM.
+func (s *registryCluster) sendReport(id relay.TargetID, to core.VMName) {
 	target := s.truth[id]
 	target.Call++
 	s.truth[id] = target
@@ -133,10 +133,10 @@
 				target.Layers = config.Range{First: first, Last: first + 10}
 				target.Leaving = target.Leaving || rapid.IntRange(0, 3).Draw(t, "leaves") == 0
 				s.truth[name] = target
-				s.speak(name, control.Draw(t, "to"))
+				s.sendReport(name, control.Draw(t, "to"))
 			case 2:
 				if name := id.Draw(t, "id"); s.truth[name].ID != "" {
-					s.speak(name, control.Draw(t, "to"))
+					s.sendReport(name, control.Draw(t, "to"))
 				}
 			case 3:
 				s.start(control.Draw(t, "control VM"))
@@ -148,7 +148,7 @@
 		s.lossy = false
 		s.run(2 * time.Second)
 		for name := range s.truth {
-			s.speak(name, control.Draw(t, "at last to"))
+			s.sendReport(name, control.Draw(t, "at last to"))
 		}
 		s.run(6 * time.Second)
 		for _, vm := range spreadEntries {
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -19,8 +19,8 @@
 	return core.Received{Envelope: core.Envelope{Cluster: "c", From: core.ReplicaID{VM: vm, Incarnation: 1}, To: "c1", Body: body}}
 }
 
-// news returns the targets in the effects' updates to a VM.
-func news(effects []core.Effect, vm core.VMName) []relay.Target {
+// updatedTargets returns the targets in the effects' updates to a VM.
+func updatedTargets(effects []core.Effect, vm core.VMName) []relay.Target {
 	var targets []relay.Target
 	for _, effect := range effects {
 		if send, ok := effect.(core.Send); ok && send.Envelope.To == vm && send.Envelope.Body.TargetNews != nil {
@@ -43,14 +43,14 @@
 	n.Step(now, from("c3", core.Message{Follow: &core.Follow{OwnOnly: true, Heartbeats: true}}))
 	n.Step(now, from("e1", core.Message{Follow: &core.Follow{}}))
 	second := relay.Target{ID: "i-2", Address: "b", Call: 3}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{second}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Through: 1, Targets: []relay.Target{second}}}))
 	own := relay.Target{ID: "i-1", Address: "a", Call: 1}
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: own})
 	pushed := nextPush(n, now)
-	require.Equal(t, []relay.Target{own}, news(pushed, "c3"), "c2 sends it the other target")
-	require.Equal(t, []relay.Target{own, second}, news(pushed, "e1"), "it follows only this control VM")
+	require.Equal(t, []relay.Target{own}, updatedTargets(pushed, "c3"), "c2 sends it the other target")
+	require.Equal(t, []relay.Target{own, second}, updatedTargets(pushed, "e1"), "it follows only this control VM")
 
-	whole := news(n.Step(now, from("e2", core.Message{Follow: &core.Follow{}})), "e2")
+	whole := updatedTargets(n.Step(now, from("e2", core.Message{Follow: &core.Follow{}})), "e2")
 	require.Equal(t, []relay.Target{own, second}, whole, "a follower without state receives everything")
 }
 
@@ -59,11 +59,11 @@
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, from("e1", core.Message{Follow: &core.Follow{OwnOnly: true}}))
 	leaving := relay.Target{ID: "i-2", Address: "b", Call: 3, Leaving: true}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{leaving}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Through: 1, Targets: []relay.Target{leaving}}}))
 	again := leaving
 	again.Call = 4
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: again})
-	require.Equal(t, []relay.Target{again}, news(nextPush(n, now), "e1"), "c2 may have died before it forwarded its report")
+	require.Equal(t, []relay.Target{again}, updatedTargets(nextPush(n, now), "e1"), "c2 may have died before it forwarded its report")
 }
 
 // After a loss of all VMs, every target reports to a control VM that it hasn't reported to
@@ -73,13 +73,13 @@
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	follow := func() []relay.Target {
-		return news(n.Step(now, from("e1", core.Message{Follow: &core.Follow{Incarnation: 3, OwnOnly: true}})), "e1")
+		return updatedTargets(n.Step(now, from("e1", core.Message{Follow: &core.Follow{Incarnation: 3, OwnOnly: true}})), "e1")
 	}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{{ID: "i-2", Address: "b", Call: 3}}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Through: 1, Targets: []relay.Target{{ID: "i-2", Address: "b", Call: 3}}}}))
 	require.Empty(t, follow())
 	nextPush(n, now)
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 4}})
-	require.Empty(t, news(nextPush(n, now), "e1"))
+	require.Empty(t, updatedTargets(nextPush(n, now), "e1"))
 	require.Len(t, follow(), 1)
 }
 
@@ -88,9 +88,9 @@
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, from("e1", core.Message{Follow: &core.Follow{OwnOnly: true}}))
 	newer := relay.Target{ID: "i-2", Address: "b", Call: 5}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{newer}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Through: 1, Targets: []relay.Target{newer}}}))
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 4, Leaving: true}})
-	told := news(nextPush(n, now), "e1")
+	told := updatedTargets(nextPush(n, now), "e1")
 	require.Len(t, told, 1)
 	require.True(t, told[0].Leaving)
 }
@@ -319,25 +319,25 @@
 func TestUpdatesInFlightAreNotResent(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
-	speak := func(id string) {
+	sendReport := func(id string) {
 		now = now.Add(20 * time.Millisecond)
 		n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: relay.TargetID(id), Address: id, Call: 1}})
 	}
-	speak("i-1")
+	sendReport("i-1")
 	first := newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
 	require.Len(t, first, 1)
-	speak("i-2")
-	speak("i-3")
+	sendReport("i-2")
+	sendReport("i-3")
 	require.Empty(t, newsTo(nextPush(n, now), "e1"), "the first update is in flight")
 	now = now.Add(100 * time.Millisecond)
 	require.Empty(t, newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), "the first update is still in flight when the follower asks again")
 
-	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Upto, Acknowledge: true}
+	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Through, Acknowledge: true}
 	n.Step(now, from("e1", core.Message{Follow: &came}))
 	next := newsTo(nextPush(n, now), "e1")
 	require.Len(t, next, 1)
 	require.Len(t, next[0].Targets, 2, "all later changes are in one update")
-	came.After = next[0].Upto
+	came.After = next[0].Through
 	n.Step(now, from("e1", core.Message{Follow: &came}))
 	require.Empty(t, newsTo(nextPush(n, now.Add(time.Second)), "e1"), "nothing has changed")
 }
@@ -369,7 +369,7 @@
 	require.Equal(t, []relay.Target{leaves}, beside[0].Targets)
 	require.Empty(t, newsTo(nextPush(n, now.Add(time.Second/10)), "e1"), "sent only once")
 
-	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Upto, Acknowledge: true}
+	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Through, Acknowledge: true}
 	n.Step(now.Add(300*time.Millisecond), from("e1", core.Message{Follow: &came}))
 	again := newsTo(nextPush(n, now.Add(300*time.Millisecond)), "e1")
 	require.Len(t, again, 1, "its position has not changed")
@@ -393,7 +393,7 @@
 	again := newsTo(n.Step(asked, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
 	require.Len(t, again, 1)
 	require.Len(t, again[0].Targets, 1)
-	require.True(t, again[0].Whole)
+	require.True(t, again[0].Complete)
 }
 
 // Heartbeats are sent while other updates to a control VM are in flight.
@@ -405,8 +405,8 @@
 	ask := core.Message{Follow: &core.Follow{OwnOnly: true, Heartbeats: true}}
 	first := newsTo(n.Step(now, from("c3", ask)), "c3")[0]
 	require.Len(t, first.Targets, 1)
-	n.Step(now, from("c3", core.Message{Follow: &core.Follow{Incarnation: first.Incarnation, After: first.Upto, Acknowledge: true, OwnOnly: true, Heartbeats: true}}))
-	ask.Follow.Incarnation, ask.Follow.After = first.Incarnation, first.Upto
+	n.Step(now, from("c3", core.Message{Follow: &core.Follow{Incarnation: first.Incarnation, After: first.Through, Acknowledge: true, OwnOnly: true, Heartbeats: true}}))
+	ask.Follow.Incarnation, ask.Follow.After = first.Incarnation, first.Through
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 1}})
 	require.Len(t, newsTo(nextPush(n, now), "c3"), 1)
 	for range 5 {
--- a/internal/core/stream.go
+++ b/internal/core/stream.go
@@ -66,7 +66,7 @@
 	dispatched bool
 	tokens     []Token
 	finish     string
-	// acked is the number of tokens that the keeper has, shown the number sent to the caller.
+	// acked is the number of tokens that the keeper has, emitted the number sent to the caller.
 	acked   int
 	emitted int
 	// finishAcked is set when the keeper has the end, finishEmitted when the caller has it.
--- a/internal/core/unnamed_test.go
+++ b/internal/core/unnamed_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// speak passes a target's report to the node and returns the answer.
-func (n *namingNode) speak(t relay.Target) core.TargetReportReply {
+// sendReport passes a target's report to the node and returns the answer.
+func (n *namingNode) sendReport(t relay.Target) core.TargetReportReply {
 	for _, effect := range n.step(core.TargetSpoke{Conn: 1, Target: t}) {
 		if heard, ok := effect.(core.TargetReportReply); ok {
 			return heard
@@ -78,9 +78,9 @@
 func TestTargetOfUnnamedServiceIsHeldBack(t *testing.T) {
 	n := newNamingNode("s")
 	good := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 1}
-	require.Equal(t, core.TargetReportReply{Conn: 1, Accepted: true}, n.speak(good))
-	heard := n.speak(relay.Target{ID: "i-2", Service: "nowhere", Address: "10.0.0.2:80", Call: 1})
-	require.Equal(t, core.TargetReportReply{Conn: 1, Accepted: true, HeldBack: true}, heard, "it is acknowledged, since it would otherwise try every control VM")
+	require.Equal(t, core.TargetReportReply{Conn: 1, Accepted: true}, n.sendReport(good))
+	reply := n.sendReport(relay.Target{ID: "i-2", Service: "nowhere", Address: "10.0.0.2:80", Call: 1})
+	require.Equal(t, core.TargetReportReply{Conn: 1, Accepted: true, HeldBack: true}, reply, "it is acknowledged, since it would otherwise try every control VM")
 	n.run(time.Second)
 	require.Equal(t, []relay.Target{good}, follow(n.Node, n.now))
 	require.Equal(t, []relay.Target{good}, n.saved)
@@ -89,8 +89,8 @@
 func TestReportOfUnnamedServiceReplacesNothing(t *testing.T) {
 	n := newNamingNode("s")
 	good := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 1}
-	n.speak(good)
-	n.speak(relay.Target{ID: "i-1", Service: "nowhere", Address: "10.0.0.9:80", Call: 2, Leaving: true})
+	n.sendReport(good)
+	n.sendReport(relay.Target{ID: "i-1", Service: "nowhere", Address: "10.0.0.9:80", Call: 2, Leaving: true})
 	n.run(time.Second)
 	require.Equal(t, []relay.Target{good}, follow(n.Node, n.now))
 }
@@ -99,8 +99,8 @@
 	n := newNamingNode("s")
 	early := relay.Target{ID: "i-2", Service: "next", Address: "10.0.0.2:80", Call: 1}
 	leaving := relay.Target{ID: "i-3", Service: "next", Address: "10.0.0.3:80", Call: 2, Leaving: true}
-	n.speak(early)
-	n.speak(leaving)
+	n.sendReport(early)
+	n.sendReport(leaving)
 	require.Empty(t, follow(n.Node, n.now))
 	n.put(2, "s next")
 	n.run(time.Second)
@@ -109,7 +109,7 @@
 
 func TestTargetsReportBeforeFirstDocument(t *testing.T) {
 	n := newNamingNode("")
-	n.speak(relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 1})
+	n.sendReport(relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 1})
 	n.put(1, "s")
 	n.run(time.Second)
 	require.Len(t, follow(n.Node, n.now), 1)
@@ -120,12 +120,12 @@
 	n := newNamingNode("s")
 	const many = 3100
 	for i := range many {
-		n.speak(relay.Target{ID: relay.TargetID(fmt.Sprint("i-", i)), Service: "next", Call: 1})
+		n.sendReport(relay.Target{ID: relay.TargetID(fmt.Sprint("i-", i)), Service: "next", Call: 1})
 	}
 	n.put(2, "s next")
 	n.run(time.Second)
 	require.Len(t, follow(n.Node, n.now), 3000)
-	n.speak(relay.Target{ID: "i-1", Service: "nowhere", Call: 1})
+	n.sendReport(relay.Target{ID: "i-1", Service: "nowhere", Call: 1})
 	n.run(10 * time.Second)
 	n.put(3, "s next nowhere")
 	n.run(time.Second)
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -124,8 +124,8 @@
 
 // merge applies the changes of another list, or the whole of it. Unchanged lines keep their
 // versions.
-func (l *entryList) merge(view []EntryView, gone []VMName, whole bool) {
-	if whole {
+func (l *entryList) merge(view []EntryView, removed []VMName, complete bool) {
+	if complete {
 		named := make(map[VMName]bool, len(view))
 		for _, v := range view {
 			named[v.Address.VM] = true
@@ -139,7 +139,7 @@
 	for _, v := range view {
 		l.set(v)
 	}
-	for _, vm := range gone {
+	for _, vm := range removed {
 		l.remove(vm)
 	}
 }
--- a/internal/daemon/backoffs_test.go
+++ b/internal/daemon/backoffs_test.go
@@ -110,7 +110,7 @@
 			require.Equal(t, http.StatusOK, ask(t, g))
 			require.Equal(t, http.StatusBadGateway, ask(t, g), "the first sending may have run")
 			require.EqualValues(t, 2, w.next.Load())
-			require.Empty(t, daemon.FindingsOf(g).Dead, "the target has not failed")
+			require.Empty(t, daemon.FindingsOf(g).Failed, "the target has not failed")
 			require.Zero(t, daemon.InFlight(g))
 		})
 	}
@@ -139,7 +139,7 @@
 		s.suspended += 4 * time.Second
 	}
 	require.EqualValues(t, 10, w.next.Load())
-	require.Empty(t, daemon.FindingsOf(g).Dead)
+	require.Empty(t, daemon.FindingsOf(g).Failed)
 }
 
 // A stream that has begun waits for room; where its targets ask for a backoff longer than its
--- a/internal/daemon/learning.go
+++ b/internal/daemon/learning.go
@@ -80,11 +80,11 @@
 	g.leaseUntil = e.LeaseUntil
 	g.router.SetVMCount(e.VMs)
 	if e.OthersReported {
-		g.router.SetOthersWork(e.Others, e.OthersWhole)
-		g.router.SetFleetUsage(e.Usage, e.UsageBy, clock.Now())
+		g.router.SetOthersWork(e.Others, e.OthersComplete)
+		g.router.SetFleetUsage(e.Usage, e.UsageVMs, clock.Now())
 	}
-	g.router.ApplyMarks(e.Marks, e.MarksWhole)
-	g.router.ApplyLimitMarks(e.Marks, e.MarksWhole, clock.Now())
+	g.router.ApplyMarks(e.Marks, e.MarksComplete)
+	g.router.ApplyLimitMarks(e.Marks, e.MarksComplete, clock.Now())
 	g.mu.Unlock()
 	g.signalInformed()
 	if regained {
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -65,7 +65,7 @@
 	require.Equal(t, http.StatusOK, ask(t, g))
 	require.Equal(t, http.StatusBadGateway, ask(t, g), "the first sending may have run")
 	require.EqualValues(t, 2, w.next.Load())
-	require.Empty(t, daemon.FindingsOf(g).Dead, "the target has not failed")
+	require.Empty(t, daemon.FindingsOf(g).Failed, "the target has not failed")
 }
 
 // Where all targets are limited, a request waits no longer than permits are likely to arrive,
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -81,7 +81,7 @@
 func BenchmarkLendSecond(b *testing.B) {
 	for _, size := range []struct{ vms, targets int }{{10, 3}, {300, 1}, {360, 600}} {
 		b.Run(fmt.Sprintf("vms=%d/limited=%d", size.vms, size.targets), func(b *testing.B) {
-			lender := relay.NewPermitAllocator[int](1, relay.PermitTTL, start.Add(-time.Hour))
+			allocator := relay.NewPermitAllocator[int](1, relay.PermitTTL, start.Add(-time.Hour))
 			vms := make([]*relay.RateLimits, size.vms)
 			for i := range vms {
 				vms[i] = relay.NewRateLimits(uint64(i))
@@ -99,7 +99,7 @@
 						vm.NoteDemand(relay.NewTargetID("i", uint64(i%size.targets+1)), now)
 						var permits []relay.Permits
 						for _, ask := range vm.PermitRequests(now) {
-							if p, ok := lender.Request(i, number, ask, now); ok {
+							if p, ok := allocator.Request(i, number, ask, now); ok {
 								permits = append(permits, p)
 							}
 						}
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -135,7 +135,7 @@
 type Findings struct {
 	// Failed are those that have failed and done nothing since, Healthy those where a request
 	// has succeeded since the last failure.
-	Dead, Sound []TargetKey
+	Failed, Healthy []TargetKey
 	// Slow are those that report that they are slow.
 	Slow []TargetKey
 	// Leaving are those that have sent a draining notice with an answer.
@@ -161,16 +161,16 @@
 		}
 		switch {
 		case now.Before(t.failedAt.Add(findingsTTL)):
-			f.Dead = append(f.Dead, t.key)
+			f.Failed = append(f.Failed, t.key)
 		case now.Before(t.succeededAt.Add(findingsTTL)):
-			f.Sound = append(f.Sound, t.key)
+			f.Healthy = append(f.Healthy, t.key)
 		}
 		if now.Before(t.slowUntil) {
 			f.Slow = append(f.Slow, t.key)
 		}
 	}
-	slices.Sort(f.Dead)
-	slices.Sort(f.Sound)
+	slices.Sort(f.Failed)
+	slices.Sort(f.Healthy)
 	slices.Sort(f.Slow)
 	return f
 }
--- a/internal/relay/incarnation_test.go
+++ b/internal/relay/incarnation_test.go
@@ -291,7 +291,7 @@
 	}
 	r.Release(path, false)
 	require.Empty(t, r.OwnWork())
-	require.Empty(t, r.Findings(start).Dead)
+	require.Empty(t, r.Findings(start).Failed)
 }
 
 // A VM whose registry has removed a target determines by itself which of its incarnations ends.
--- a/internal/relay/lender.go
+++ b/internal/relay/lender.go
@@ -125,7 +125,7 @@
 // use.
 type PermitAllocator[Holder comparable] struct {
 	rand *rand.Rand
-	life time.Duration
+	ttl  time.Duration
 	// readyAt is when the permits of the previous allocator have expired.
 	readyAt time.Time
 	limits  map[TargetKey]*sharedLimit[Holder]
@@ -171,8 +171,8 @@
 
 // NewPermitAllocator returns a PermitAllocator that knows no limit and replaces another one. ttl is
 // how long it counts a permit as outstanding: PermitTTL, lengthened by the bound on clock drift.
-func NewPermitAllocator[Holder comparable](seed uint64, life time.Duration, now time.Time) *PermitAllocator[Holder] {
-	return &PermitAllocator[Holder]{rand: rand.New(rand.NewPCG(seed, 1)), life: life, readyAt: now.Add(life), limits: make(map[TargetKey]*sharedLimit[Holder])}
+func NewPermitAllocator[Holder comparable](seed uint64, ttl time.Duration, now time.Time) *PermitAllocator[Holder] {
+	return &PermitAllocator[Holder]{rand: rand.New(rand.NewPCG(seed, 1)), ttl: ttl, readyAt: now.Add(ttl), limits: make(map[TargetKey]*sharedLimit[Holder])}
 }
 
 // Limited returns the targets that have a limit, sorted.
@@ -233,7 +233,7 @@
 		limit.free -= float64(count)
 		limit.granted += count
 	}
-	held.until = now.Add(l.life)
+	held.until = now.Add(l.ttl)
 	return Permits{Target: ask.Target, PerSecond: limit.answer.PerSecond, Count: count}, true
 }
 
--- a/internal/relay/lender_test.go
+++ b/internal/relay/lender_test.go
@@ -17,7 +17,7 @@
 	t         *rapid.T
 	now       time.Time
 	perSecond float64
-	lender    *relay.PermitAllocator[string]
+	allocator *relay.PermitAllocator[string]
 	holders   []*worldHolder
 	asks      []askInTransit
 	grants    []grantInTransit
@@ -97,7 +97,7 @@
 	}
 	var permits []relay.Permits
 	for _, ask := range a.asks {
-		if p, ok := l.lender.Request(a.name, a.number, ask, l.now); ok {
+		if p, ok := l.allocator.Request(a.name, a.number, ask, l.now); ok {
 			permits = append(permits, p)
 		}
 	}
@@ -147,7 +147,7 @@
 func TestPermitsNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &permitWorld{t: t, now: start, perSecond: rapid.SampledFrom([]float64{0.1, 0.5, 4.5, 20}).Draw(t, "limit")}
-		l.lender = relay.NewPermitAllocator[string](1, relay.PermitTTL, start.Add(-time.Hour))
+		l.allocator = relay.NewPermitAllocator[string](1, relay.PermitTTL, start.Add(-time.Hour))
 		for i := range rapid.IntRange(1, 6).Draw(t, "holders") {
 			h := &worldHolder{index: i}
 			l.holders = append(l.holders, h)
@@ -180,7 +180,7 @@
 					h.frozenUntil = l.now.Add(2 * time.Second)
 				case 2:
 					l.leaders++
-					l.lender = relay.NewPermitAllocator[string](l.leaders, relay.PermitTTL, l.now)
+					l.allocator = relay.NewPermitAllocator[string](l.leaders, relay.PermitTTL, l.now)
 				case 3:
 					l.receiveLimit(h)
 				}
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -131,13 +131,13 @@
 	return m != nil && (m.answer.Limited || m.marked || now.Before(m.knownUntil))
 }
 
-// ApplyMarks applies the leader's marks of limited targets. Whole indicates that all other targets
+// ApplyMarks applies the leader's marks of limited targets. complete indicates that all other targets
 // are unlimited.
-func (l *RateLimits) ApplyMarks(marks map[TargetKey]Mark, whole bool, now time.Time) {
+func (l *RateLimits) ApplyMarks(marks map[TargetKey]Mark, complete bool, now time.Time) {
 	for key, m := range marks {
 		l.setMarked(key, m.Has(MarkLimited), now)
 	}
-	if !whole {
+	if !complete {
 		return
 	}
 	for key := range l.byTarget {
--- a/internal/relay/limits_load_test.go
+++ b/internal/relay/limits_load_test.go
@@ -79,12 +79,12 @@
 // limitWorld simulates a case.
 type limitWorld struct {
 	limitCase
-	rand   *rand.Rand
-	now    time.Time
-	events limitEvents
-	number int
-	vms    []*limitVM
-	lender *relay.PermitAllocator[int]
+	rand      *rand.Rand
+	now       time.Time
+	events    limitEvents
+	number    int
+	vms       []*limitVM
+	allocator *relay.PermitAllocator[int]
 	// arrivals are the times at which the target received a request.
 	arrivals []time.Time
 	served   int
@@ -104,7 +104,7 @@
 
 func newLimitWorld(c limitCase) *limitWorld {
 	w := &limitWorld{limitCase: c, rand: rand.New(rand.NewPCG(c.seed, 1)), now: start}
-	w.lender = relay.NewPermitAllocator[int](c.seed, relay.PermitTTL, start.Add(-time.Hour))
+	w.allocator = relay.NewPermitAllocator[int](c.seed, relay.PermitTTL, start.Add(-time.Hour))
 	for i := range c.vms {
 		w.vms = append(w.vms, w.newVM(i))
 		w.at(start.Add(time.Duration(w.rand.Int64N(int64(limitRenew)))), func() { w.renewAgain(i) })
@@ -199,7 +199,7 @@
 	var permits []relay.Permits
 	for _, a := range asks {
 		w.asks++
-		if p, ok := w.lender.Request(vm.index, number, a, w.now); ok {
+		if p, ok := w.allocator.Request(vm.index, number, a, w.now); ok {
 			permits = append(permits, p)
 		}
 	}
@@ -208,7 +208,7 @@
 	}
 	w.at(w.now.Add(2*limitNetworkDelay), func() {
 		marks := make(map[relay.TargetKey]relay.Mark)
-		for _, key := range w.lender.Limited() {
+		for _, key := range w.allocator.Limited() {
 			marks[key] = relay.MarkLimited
 		}
 		vm.limits.ApplyMarks(marks, true, w.now)
--- a/internal/relay/mark.go
+++ b/internal/relay/mark.go
@@ -24,10 +24,10 @@
 // With returns the marks and another one.
 func (m Mark) With(o Mark) Mark { return m | o }
 
-// ApplyMarks applies the marks of targets that have changed. Whole indicates that targets that are
-// missing have none; otherwise they keep theirs.
-func (r *Router) ApplyMarks(marks map[TargetKey]Mark, whole bool) {
-	if whole {
+// ApplyMarks applies the marks of targets that have changed. complete indicates that missing targets
+// have none; otherwise they keep theirs.
+func (r *Router) ApplyMarks(marks map[TargetKey]Mark, complete bool) {
+	if complete {
 		clear(r.marks)
 	}
 	for key, m := range marks {
@@ -36,7 +36,7 @@
 			delete(r.marks, key)
 		}
 	}
-	if !whole && len(marks) == 0 {
+	if !complete && len(marks) == 0 {
 		return
 	}
 	for _, t := range r.targets {
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -105,7 +105,7 @@
 	id, is := r.SlowStage(path, start)
 	require.True(t, is)
 	require.Equal(t, slow, id)
-	require.Empty(t, r.Findings(start).Dead, "a slow engine does not count as dead")
+	require.Empty(t, r.Findings(start).Failed, "a slow engine does not count as dead")
 	require.Equal(t, []relay.TargetKey{slow.Key()}, r.Findings(start).Slow)
 	require.Empty(t, r.SlowEnginesToCheck(start))
 
--- a/internal/relay/permits.go
+++ b/internal/relay/permits.go
@@ -153,8 +153,8 @@
 }
 
 // ApplyLimitMarks applies the leader's marks of limited targets; see ApplyMarks.
-func (r *Router) ApplyLimitMarks(marks map[TargetKey]Mark, whole bool, now time.Time) {
-	r.limits.ApplyMarks(marks, whole, now)
+func (r *Router) ApplyLimitMarks(marks map[TargetKey]Mark, complete bool, now time.Time) {
+	r.limits.ApplyMarks(marks, complete, now)
 }
 
 // PermitRequests returns what the next renewal reports to the leader of limits.
--- a/internal/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -116,7 +116,7 @@
 	relay.SharedFindings: func(p relay.Policy) any {
 		r, _ := routerWithPolicy(p, plain(2))
 		r.Failed("p0", true, start)
-		dead := r.Findings(start).Dead
+		dead := r.Findings(start).Failed
 		return len(dead)
 	},
 	relay.RepeatShares: func(p relay.Policy) any {
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -366,16 +366,16 @@
 	r.Failed(bad, true, start)
 	r.Succeeded(good, start)
 	found := r.Findings(start.Add(time.Second))
-	require.Equal(t, []relay.TargetKey{bad.Key()}, found.Dead)
-	require.Equal(t, []relay.TargetKey{good.Key()}, found.Sound)
+	require.Equal(t, []relay.TargetKey{bad.Key()}, found.Failed)
+	require.Equal(t, []relay.TargetKey{good.Key()}, found.Healthy)
 	r.Succeeded(bad, start.Add(time.Second))
 	found = r.Findings(start.Add(time.Second))
-	require.Empty(t, found.Dead)
+	require.Empty(t, found.Failed)
 	for range 3 {
 		r.Refused(good, start.Add(time.Second))
 	}
 	found = r.Findings(start.Add(time.Second))
-	require.Equal(t, []relay.TargetKey{good.Key()}, found.Dead)
+	require.Equal(t, []relay.TargetKey{good.Key()}, found.Failed)
 }
 
 // After a power loss of all VMs, 1,000 callers returned at once. Each of 76 VMs chose by
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -33,12 +33,12 @@
 	return Work{Requests: n * w.Requests, Tokens: n * w.Tokens, Unread: n * w.Unread}
 }
 
-// SetOthersWork sets the work in flight of other VMs. Whole indicates that targets that are missing
+// SetOthersWork sets the work in flight of other VMs. complete indicates that missing targets
 // have none; otherwise they have about what they had.
-func (r *Router) SetOthersWork(work map[TargetKey]Work, whole bool) {
-	r.othersReported = r.othersReported || whole
+func (r *Router) SetOthersWork(work map[TargetKey]Work, complete bool) {
+	r.othersReported = r.othersReported || complete
 	for _, t := range r.targets {
-		if w, ok := work[t.key]; ok || whole {
+		if w, ok := work[t.key]; ok || complete {
 			t.othersWork = w
 		}
 		t.ownWorkAtReport = t.ownWork
