--- a/internal/core/backoffs_test.go
+++ b/internal/core/backoffs_test.go
@@ -44,9 +44,9 @@
 	require.NoError(t, err)
 	require.True(t, statement.Show.Local())
 	for vm, rows := range map[core.VMName]int{"e0-0": 1, "e0-1": 0} {
-		f.shown = nil
+		f.rows = nil
 		f.step(vm, core.Operated{Conn: 1, Statement: statement})
-		require.Len(t, f.shown, rows, vm)
+		require.Len(t, f.rows, rows, vm)
 	}
 }
 
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -28,10 +28,10 @@
 	keepers map[core.VMName]bool
 	// renewal is the size of the newest renewal, in bytes.
 	renewal int
-	// shown counts the tokens that were sent to callers.
-	shown int
-	conn  core.ConnID
-	asked uint64
+	// emitted counts the tokens that were sent to callers.
+	emitted int
+	conn    core.ConnID
+	asked   uint64
 	// claim is the newest outcome of a claim.
 	claim core.ClaimOutcome
 	// result is the newest answer to an operator.
@@ -117,7 +117,7 @@
 		case core.Run:
 			runs = append(runs, e)
 		case core.Emit:
-			r.shown += len(e.Tokens)
+			r.emitted += len(e.Tokens)
 		case core.Watch:
 			replies = append(replies, core.Watched{Report: core.TargetReport{Target: e.Target, Reached: true, AppliedSequence: 7}})
 		case core.Send:
--- a/internal/core/control_test.go
+++ b/internal/core/control_test.go
@@ -238,7 +238,7 @@
 	r := newEntryRig(t, 8, 3, 1)
 	first, other := r.begin(10), r.begin(10)
 	second := r.answer(first, "")[0]
-	require.Equal(t, 1, r.shown)
+	require.Equal(t, 1, r.emitted)
 	require.Empty(t, r.answer(first, ""), "duplicate")
 	stale := second
 	stale.Epoch.Attempt += 3
@@ -249,10 +249,10 @@
 	unknown := second
 	unknown.Stream = "nobody's"
 	require.Empty(t, r.answer(unknown, ""), "of another stream")
-	require.Equal(t, 1, r.shown)
+	require.Equal(t, 1, r.emitted)
 	require.Len(t, r.answer(second, ""), 1)
 	require.Len(t, r.answer(other, ""), 1)
-	require.Equal(t, 3, r.shown)
+	require.Equal(t, 3, r.emitted)
 }
 
 func TestIsolatedEntryVMRefusesWhileOthersServe(t *testing.T) {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -126,7 +126,7 @@
 // until then.
 func (n *Node) allHaveReported() bool {
 	for vm, f := range n.registry.followers {
-		if _, heard := n.leader.parts[vm]; f.control && n.now.Before(f.until) && !heard {
+		if _, reported := n.leader.aggregates[vm]; f.control && n.now.Before(f.until) && !reported {
 			return false
 		}
 	}
@@ -137,7 +137,7 @@
 // hasEntryFollowers reports whether any entry VM follows a control VM, as those that renew do.
 func (n *Node) hasEntryFollowers() bool {
 	following := n.entryFollowers()
-	for _, p := range n.leader.parts {
+	for _, p := range n.leader.aggregates {
 		following += p.following
 	}
 	return following > 0
@@ -153,8 +153,8 @@
 		}
 	}
 	expected := n.expectedHolders()
-	for _, p := range n.leader.parts {
-		if n.now.Before(p.at.Add(n.partValidFor())) {
+	for _, p := range n.leader.aggregates {
+		if n.now.Before(p.at.Add(n.aggregateTTL())) {
 			expected = append(expected, p.expected...)
 		}
 	}
@@ -175,9 +175,9 @@
 	return held
 }
 
-// partValidFor is how long a control VM's report on its holders is valid; by then its holders
+// aggregateTTL is how long a control VM's report on its holders is valid; by then its holders
 // renew elsewhere.
-func (n *Node) partValidFor() time.Duration { return n.settings.Timing.listedDuration() }
+func (n *Node) aggregateTTL() time.Duration { return n.settings.Timing.listedDuration() }
 
 // fleet is the sum over all entry VMs. It is cached, since hundreds of leases per second carry
 // it.
@@ -204,26 +204,26 @@
 	failed := make(map[relay.TargetKey]int)
 	healthy := make(map[relay.TargetKey]int)
 	var slow []relay.TargetKey
-	add := func(part FleetAggregate) {
-		l.fleet.usageVMs += part.VMs
-		for service, s := range part.Usage {
+	add := func(aggregate FleetAggregate) {
+		l.fleet.usageVMs += aggregate.VMs
+		for service, s := range aggregate.Usage {
 			l.fleet.usage[service] = l.fleet.usage[service].Plus(s)
 		}
-		for id, w := range part.Work {
+		for id, w := range aggregate.Work {
 			l.fleet.work[id] = l.fleet.work[id].Plus(w)
 		}
-		for id, vms := range part.Failed {
+		for id, vms := range aggregate.Failed {
 			failed[id] += vms
 		}
-		for id, vms := range part.Healthy {
+		for id, vms := range aggregate.Healthy {
 			healthy[id] += vms
 		}
-		slow = append(slow, part.Slow...)
+		slow = append(slow, aggregate.Slow...)
 	}
 	add(n.sumHolders())
-	for _, part := range l.parts {
-		if n.now.Before(part.at.Add(n.partValidFor())) {
-			add(part.FleetAggregate)
+	for _, aggregate := range l.aggregates {
+		if n.now.Before(aggregate.at.Add(n.aggregateTTL())) {
+			add(aggregate.FleetAggregate)
 		}
 	}
 	l.fleet.vms = n.entriesKnown()
--- a/internal/core/forwarding.go
+++ b/internal/core/forwarding.go
@@ -35,10 +35,10 @@
 	// batch costs the leader about 0.3 ms to process and answer, so that batches take about a
 	// sixteenth of its time, however many control VMs there are.
 	batchIntervalPerMember = 5 * time.Millisecond
-	// partIntervalPerMember is the interval between two reports of the sums over holders, per
-	// member of the cluster. The leader computes its own sum no more often, and reads every
+	// aggregateIntervalPerMember is the interval between two reports of the sums over holders,
+	// per member of the cluster. The leader computes its own sum no more often, and reads every
 	// report in full.
-	partIntervalPerMember = 15 * time.Millisecond
+	aggregateIntervalPerMember = 15 * time.Millisecond
 	// maxBatchesInFlight bounds the batches that can still be answered.
 	maxBatchesInFlight = 16
 	// controlLiveFor is how long after its last Follow a control VM counts as one that entry
@@ -77,12 +77,12 @@
 	// entry VMs that follow this VM.
 	idleAt time.Time
 	number uint64
-	// partAt is when the sums over holders are next sent to the leader partTo. partAcknowledged
-	// is set once that leader has answered the batch partNumber, which carried them.
-	partAt           time.Time
-	partTo           ReplicaID
-	partNumber       uint64
-	partAcknowledged bool
+	// aggregateAt is when the sums over holders are next sent to the leader aggregateTo.
+	// aggregateAcknowledged is set once it has answered the batch aggregateNumber with them.
+	aggregateAt           time.Time
+	aggregateTo           ReplicaID
+	aggregateNumber       uint64
+	aggregateAcknowledged bool
 	// crashes are the crashed runs to report to the leader.
 	crashes crashes
 	// batches holds the renewals of the batches in flight.
@@ -254,7 +254,7 @@
 	delete(f.batches, f.number-maxBatchesInFlight)
 	b := RenewBatch{
 		Number: f.number, ViewVersion: f.report.viewSeen, WorkSeen: f.report.total.seen, MarksSeen: f.report.marked.seen,
-		Following: n.entryFollowers(), Expected: n.expectedHolders(), Aggregate: n.partDue(),
+		Following: n.entryFollowers(), Expected: n.expectedHolders(), Aggregate: n.aggregateDue(),
 		Crashed: f.crashes.reports(n.now), Survived: f.crashes.cleared(n.now),
 	}
 	f.crashes = crashes{}
@@ -265,7 +265,7 @@
 		}
 		b.Renewals = append(b.Renewals, h.renew.renewal(h.id))
 		if len(h.renew.Limits) > 0 {
-			b.Limits = append(b.Limits, HolderAsks{From: h.id, Number: h.renew.Number, Asks: h.renew.Limits})
+			b.Limits = append(b.Limits, HolderRequests{From: h.id, Number: h.renew.Number, Requests: h.renew.Limits})
 		}
 		f.batches[f.number] = append(f.batches[f.number], batchedRenewal{holder: h.id, number: h.renew.Number})
 	}
@@ -273,16 +273,16 @@
 	n.send(n.replica.leader.VM, Message{RenewBatch: &b})
 }
 
-// partDue returns the sums over holders if they are to be sent to the leader now.
-func (n *Node) partDue() *FleetAggregate {
+// aggregateDue returns the sums over holders if they are to be sent to the leader now.
+func (n *Node) aggregateDue() *FleetAggregate {
 	f := &n.forwarding
-	if f.partAcknowledged && f.partTo == n.replica.leader && n.now.Before(f.partAt) {
+	if f.aggregateAcknowledged && f.aggregateTo == n.replica.leader && n.now.Before(f.aggregateAt) {
 		return nil
 	}
-	f.partTo, f.partNumber, f.partAcknowledged = n.replica.leader, f.number, false
-	f.partAt = n.now.Add(time.Duration(len(n.replica.members.Members)) * partIntervalPerMember)
-	part := n.sumHolders()
-	return &part
+	f.aggregateTo, f.aggregateNumber, f.aggregateAcknowledged = n.replica.leader, f.number, false
+	f.aggregateAt = n.now.Add(time.Duration(len(n.replica.members.Members)) * aggregateIntervalPerMember)
+	aggregate := n.sumHolders()
+	return &aggregate
 }
 
 // entryFollowers counts the entry VMs that follow this VM.
@@ -311,28 +311,28 @@
 
 // sumHolders sums the work and findings of the holders.
 func (n *Node) sumHolders() FleetAggregate {
-	part := FleetAggregate{
+	aggregate := FleetAggregate{
 		Work: make(map[relay.TargetKey]relay.Work), Usage: make(map[string]relay.Usage), VMs: len(n.forwarding.holders),
 		Failed: make(map[relay.TargetKey]int), Healthy: make(map[relay.TargetKey]int),
 	}
 	for _, h := range n.forwarding.holders {
 		for service, s := range h.renew.Usage {
-			part.Usage[service] = part.Usage[service].Plus(s)
+			aggregate.Usage[service] = aggregate.Usage[service].Plus(s)
 		}
 		for id, w := range h.renew.Work {
-			part.Work[id] = part.Work[id].Plus(w)
+			aggregate.Work[id] = aggregate.Work[id].Plus(w)
 		}
 		for _, id := range h.renew.Failed {
-			part.Failed[id]++
+			aggregate.Failed[id]++
 		}
 		for _, id := range h.renew.Healthy {
-			part.Healthy[id]++
+			aggregate.Healthy[id]++
 		}
-		part.Slow = append(part.Slow, h.renew.Slow...)
+		aggregate.Slow = append(aggregate.Slow, h.renew.Slow...)
 	}
-	slices.Sort(part.Slow)
-	part.Slow = slices.Compact(part.Slow)
-	return part
+	slices.Sort(aggregate.Slow)
+	aggregate.Slow = slices.Compact(aggregate.Slow)
+	return aggregate
 }
 
 // handleGrantBatch handles the leader's reply to a batch.
@@ -341,7 +341,7 @@
 	if b.Term < f.report.term || n.replica.role == Leader {
 		return
 	}
-	f.partAcknowledged = f.partAcknowledged || from == f.partTo && b.Number == f.partNumber
+	f.aggregateAcknowledged = f.aggregateAcknowledged || from == f.aggregateTo && b.Number == f.aggregateNumber
 	f.report.update(from.VM, b)
 	f.held = append(f.held, b)
 	n.forwardGrants()
--- a/internal/core/grants.go
+++ b/internal/core/grants.go
@@ -48,7 +48,7 @@
 	for _, r := range b.Renewals {
 		n.renewLease(from.VM, r)
 	}
-	n.recordPart(from, b)
+	n.recordAggregate(from, b)
 	n.crashesReported(b.Crashed, b.Survived)
 	g := GrantBatch{Term: n.replica.hard.Term, Number: b.Number, Revision: n.machine.Config.Revision}
 	if !n.now.Before(n.leader.viewCompleteAt) {
@@ -61,18 +61,18 @@
 	n.send(from.VM, Message{GrantBatch: &g})
 }
 
-// recordPart records what a control VM reports of its holders. It ignores a control VM until
-// that one has sent its first part to this leader.
-func (n *Node) recordPart(from ReplicaID, b RenewBatch) {
-	part, heard := n.leader.parts[from.VM]
+// recordAggregate records what a control VM reports of its holders. It ignores a control VM
+// until that one has sent its first aggregate to this leader.
+func (n *Node) recordAggregate(from ReplicaID, b RenewBatch) {
+	aggregate, reported := n.leader.aggregates[from.VM]
 	if b.Aggregate != nil {
-		part.FleetAggregate = *b.Aggregate
+		aggregate.FleetAggregate = *b.Aggregate
 	}
-	if b.Aggregate == nil && !heard {
+	if b.Aggregate == nil && !reported {
 		return
 	}
-	part.following, part.expected, part.at = b.Following, b.Expected, n.now
-	n.leader.parts[from.VM] = part
+	aggregate.following, aggregate.expected, aggregate.at = b.Following, b.Expected, n.now
+	n.leader.aggregates[from.VM] = aggregate
 }
 
 func (n *Node) isLeaving(l *lease) bool {
--- a/internal/core/halls_test.go
+++ b/internal/core/halls_test.go
@@ -46,10 +46,10 @@
 	limits map[core.VMName]*relay.RateLimits
 	// quarantine is the quarantine that each entry VM has received.
 	quarantine map[core.VMName]map[relay.Fingerprint]time.Time
-	// backoffsEnded are the ended backoffs that each entry VM has received. shown are the rows
+	// backoffsEnded are the ended backoffs that each entry VM has received. rows are the rows
 	// of the last table in an answer to an operator.
 	backoffsEnded map[core.VMName][]string
-	shown         [][]string
+	rows          [][]string
 	// loses reports whether a message is lost; nil loses none.
 	loses func(core.Envelope) bool
 	// renewed counts the renewals received by each VM; sent and bytes what each VM sent.
@@ -200,7 +200,7 @@
 			f.backoffsEnded[vm] = append(f.backoffsEnded[vm], e.Targets...)
 		case core.Answer:
 			if e.Result.Table != nil {
-				f.shown = e.Result.Table.Rows
+				f.rows = e.Result.Table.Rows
 			}
 		case core.QuarantineInForce:
 			f.quarantine[vm] = e.Until
@@ -279,14 +279,14 @@
 		}
 		for i, vm := range f.names {
 			if vm[0] == 'e' && (int(f.now.UnixMilli())/20+i)%10 == 0 {
-				f.step(vm, core.WorkCounted{Work: f.work[vm], Findings: f.found[vm], Limits: f.permitAsks(vm)})
+				f.step(vm, core.WorkCounted{Work: f.work[vm], Findings: f.found[vm], Limits: f.permitRequests(vm)})
 			}
 			f.step(vm, core.Tick{})
 		}
 	}
 }
 
-func (f *hallFleet) permitAsks(vm core.VMName) []relay.PermitRequest {
+func (f *hallFleet) permitRequests(vm core.VMName) []relay.PermitRequest {
 	if limits, ok := f.limits[vm]; ok {
 		return limits.PermitRequests(f.now)
 	}
--- a/internal/core/leading.go
+++ b/internal/core/leading.go
@@ -43,8 +43,8 @@
 	// joining are the replicas that have asked to join as learners.
 	joining   map[ReplicaID]Member
 	documents documentQueue
-	// parts are the reports of other control VMs on the entry VMs that renew with them.
-	parts map[VMName]receivedPart
+	// aggregates are the reports of other control VMs on the entry VMs that renew with them.
+	aggregates map[VMName]receivedAggregate
 	// suspects are the requests whose runs have crashed targets, and quarantining those whose
 	// quarantine is proposed and not committed yet.
 	suspects     relay.Suspects
@@ -78,8 +78,8 @@
 	renewedAt time.Time
 }
 
-// receivedPart is a control VM's report on its holders, with the time of its arrival.
-type receivedPart struct {
+// receivedAggregate is a control VM's report on its holders, with the time of its arrival.
+type receivedAggregate struct {
 	FleetAggregate
 	following int
 	expected  []VMName
@@ -97,15 +97,15 @@
 	snapshot := l.snapshot
 	deltas := l.deltas
 	*l = leaderState{
-		snapshot:  snapshot,
-		deltas:    deltas,
-		operators: make(map[Index]*waiter),
-		claims:    make(map[Index]claimWaiter),
-		records:   make(map[Index]recordWaiter),
-		leases:    make(map[VMName]*lease),
-		parts:     make(map[VMName]receivedPart),
-		joining:   make(map[ReplicaID]Member),
-		suspects:  relay.NewSuspects(), quarantining: make(map[relay.Fingerprint]bool),
+		snapshot:   snapshot,
+		deltas:     deltas,
+		operators:  make(map[Index]*waiter),
+		claims:     make(map[Index]claimWaiter),
+		records:    make(map[Index]recordWaiter),
+		leases:     make(map[VMName]*lease),
+		aggregates: make(map[VMName]receivedAggregate),
+		joining:    make(map[ReplicaID]Member),
+		suspects:   relay.NewSuspects(), quarantining: make(map[relay.Fingerprint]bool),
 		reports:         make(map[string]map[VMName]receivedReport),
 		platformLeaving: make(map[string]bool),
 		orders:          make(map[string]*orderState),
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -12,9 +12,9 @@
 // all VMs together; relay/lender.go has the problem. Requests for permits and grants go with
 // the renewals and leases of entry VMs, via the control VM that they renew with.
 
-// LimitAsk is an entry VM's report of one target with a limit, and its request for permits: a
+// LimitRequest is an entry VM's report of a target with a limit, and its request for permits: a
 // relay.PermitRequest with ages in place of times, since clocks differ.
-type LimitAsk struct {
+type LimitRequest struct {
 	// The fields are encoded without names, since these values are sent often.
 	_      struct{}        `cbor:",toarray"`
 	Target relay.TargetKey `cbor:"target"`
@@ -33,16 +33,16 @@
 	Returned       uint64 `cbor:"returned"`
 }
 
-// HolderAsks are the permit requests of one entry VM in a RenewBatch. Number is that of its
+// HolderRequests are the permit requests of one entry VM in a RenewBatch. Number is that of its
 // renewal.
-type HolderAsks struct {
-	_      struct{}   `cbor:",toarray"`
-	From   ReplicaID  `cbor:"from"`
-	Number uint64     `cbor:"number"`
-	Asks   []LimitAsk `cbor:"asks"`
+type HolderRequests struct {
+	_        struct{}       `cbor:",toarray"`
+	From     ReplicaID      `cbor:"from"`
+	Number   uint64         `cbor:"number"`
+	Requests []LimitRequest `cbor:"asks"`
 }
 
-// HolderPermits answers HolderAsks in a GrantBatch, with the same Number.
+// HolderPermits answers HolderRequests in a GrantBatch, with the same Number.
 type HolderPermits struct {
 	_       struct{}        `cbor:",toarray"`
 	To      ReplicaID       `cbor:"to"`
@@ -51,7 +51,7 @@
 }
 
 // PermitsWanted reports that requests wait for permits: the leader is to be asked now.
-type PermitsWanted struct{ Asks []relay.PermitRequest }
+type PermitsWanted struct{ Requests []relay.PermitRequest }
 
 // PermitsGranted passes to the runtime the permits of the lease that answers renewal Number. They
 // expire at Until.
@@ -71,7 +71,7 @@
 
 // permitsWanted renews the lease now to obtain permits.
 func (n *Node) permitsWanted(p PermitsWanted) {
-	n.entry.permitAsks = p.Asks
+	n.entry.permitRequests = p.Requests
 	n.renewForPermits()
 }
 
@@ -94,36 +94,36 @@
 	return now.Add(-time.Duration(millis) * time.Millisecond)
 }
 
-// limitAsks returns this VM's permit requests and limits for the leader.
-func (n *Node) limitAsks() []LimitAsk {
-	known := slices.Concat(n.entry.permitAsks, n.entry.limits.PermitRequests(n.now))
-	asks := make([]LimitAsk, len(known))
+// limitRequests returns this VM's permit requests and limits for the leader.
+func (n *Node) limitRequests() []LimitRequest {
+	known := slices.Concat(n.entry.permitRequests, n.entry.limits.PermitRequests(n.now))
+	requests := make([]LimitRequest, len(known))
 	for i, a := range known {
-		asks[i] = LimitAsk{
+		requests[i] = LimitRequest{
 			Target: a.Target, Answered: !a.Answer.ReceivedAt.IsZero(), Limited: a.Answer.Limited, PerSecond: a.Answer.PerSecond,
 			Wanted: a.Wanted, Left: a.Left, Taken: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned,
 		}
-		if asks[i].Answered {
-			asks[i].SentMillis, asks[i].ReceivedMillis = age(a.Answer.SentAt, n.now), age(a.Answer.ReceivedAt, n.now)
+		if requests[i].Answered {
+			requests[i].SentMillis, requests[i].ReceivedMillis = age(a.Answer.SentAt, n.now), age(a.Answer.ReceivedAt, n.now)
 		}
 	}
-	return asks
+	return requests
 }
 
-// permitAsk converts the ages of an ask to times of this VM's clock.
-func (a LimitAsk) permitAsk(now time.Time) relay.PermitRequest {
-	ask := relay.PermitRequest{Target: a.Target, Wanted: a.Wanted, Left: a.Left, Taken: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned}
+// permitRequest converts the ages of a request to times of this VM's clock.
+func (a LimitRequest) permitRequest(now time.Time) relay.PermitRequest {
+	request := relay.PermitRequest{Target: a.Target, Wanted: a.Wanted, Left: a.Left, Taken: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned}
 	if a.Answered {
-		ask.Answer = relay.LimitAnswer{Limited: a.Limited, PerSecond: a.PerSecond, SentAt: timeOfAge(a.SentMillis, now), ReceivedAt: timeOfAge(a.ReceivedMillis, now)}
+		request.Answer = relay.LimitAnswer{Limited: a.Limited, PerSecond: a.PerSecond, SentAt: timeOfAge(a.SentMillis, now), ReceivedAt: timeOfAge(a.ReceivedMillis, now)}
 	}
-	return ask
+	return request
 }
 
 // grantPermits returns the permits that this VM, the leader, grants to a holder.
-func (n *Node) grantPermits(to ReplicaID, number uint64, asks []LimitAsk) []relay.Permits {
+func (n *Node) grantPermits(to ReplicaID, number uint64, requests []LimitRequest) []relay.Permits {
 	var permits []relay.Permits
-	for _, a := range asks {
-		if p, ok := n.leader.permitAllocator.Request(to, number, a.permitAsk(n.now), n.now); ok {
+	for _, a := range requests {
+		if p, ok := n.leader.permitAllocator.Request(to, number, a.permitRequest(n.now), n.now); ok {
 			permits = append(permits, p)
 		}
 	}
@@ -131,10 +131,10 @@
 }
 
 // grantBatchPermits answers the permit requests in a control VM's batch.
-func (n *Node) grantBatchPermits(asks []HolderAsks) []HolderPermits {
+func (n *Node) grantBatchPermits(requests []HolderRequests) []HolderPermits {
 	var granted []HolderPermits
-	for _, a := range asks {
-		if permits := n.grantPermits(a.From, a.Number, a.Asks); len(permits) > 0 {
+	for _, a := range requests {
+		if permits := n.grantPermits(a.From, a.Number, a.Requests); len(permits) > 0 {
 			granted = append(granted, HolderPermits{To: a.From, Number: a.Number, Permits: permits})
 		}
 	}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -261,11 +261,11 @@
 
 // Bounds the bytes of 16 limits in a renewal and a lease; a message has at most that many.
 func TestRateLimitMessageSize(t *testing.T) {
-	asks := make([]core.LimitAsk, 16)
+	asks := make([]core.LimitRequest, 16)
 	permits := make([]relay.Permits, 16)
 	for i := range asks {
 		key := relay.NewTargetID("i-7f3a91c2", uint64(1790000000000+i)).Key()
-		asks[i] = core.LimitAsk{Target: key, Answered: true, Limited: true, PerSecond: 4.5, SentMillis: 1200, ReceivedMillis: 1000, Wanted: 19, Left: 1, Taken: 70000, Unpaid: 3, Returned: 200}
+		asks[i] = core.LimitRequest{Target: key, Answered: true, Limited: true, PerSecond: 4.5, SentMillis: 1200, ReceivedMillis: 1000, Wanted: 19, Left: 1, Taken: 70000, Unpaid: 3, Returned: 200}
 		permits[i] = relay.Permits{Target: key, PerSecond: 4.5, Count: 1}
 	}
 	renew, err := wire.Marshal(&core.Renew{Limits: asks})
--- a/internal/core/message.go
+++ b/internal/core/message.go
@@ -205,7 +205,7 @@
 	// Draining lists the targets that announced in a notice that they leave.
 	Draining []relay.TargetID `cbor:"draining,omitempty"`
 	// Limits lists the targets with a limit of requests per second.
-	Limits []LimitAsk `cbor:"limits,omitempty"`
+	Limits []LimitRequest `cbor:"limits,omitempty"`
 	// Crashed lists runs that ended with their target. Survived lists requests that have
 	// run successfully since they were reported as crashed.
 	Crashed  []CrashReport    `cbor:"crashed,omitempty"`
@@ -261,7 +261,7 @@
 	Following int      `cbor:"following"`
 	Expected  []VMName `cbor:"expected,omitempty"`
 	// Limits holds the permit requests of the renewals, for targets with limits.
-	Limits []HolderAsks `cbor:"limits,omitempty"`
+	Limits []HolderRequests `cbor:"limits,omitempty"`
 	// Aggregate is nil while the last one sent is still valid.
 	Aggregate *FleetAggregate `cbor:"part,omitempty"`
 	// Crashed and Survived come from the renewals since the last batch.
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -140,7 +140,7 @@
 		n.targetReported(ev)
 	case WorkCounted:
 		n.entry.work, n.entry.usage = ev.Work, ev.Usage
-		n.entry.findings, n.entry.permitAsks = ev.Findings, ev.Limits
+		n.entry.findings, n.entry.permitRequests = ev.Findings, ev.Limits
 	case PermitsWanted:
 		n.permitsWanted(ev)
 	case TargetDrains:
--- a/internal/core/seldom_test.go
+++ b/internal/core/seldom_test.go
@@ -25,7 +25,7 @@
 
 func (f *slowHeartbeatFleet) step(event core.Event) []core.Effect {
 	effects := f.node.Step(f.now, event)
-	for _, news := range newsTo(effects, "e1") {
+	for _, news := range updatesTo(effects, "e1") {
 		f.seen = max(f.seen, news.Through)
 		f.updates += len(news.Targets) + len(news.Updates)
 		f.step(from("e1", core.Message{Follow: &core.Follow{Incarnation: news.Incarnation, After: f.seen, Acknowledge: true}}))
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -302,8 +302,8 @@
 	require.Greater(t, f.renew("e1", true), whole, "it may have been lost")
 }
 
-// newsTo returns the updates that a step sends to a VM.
-func newsTo(effects []core.Effect, vm core.VMName) []core.RegistryUpdate {
+// updatesTo returns the updates that a step sends to a VM.
+func updatesTo(effects []core.Effect, vm core.VMName) []core.RegistryUpdate {
 	var sent []core.RegistryUpdate
 	for _, effect := range effects {
 		if send, ok := effect.(core.Send); ok && send.Envelope.To == vm && send.Envelope.Body.TargetNews != nil {
@@ -324,22 +324,22 @@
 		n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: relay.TargetID(id), Address: id, Call: 1}})
 	}
 	sendReport("i-1")
-	first := newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
+	first := updatesTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
 	require.Len(t, first, 1)
 	sendReport("i-2")
 	sendReport("i-3")
-	require.Empty(t, newsTo(nextPush(n, now), "e1"), "the first update is in flight")
+	require.Empty(t, updatesTo(nextPush(n, now), "e1"), "the first update is in flight")
 	now = now.Add(100 * time.Millisecond)
-	require.Empty(t, newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), "the first update is still in flight when the follower asks again")
+	require.Empty(t, updatesTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), "the first update is still in flight when the follower asks again")
 
 	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Through, Acknowledge: true}
 	n.Step(now, from("e1", core.Message{Follow: &came}))
-	next := newsTo(nextPush(n, now), "e1")
+	next := updatesTo(nextPush(n, now), "e1")
 	require.Len(t, next, 1)
 	require.Len(t, next[0].Targets, 2, "all later changes are in one update")
 	came.After = next[0].Through
 	n.Step(now, from("e1", core.Message{Follow: &came}))
-	require.Empty(t, newsTo(nextPush(n, now.Add(time.Second)), "e1"), "nothing has changed")
+	require.Empty(t, updatesTo(nextPush(n, now.Add(time.Second)), "e1"), "nothing has changed")
 }
 
 // Updates lost on a broken link are sent again within the 2 s that a report may take.
@@ -347,8 +347,8 @@
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-1", Address: "a", Call: 1}})
-	require.Len(t, newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), 1)
-	again := newsTo(n.Step(now.Add(time.Second), from("e1", core.Message{Follow: &core.Follow{}})), "e1")
+	require.Len(t, updatesTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), 1)
+	again := updatesTo(n.Step(now.Add(time.Second), from("e1", core.Message{Follow: &core.Follow{}})), "e1")
 	require.Len(t, again, 1)
 	require.Len(t, again[0].Targets, 1)
 }
@@ -359,19 +359,19 @@
 	now := lead(n, time.Unix(100, 0))
 	stays := relay.Target{ID: "i-1", Address: "a", Call: 1}
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: stays})
-	first := newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
+	first := updatesTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
 	require.Len(t, first, 1)
 	leaves := stays
 	leaves.Call, leaves.Leaving = 2, true
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: leaves})
-	beside := newsTo(nextPush(n, now), "e1")
+	beside := updatesTo(nextPush(n, now), "e1")
 	require.Len(t, beside, 1)
 	require.Equal(t, []relay.Target{leaves}, beside[0].Targets)
-	require.Empty(t, newsTo(nextPush(n, now.Add(time.Second/10)), "e1"), "sent only once")
+	require.Empty(t, updatesTo(nextPush(n, now.Add(time.Second/10)), "e1"), "sent only once")
 
 	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Through, Acknowledge: true}
 	n.Step(now.Add(300*time.Millisecond), from("e1", core.Message{Follow: &came}))
-	again := newsTo(nextPush(n, now.Add(300*time.Millisecond)), "e1")
+	again := updatesTo(nextPush(n, now.Add(300*time.Millisecond)), "e1")
 	require.Len(t, again, 1, "its position has not changed")
 }
 
@@ -385,12 +385,12 @@
 	lost := 0
 	for range 25 {
 		now = now.Add(100 * time.Millisecond)
-		lost += len(newsTo(n.Step(now, core.Tick{}), "e1"))
+		lost += len(updatesTo(n.Step(now, core.Tick{}), "e1"))
 	}
 	require.Equal(t, 2, lost, "the third would be sent another 2.8 s later")
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-1", Address: "a", Call: 2}})
 	asked := now.Add(600 * time.Millisecond)
-	again := newsTo(n.Step(asked, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
+	again := updatesTo(n.Step(asked, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
 	require.Len(t, again, 1)
 	require.Len(t, again[0].Targets, 1)
 	require.True(t, again[0].Complete)
@@ -403,12 +403,12 @@
 	spoke := relay.Target{ID: "i-1", Address: "a", Call: 1}
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: spoke})
 	ask := core.Message{Follow: &core.Follow{OwnOnly: true, Heartbeats: true}}
-	first := newsTo(n.Step(now, from("c3", ask)), "c3")[0]
+	first := updatesTo(n.Step(now, from("c3", ask)), "c3")[0]
 	require.Len(t, first.Targets, 1)
 	n.Step(now, from("c3", core.Message{Follow: &core.Follow{Incarnation: first.Incarnation, After: first.Through, Acknowledge: true, OwnOnly: true, Heartbeats: true}}))
 	ask.Follow.Incarnation, ask.Follow.After = first.Incarnation, first.Through
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 1}})
-	require.Len(t, newsTo(nextPush(n, now), "c3"), 1)
+	require.Len(t, updatesTo(nextPush(n, now), "c3"), 1)
 	for range 5 {
 		now = now.Add(100 * time.Millisecond)
 		n.Step(now, core.Tick{})
@@ -416,7 +416,7 @@
 	spoke.Call++
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: spoke})
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 2}})
-	beats := newsTo(n.Step(now, from("c3", ask)), "c3")
+	beats := updatesTo(n.Step(now, from("c3", ask)), "c3")
 	require.Len(t, beats, 1)
 	require.Empty(t, beats[0].Targets)
 	require.Equal(t, []relay.Heartbeat{{ID: "i-1", Call: 2}}, beats[0].Heartbeats, "the other heartbeat would arrive before its report")
--- a/internal/core/tenure.go
+++ b/internal/core/tenure.go
@@ -64,8 +64,8 @@
 	findings relay.Findings
 	// limits are the rate limits of declared targets.
 	limits *relay.RateLimits
-	// permitAsks are the permit requests of this VM for registered targets with limits.
-	permitAsks []relay.PermitRequest
+	// permitRequests are the permit requests of this VM for registered targets with limits.
+	permitRequests []relay.PermitRequest
 	// crashes are the crashed runs that this VM reports.
 	crashes crashes
 	// controls are the live control VMs, as last received.
@@ -260,7 +260,7 @@
 		Healthy:         n.entry.findings.Healthy,
 		Slow:            n.entry.findings.Slow,
 		Draining:        n.entry.findings.Leaving,
-		Limits:          n.limitAsks(),
+		Limits:          n.limitRequests(),
 		Crashed:         n.entry.crashes.reports(n.now),
 		Survived:        n.entry.crashes.cleared(n.now),
 	}})
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -25,7 +25,7 @@
 	stopWaiting := g.router.Wait(service, urgency)
 	asks := g.router.PermitRequests(clock.Now())
 	g.mu.Unlock()
-	g.daemon.post(core.PermitsWanted{Asks: asks})
+	g.daemon.post(core.PermitsWanted{Requests: asks})
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
--- a/internal/relay/candidates.go
+++ b/internal/relay/candidates.go
@@ -14,12 +14,12 @@
 	key        TargetKey
 	ownWork    Work
 	othersWork Work
-	// failuresInRow counts failures in a row, and fullness refusals in a row.
+	// failuresInRow counts failures in a row, and refusalsInRow refusals in a row.
 	failuresInRow int
 	suspectUntil  time.Time
 	refusalsInRow int
 	refusedUntil  time.Time
-	// slowdownFactor is the slowdown factor that the target reported, valid until slowUntil. slowness
+	// slowdownFactor is the factor that the target reported, valid until slowUntil. slowReports
 	// counts how often it was found slow again.
 	slowdownFactor float64
 	slowReports    int
@@ -40,8 +40,8 @@
 	// backoff and draining come from the notices of the target: see Router.applyNotices.
 	backoff  backoff
 	draining bool
-	// superseded is set if another incarnation runs in the place of this one. A void target is
-	// not a member of its service.
+	// superseded is set if another incarnation runs in place of this one, which is then not
+	// a member of its service.
 	superseded bool
 	// failures is a moving mean of recent results, from 0 (all succeeded) to 1 (all
 	// failed).
--- a/internal/relay/digest.go
+++ b/internal/relay/digest.go
@@ -24,12 +24,12 @@
 
 func (id TargetID) bucket() int { return int(id.Key() % digestBuckets) }
 
-// Digest returns the sums of the registry. They exclude void incarnations and withheld engines;
+// Digest returns the sums of the registry. They exclude superseded incarnations and withheld engines;
 // absent ones differ from those that report again.
 func (r *Registry) Digest() Digest {
 	d := make(Digest, digestBuckets)
 	for _, e := range r.targets {
-		if e.void || !e.advertised() {
+		if e.superseded || !e.advertised() {
 			continue
 		}
 		d[e.target.ID.bucket()] += e.target.hash()
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Suspect reports whether a target is avoided at present. A void one always is, and what runs
+// Suspect reports whether a target is avoided at present. A superseded one always is, and what runs
 // there is lost.
 func (r *Router) Suspect(id TargetID, now time.Time) bool {
 	t, ok := r.targets[id]
--- a/internal/relay/incarnation.go
+++ b/internal/relay/incarnation.go
@@ -16,18 +16,18 @@
 //
 // Algorithm: the start is part of the identity, so that all state kept by TargetID belongs to one
 // incarnation. Of the incarnations of one name, and of those at one address, the one with the
-// latest start is current and the others are void. Each registry derives this from the
+// latest start is current and supersedes the others. Each registry derives this from the
 // incarnations that it knows, so that neither the order of arrival nor its own clock matters.
 //
 // After a clock was set back, the running incarnation does not have the latest start. It becomes
 // current once the later ones have been silent for the time after which a target counts as lost:
 // the control VM that receives its report notes them as absent, up to the last message that it
-// has of each, and forwards the notes. An absent incarnation voids nothing. Its next message,
+// has of each, and forwards the notes. An absent incarnation supersedes nothing. Its next message,
 // which is newer than the note, ends that.
 //
 // Invariants: what is current depends on the incarnations and notes that are known, not on the
-// order in which they arrived; a void incarnation is sent to no VM, saved nowhere and given no
-// work.
+// order in which they arrived; a superseded incarnation is sent to no VM, saved nowhere and
+// given no work.
 //
 // Limits: if a message of an earlier incarnation arrives when the later one has been silent for
 // that time, the earlier one is current until the later one reports or the earlier one has been
@@ -190,17 +190,17 @@
 	case !known:
 		// An incarnation that was never current here does not end.
 		e := r.targets[after.ID]
-		_, e.void = r.voidedBy(after)
+		_, e.superseded = r.supersedingIncarnation(after)
 		r.targets[after.ID] = e
 	case before.Address != after.Address:
 		removeID(r.incarnations.byAddress, before.Address, before.ID)
-		r.updateVoid(r.incarnations.byAddress[before.Address])
+		r.updateSuperseded(r.incarnations.byAddress[before.Address])
 	}
 	if reappeared {
 		delete(r.incarnations.absent, after.ID)
 		r.markChanged(after.ID)
 	}
-	r.updateVoid(r.incarnations.conflicting(after))
+	r.updateSuperseded(r.incarnations.conflicting(after))
 	return reappeared
 }
 
@@ -212,21 +212,21 @@
 	r.targets[id] = e
 }
 
-// updateVoid determines which of some incarnations are void, and records those that have become
-// void or current.
-func (r *Registry) updateVoid(ids []TargetID) {
+// updateSuperseded determines which of some incarnations are superseded, and records those that
+// have become superseded or current.
+func (r *Registry) updateSuperseded(ids []TargetID) {
 	for _, id := range ids {
 		e, known := r.targets[id]
 		if !known {
 			continue
 		}
-		by, void := r.voidedBy(e.target)
-		if void == e.void {
+		by, superseded := r.supersedingIncarnation(e.target)
+		if superseded == e.superseded {
 			continue
 		}
-		e.void = void
+		e.superseded = superseded
 		r.change++
-		if void {
+		if superseded {
 			r.incarnations.ended = append(r.incarnations.ended, Succession{Old: id, New: by})
 			if e.advertised() {
 				r.AddToShortlist(by)
@@ -239,15 +239,16 @@
 	}
 }
 
-// voidedBy returns the incarnation with the latest start that voids a target, if there is one.
-func (r *Registry) voidedBy(t Target) (by TargetID, void bool) {
+// supersedingIncarnation returns the incarnation with the latest start that supersedes a target,
+// if there is one.
+func (r *Registry) supersedingIncarnation(t Target) (by TargetID, superseded bool) {
 	latest := t.ID.StartMillis()
 	for _, id := range r.incarnations.conflicting(t) {
 		if born := id.StartMillis(); born > latest && !r.isAbsent(r.targets[id].target) {
-			by, latest, void = id, born, true
+			by, latest, superseded = id, born, true
 		}
 	}
-	return by, void
+	return by, superseded
 }
 
 // noteAbsent notes the silent ones of the incarnations with a later start than one that has just
@@ -263,7 +264,7 @@
 		noted = true
 	}
 	if noted {
-		r.updateVoid(r.incarnations.conflicting(t))
+		r.updateSuperseded(r.incarnations.conflicting(t))
 	}
 }
 
@@ -275,7 +276,7 @@
 	}
 	r.incarnations.absent[m.ID] = absence{call: m.Call, at: now}
 	if known {
-		r.updateVoid(r.incarnations.conflicting(e.target))
+		r.updateSuperseded(r.incarnations.conflicting(e.target))
 	}
 }
 
@@ -298,12 +299,12 @@
 // again, since its last call. One that did both is returned only for the state that holds now.
 func (r *Registry) TakeTransitions() (ended []Succession, again []Target) {
 	for _, s := range r.incarnations.ended {
-		if r.targets[s.Old].void {
+		if r.targets[s.Old].superseded {
 			ended = append(ended, s)
 		}
 	}
 	for _, id := range r.incarnations.revived {
-		if e, known := r.targets[id]; known && !e.void {
+		if e, known := r.targets[id]; known && !e.superseded {
 			again = append(again, e.target)
 		}
 	}
@@ -311,10 +312,10 @@
 	return ended, again
 }
 
-// IsCurrent reports whether an incarnation is known and not void.
+// IsCurrent reports whether an incarnation is known and not superseded.
 func (r *Registry) IsCurrent(id TargetID) bool {
 	e, known := r.targets[id]
-	return known && !e.void
+	return known && !e.superseded
 }
 
 // signOffs returns the sign-offs that follow from one message: for the incarnation whose start it
@@ -325,7 +326,7 @@
 		return leaving
 	}
 	for _, id := range r.incarnations.byName[t.ID.Name()] {
-		if id != t.ID && !r.targets[id].void {
+		if id != t.ID && !r.targets[id].superseded {
 			other := t
 			other.ID = id
 			leaving = append(leaving, other)
@@ -346,7 +347,7 @@
 		}
 	}
 	for _, t := range removed {
-		r.updateVoid(r.incarnations.conflicting(t))
+		r.updateSuperseded(r.incarnations.conflicting(t))
 	}
 }
 
@@ -384,8 +385,8 @@
 	return a
 }
 
-// EndIncarnations ends incarnations: they get no new work, what runs there counts as lost, and no state of
-// them is carried over. It returns the addresses of those that this VM knew.
+// EndIncarnations ends incarnations: they get no new work, what runs there counts as lost, and no
+// state of them is carried over. It returns the addresses of those that this VM knew.
 func (r *Router) EndIncarnations(ended []Succession) (addresses []string) {
 	for _, s := range ended {
 		t, known := r.targets[s.Old]
--- a/internal/relay/incarnation_test.go
+++ b/internal/relay/incarnation_test.go
@@ -20,7 +20,7 @@
 	return message(relay.NewTargetID("i-1", born), call)
 }
 
-// currentIDs returns the identities of the targets of a registry that are not void.
+// currentIDs returns the identities of the targets of a registry that are not superseded.
 func currentIDs(r *relay.Registry) []relay.TargetID {
 	var ids []relay.TargetID
 	for _, t := range r.All() {
@@ -68,7 +68,7 @@
 
 // The state of an incarnation does not apply to the next one, whose message numbers are lower.
 func TestNewIncarnationHasNoOldState(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	old := heartbeatOf(100, 50)
 	old.Leaving, old.Layers = true, config.Range{First: 3, Last: 9}
 	r.ReceiveReport(old, start)
@@ -77,7 +77,7 @@
 	ended, again := r.TakeTransitions()
 	require.Equal(t, []relay.Succession{{Old: incarnationIDs(100)[0], New: incarnationIDs(200)[0]}}, ended)
 	require.Empty(t, again)
-	require.Contains(t, r.Silent(start.Add(2*time.Second), silence), incarnationIDs(100)[0], "the old incarnation is reported as silent")
+	require.Contains(t, r.Silent(start.Add(2*time.Second), lossTimeout), incarnationIDs(100)[0], "the old incarnation is reported as silent")
 }
 
 func TestLateMessagesOfEarlierIncarnationAreIgnored(t *testing.T) {
@@ -99,7 +99,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := relay.NewRegistry(silence)
+			r := relay.NewRegistry(lossTimeout)
 			r.ReceiveReport(heartbeatOf(100, 50), start)
 			r.ReceiveReport(heartbeatOf(200, 1), start.Add(time.Second))
 			r.TakeTransitions()
@@ -119,7 +119,7 @@
 }
 
 func TestEarlierIncarnationReportedLateIsVoid(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	r.ReceiveReport(heartbeatOf(200, 1), start)
 	require.False(t, r.ReceiveReport(heartbeatOf(100, 99), start))
 	require.Equal(t, incarnationIDs(200), currentIDs(r))
@@ -128,7 +128,7 @@
 // A sign-off may arrive before the first message of its incarnation.
 func TestSignOffEndsItsIncarnation(t *testing.T) {
 	for _, born := range []uint64{100, 200} {
-		r := relay.NewRegistry(silence)
+		r := relay.NewRegistry(lossTimeout)
 		r.ReceiveReport(heartbeatOf(100, 50), start)
 		r.ReceiveReport(relay.Target{ID: incarnationIDs(born)[0], Call: 1 << 62, Leaving: true, Gone: true}, start)
 		r.ReceiveReport(heartbeatOf(200, 1), start)
@@ -139,7 +139,7 @@
 }
 
 func TestSignOffWithoutStartEndsCurrentIncarnations(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	r.ReceiveReport(heartbeatOf(100, 50), start)
 	r.ReceiveReport(heartbeatOf(200, 1), start)
 	require.True(t, r.ReceiveReport(relay.Target{ID: "i-1", Call: 1 << 62, Leaving: true, Gone: true}, start))
@@ -154,14 +154,14 @@
 func TestEarlierStartIsCurrentOnceLaterOneIsSilent(t *testing.T) {
 	for name, higher := range map[string]uint64{"set back": 300, "from the future": math.MaxUint64} {
 		t.Run(name, func(t *testing.T) {
-			r, follower := relay.NewRegistry(silence), relay.NewRegistry(silence)
+			r, follower := relay.NewRegistry(lossTimeout), relay.NewRegistry(lossTimeout)
 			r.ReceiveReport(heartbeatOf(higher, 9), start)
 			follower.ReceiveForwarded(heartbeatOf(higher, 9), start)
 			for call := uint64(1); call <= 3; call++ {
 				r.ReceiveReport(heartbeatOf(200, call), start.Add(time.Duration(call)*time.Second))
 				require.Equal(t, incarnationIDs(higher), currentIDs(r))
 			}
-			now := start.Add(silence + time.Second)
+			now := start.Add(lossTimeout + time.Second)
 			change := r.Change()
 			require.True(t, r.ReceiveReport(heartbeatOf(200, 4), now))
 			require.Contains(t, currentIDs(r), incarnationIDs(200)[0])
@@ -194,19 +194,19 @@
 // The running incarnation may report only to other control VMs, none of which knew the absent
 // one.
 func TestForwardedHeartbeatsMarkLaterStartAbsent(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	r.ReceiveReport(heartbeatOf(300, 9), start)
 	r.ReceiveForwarded(heartbeatOf(200, 1), start.Add(time.Second))
 	r.ReceiveHeartbeat(incarnationIDs(200)[0], 2, start.Add(2*time.Second))
 	require.Equal(t, incarnationIDs(300), currentIDs(r))
-	r.ReceiveHeartbeat(incarnationIDs(200)[0], 3, start.Add(silence+time.Second))
+	r.ReceiveHeartbeat(incarnationIDs(200)[0], 3, start.Add(lossTimeout+time.Second))
 	require.Contains(t, currentIDs(r), incarnationIDs(200)[0])
 	require.Equal(t, []relay.AbsenceNote{{ID: incarnationIDs(300)[0], Call: 9}}, r.AbsenceNotes())
 }
 
 // A late message of an incarnation does not mark a later one as absent.
 func TestRepeatedMessageMarksNothingAbsent(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	r.ReceiveReport(heartbeatOf(100, 5), start)
 	r.ReceiveReport(heartbeatOf(200, 1), start)
 	late := start.Add(10 * time.Second)
@@ -217,7 +217,7 @@
 
 // A VM that follows a new control VM learns that an absent incarnation reports again.
 func TestDigestReflectsAbsence(t *testing.T) {
-	a, b := relay.NewRegistry(silence), relay.NewRegistry(silence)
+	a, b := relay.NewRegistry(lossTimeout), relay.NewRegistry(lossTimeout)
 	for _, r := range []*relay.Registry{a, b} {
 		r.ReceiveForwarded(heartbeatOf(300, 9), start)
 		r.ReceiveForwarded(heartbeatOf(200, 1), start)
@@ -241,7 +241,7 @@
 func TestLaterStartAtAddressIsCurrent(t *testing.T) {
 	first, second := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-2", 200)
 	for _, order := range [][]relay.TargetID{{first, second}, {second, first}, {first, second, first}} {
-		r := relay.NewRegistry(silence)
+		r := relay.NewRegistry(lossTimeout)
 		for i, id := range order {
 			r.ReceiveReport(messageAt(id, "x", uint64(1+i)), start.Add(time.Duration(i)*time.Second))
 		}
@@ -254,7 +254,7 @@
 // Without starts, a late message of the first target neither makes it current again nor makes the
 // running one silent.
 func TestLaterRegistrationAtAddressIsCurrent(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	silent := func(now time.Time) []relay.TargetID {
 		return r.Silent(now, 1500*time.Millisecond)
 	}
@@ -330,7 +330,7 @@
 		const vms = 3
 		registries, received := make([]*relay.Registry, vms), make([]map[relay.TargetID][]relay.Target, vms)
 		for i := range vms {
-			registries[i], received[i] = relay.NewRegistry(silence), make(map[relay.TargetID][]relay.Target)
+			registries[i], received[i] = relay.NewRegistry(lossTimeout), make(map[relay.TargetID][]relay.Target)
 		}
 		addresses := make(map[relay.TargetID]string)
 		calls := make(map[relay.TargetID]uint64)
@@ -379,9 +379,9 @@
 	})
 }
 
-// A message that anybody may write is removed completely: it neither voids others nor stays.
+// A message that anybody may write is removed completely: it neither supersedes others nor stays.
 func TestRemovedIncarnationVoidsNothing(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	r.ReceiveReport(messageAt(relay.NewTargetID("a", 20), "x", 1), start)
 	r.ReceiveReport(messageAt(relay.NewTargetID("b", 10), "x", 1), start)
 	require.Len(t, r.All(), 1)
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -22,8 +22,8 @@
 	// limitTTL is how long a limit that no answer to this VM has named counts after the leader
 	// last reported it: as long as a lease, without which this VM sends nothing.
 	limitTTL = 3 * time.Second
-	// maxPermitAsks bounds the limits in one renewal: 16 are some 0.5 KB.
-	maxPermitAsks = 16
+	// maxPermitRequests bounds the limits in one renewal: 16 are some 0.5 KB.
+	maxPermitRequests = 16
 	// maxLimits bounds the limits that are kept: as many as backoffs.
 	maxLimits = maxBackoffs
 	// unlimitedFromPerSecond is the limit, in requests a second, from which on a target counts as
@@ -287,7 +287,7 @@
 // request has wanted recently. Limits that have ended are removed.
 func (l *RateLimits) PermitRequests(now time.Time) []PermitRequest {
 	l.bound()
-	var asks []PermitRequest
+	var requests []PermitRequest
 	for key, m := range l.byTarget {
 		if !m.limited(now) && now.After(m.answer.ReceivedAt.Add(limitTTL)) {
 			delete(l.byTarget, key)
@@ -299,15 +299,15 @@
 			m.returned += uint64(m.left - wanted)
 			m.left = wanted
 		}
-		asks = append(asks, PermitRequest{Target: key, Answer: m.answer, Wanted: wanted, Left: m.left + m.reserved, Taken: m.taken, Unpaid: m.unpaid, Returned: m.returned})
+		requests = append(requests, PermitRequest{Target: key, Answer: m.answer, Wanted: wanted, Left: m.left + m.reserved, Taken: m.taken, Unpaid: m.unpaid, Returned: m.returned})
 	}
-	slices.SortFunc(asks, func(a, b PermitRequest) int { return cmp.Compare(a.Target, b.Target) })
-	if len(asks) > maxPermitAsks {
-		l.rand.Shuffle(len(asks), func(i, j int) { asks[i], asks[j] = asks[j], asks[i] })
-		slices.SortStableFunc(asks, func(a, b PermitRequest) int { return cmp.Compare(min(b.Wanted, 1), min(a.Wanted, 1)) })
-		asks = asks[:maxPermitAsks]
+	slices.SortFunc(requests, func(a, b PermitRequest) int { return cmp.Compare(a.Target, b.Target) })
+	if len(requests) > maxPermitRequests {
+		l.rand.Shuffle(len(requests), func(i, j int) { requests[i], requests[j] = requests[j], requests[i] })
+		slices.SortStableFunc(requests, func(a, b PermitRequest) int { return cmp.Compare(min(b.Wanted, 1), min(a.Wanted, 1)) })
+		requests = requests[:maxPermitRequests]
 	}
-	return asks
+	return requests
 }
 
 // bound keeps the number of limits within maxLimits by removing those with the oldest answers.
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -97,8 +97,8 @@
 	incarnations incarnations
 	// change is the number of the last change, for those who follow the registry.
 	change uint64
-	// silence is the time without a report after which a target counts as lost.
-	silence time.Duration
+	// lossTimeout is the time without a report after which a target counts as lost.
+	lossTimeout time.Duration
 	// withholdEngines indicates that engines are withheld until they are listed: see shortlist.go.
 	withholdEngines bool
 }
@@ -108,30 +108,30 @@
 	// reportedAt is when any VM last received a report of the target, as far as is known here,
 	// and registered when the target was first known here.
 	reportedAt, registered time.Time
-	// changed is the number of the last change of target, and introduced that of the last one
-	// that an update does not cover.
+	// changed is the number of the last change of target, and fullyChanged that of the last
+	// one that an update does not cover.
 	changed, fullyChanged uint64
-	// ownChanged is the number of the last change for DirectChangedSince, which includes that the target
-	// began to report to this VM.
-	ownChanged uint64
+	// directChanged is the number of the last change for DirectChangedSince, which includes that
+	// the target began to report to this VM.
+	directChanged uint64
 	// direct indicates that the last report of the target came to this VM.
 	direct bool
 	// draining indicates that a VM that received a draining notice from the target reported it to
 	// this VM.
 	draining bool
-	// void indicates that another incarnation runs in place of this one.
-	void bool
+	// superseded indicates that another incarnation runs in place of this one.
+	superseded bool
 	// withheld indicates that entry VMs that follow are not sent the target unless it leaves.
 	withheld bool
 }
 
-// NewRegistry returns an empty registry, in which targets count as lost after a silence.
-func NewRegistry(silence time.Duration) *Registry {
-	return &Registry{targets: make(map[TargetID]entry), incarnations: newIncarnations(), silence: silence}
+// NewRegistry returns an empty registry. Targets without a report for lossTimeout count as lost.
+func NewRegistry(lossTimeout time.Duration) *Registry {
+	return &Registry{targets: make(map[TargetID]entry), incarnations: newIncarnations(), lossTimeout: lossTimeout}
 }
 
-// ReceiveReport processes a report that the target itself sent to this VM, and returns whether followers
-// are to be sent it before they ask.
+// ReceiveReport processes a report that the target itself sent to this VM, and returns whether
+// followers are to be sent it before they ask.
 func (r *Registry) ReceiveReport(t Target, now time.Time) bool {
 	if !t.Gone {
 		return r.take(t, now, true)
@@ -143,8 +143,8 @@
 	return isNew
 }
 
-// ReceiveForwarded processes a report forwarded by another VM, and returns whether it is new. That of a void
-// incarnation is not.
+// ReceiveForwarded processes a report forwarded by another VM, and returns whether it is new. That
+// of a superseded incarnation is not.
 func (r *Registry) ReceiveForwarded(t Target, now time.Time) bool { return r.take(t, now, false) }
 
 func (r *Registry) take(t Target, now time.Time, direct bool) bool {
@@ -172,7 +172,7 @@
 	reattached := direct && !present.direct && !late
 	if differs || reattached || known && !late && r.isSilent(present, now) {
 		r.change++
-		e.ownChanged = r.change
+		e.directChanged = r.change
 	}
 	if differs || reattached && next.Leaving || known && !late && r.isSilent(present, now) {
 		e.changed = r.change
@@ -186,30 +186,32 @@
 	}
 	r.targets[t.ID] = e
 	reappeared := r.reindex(present.target, next, known)
-	if direct && !late && !t.Gone && r.targets[t.ID].void {
+	if direct && !late && !t.Gone && r.targets[t.ID].superseded {
 		r.noteAbsent(next, now)
 	}
-	return !r.targets[t.ID].void && (differs || reattached && next.Leaving || reappeared || present.void)
+	return !r.targets[t.ID].superseded && (differs || reattached && next.Leaving || reappeared || present.superseded)
 }
 
 // Drain records that a target has sent another VM a draining notice with an answer, and reports
 // whether that is new. It does not count as a heartbeat.
 func (r *Registry) Drain(id TargetID) bool {
 	e, known := r.targets[id]
-	if !known || e.void || e.target.Leaving {
+	if !known || e.superseded || e.target.Leaving {
 		return false
 	}
 	r.change++
 	e.target.Leaving = true
 	e.draining = true
-	e.changed, e.ownChanged = r.change, r.change
+	e.changed, e.directChanged = r.change, r.change
 	r.targets[id] = e
 	return true
 }
 
 // isSilent reports whether a target counts as lost: it is not sent to those who ask for all
 // targets, so that its next message is new to them.
-func (r *Registry) isSilent(e entry, now time.Time) bool { return now.Sub(e.reportedAt) > r.silence }
+func (r *Registry) isSilent(e entry, now time.Time) bool {
+	return now.Sub(e.reportedAt) > r.lossTimeout
+}
 
 // differs compares all but the number of the message.
 func differs(a, b Target) bool {
@@ -231,7 +233,7 @@
 		e.direct = false
 		r.targets[id] = e
 		r.reindex(before, e.target, true)
-		if r.targets[id].void {
+		if r.targets[id].superseded {
 			r.noteAbsent(e.target, now)
 		}
 	}
@@ -254,7 +256,7 @@
 		delete(r.targets, id)
 		delete(r.incarnations.absent, id)
 		r.incarnations.unindex(dropped)
-		r.updateVoid(r.incarnations.conflicting(dropped))
+		r.updateSuperseded(r.incarnations.conflicting(dropped))
 	}
 }
 
@@ -271,10 +273,10 @@
 	return r.find(func(e entry) bool { return e.changed > change && e.advertised() })
 }
 
-// DirectChangedSince returns the targets that report to this very VM, or whose draining notice was reported
-// to it, and that have changed or begun to report to it after a change.
+// DirectChangedSince returns the targets that report to this very VM, or whose draining notice was
+// reported to it, and that have changed or begun to report to it after a change.
 func (r *Registry) DirectChangedSince(change uint64) []Target {
-	return r.find(func(e entry) bool { return max(e.changed, e.ownChanged) > change && (e.direct || e.draining) })
+	return r.find(func(e entry) bool { return max(e.changed, e.directChanged) > change && (e.direct || e.draining) })
 }
 
 // UpdateSuffices reports whether an update suffices for a receiver that has all changes up to a
@@ -284,11 +286,11 @@
 	return ok && e.fullyChanged <= change
 }
 
-// find returns the targets that meet a condition, sorted by identity, without void incarnations.
+// find returns the targets that meet a condition, sorted by identity, without superseded ones.
 func (r *Registry) find(wanted func(entry) bool) []Target {
 	var targets []Target
 	for _, id := range r.sortedIDs {
-		if e := r.targets[id]; !e.void && wanted(e) {
+		if e := r.targets[id]; !e.superseded && wanted(e) {
 			targets = append(targets, e.target)
 		}
 	}
@@ -308,33 +310,33 @@
 func (r *Registry) HeartbeatsSince(after time.Time) []Heartbeat {
 	var heartbeats []Heartbeat
 	for _, id := range r.sortedIDs {
-		if e := r.targets[id]; !e.void && e.direct && e.reportedAt.After(after) {
+		if e := r.targets[id]; !e.superseded && e.direct && e.reportedAt.After(after) {
 			heartbeats = append(heartbeats, Heartbeat{ID: id, Call: e.target.Call})
 		}
 	}
 	return heartbeats
 }
 
-// All returns every target that is not void, sorted by identity.
+// All returns every target that is not superseded, sorted by identity.
 func (r *Registry) All() []Target { return r.ChangedSince(0) }
 
-// Silent returns the targets that have not signed off and that are void or have not reported for
-// the silence of the registry. Where another target at the same address has reported since, the
-// silence replaced is enough: an address has one target at a time, and late messages of one that
+// Silent returns the targets that have not signed off and that are superseded or have not reported
+// for lossTimeout. Where another target at the same address has reported since, the shorter time
+// replaced is enough: an address has one target at a time, and late messages of one that
 // died may still arrive.
 func (r *Registry) Silent(now time.Time, replaced time.Duration) []TargetID {
 	var silent []TargetID
-	after, replacedAfter := now.Add(-r.silence), now.Add(-replaced)
+	after, replacedAfter := now.Add(-r.lossTimeout), now.Add(-replaced)
 	for _, id := range r.sortedIDs {
 		e := r.targets[id]
-		if !e.target.Gone && (e.void || e.reportedAt.Before(after) || r.replaced(e, after, replacedAfter)) {
+		if !e.target.Gone && (e.superseded || e.reportedAt.Before(after) || r.replaced(e, after, replacedAfter)) {
 			silent = append(silent, id)
 		}
 	}
 	return silent
 }
 
-// replaced reports whether another target that is not void runs at the address of e. Where their
+// replaced reports whether another target, not superseded, runs at the address of e. Where their
 // starts do not decide, either the other one has reported after the last report of e, which came
 // before replacedAfter; or it registered later, but before replacedAfter, and has reported again
 // since, so that only a late message of e can be newer. The former does not count if the latter
@@ -342,7 +344,7 @@
 func (r *Registry) replaced(e entry, after, replacedAfter time.Time) bool {
 	for _, id := range r.incarnations.byAddress[e.target.Address] {
 		other := r.targets[id]
-		if id == e.target.ID || other.void {
+		if id == e.target.ID || other.superseded {
 			continue
 		}
 		reportedLater := e.reportedAt.Before(replacedAfter) && e.reportedAt.Before(other.reportedAt)
--- a/internal/relay/registry_test.go
+++ b/internal/relay/registry_test.go
@@ -11,15 +11,15 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// silence is the time without a report after which a target of these tests counts as lost.
-const silence = 3 * time.Second
+// lossTimeout is the time without a report after which a target of these tests counts as lost.
+const lossTimeout = 3 * time.Second
 
 func message(id relay.TargetID, call uint64) relay.Target {
 	return relay.Target{ID: id, Service: "s", Address: "10.0.0.1:80", Call: call}
 }
 
 func TestLeavingIsFinal(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	leaving := message("i-1", 5)
 	leaving.Leaving = true
 	require.True(t, r.ReceiveReport(leaving, start))
@@ -31,7 +31,7 @@
 }
 
 func TestLateMessagesAreIgnored(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	newer := message("i-1", 7)
 	newer.Layers = config.Range{First: 0, Last: 9}
 	r.ReceiveReport(newer, start)
@@ -41,7 +41,7 @@
 }
 
 func TestSignOffKeepsEarlierFields(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	r.ReceiveReport(message("i-1", 3), start)
 	r.ReceiveReport(relay.Target{ID: "i-1", Call: 1 << 62, Leaving: true, Gone: true}, start)
 	held, _ := r.Get("i-1")
@@ -52,17 +52,17 @@
 // Late messages of a dead engine kept it in use for seconds after its successor had begun at the
 // same address: 60 requests a second were refused with 421.
 func TestReplacedTargetIsSilent(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	r.ReceiveReport(message("old", 30), start)
 	r.ReceiveReport(message("new", 1), start.Add(time.Second))
 	now := start.Add(2 * time.Second)
 	require.Equal(t, []relay.TargetID{"old"}, r.Silent(now, 1500*time.Millisecond))
-	require.Empty(t, r.Silent(start.Add(2*time.Second), silence))
+	require.Empty(t, r.Silent(start.Add(2*time.Second), lossTimeout))
 }
 
 // A message that another VM forwards again is no new heartbeat.
 func TestRepeatedMessagesAreNoHeartbeats(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	r.ReceiveReport(message("i-1", 3), start)
 	r.ReceiveForwarded(message("i-1", 3), start.Add(5*time.Second))
 	r.ReceiveHeartbeat("i-1", 3, start.Add(5*time.Second))
@@ -72,7 +72,7 @@
 }
 
 func TestFollowersReceiveChanges(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	r.ReceiveReport(message("i-1", 1), start)
 	first := r.Change()
 	r.ReceiveReport(message("i-1", 2), start)
@@ -84,7 +84,7 @@
 
 // Two VMs that received the same targets from others compare digests, and exchange what differs.
 func TestRegistriesAreComparedByDigest(t *testing.T) {
-	a, b := relay.NewRegistry(silence), relay.NewRegistry(silence)
+	a, b := relay.NewRegistry(lossTimeout), relay.NewRegistry(lossTimeout)
 	for i := range 300 {
 		target := message(relay.TargetID(fmt.Sprint("i-", i)), 1)
 		a.ReceiveReport(target, start)
--- a/internal/relay/repeat.go
+++ b/internal/relay/repeat.go
@@ -59,10 +59,10 @@
 	return denial == NotDenied
 }
 
-// maxAsked bounds the targets that are tried for a request that has not begun: its caller
+// maxTried bounds the targets that are tried for a request that has not begun: its caller
 // can be asked to retry. A request whose caller has a part of the answer is tried until the
 // wait for it is over.
-const maxAsked = 4
+const maxTried = 4
 
 // MayRepeat returns why a request may not go to another target, or takes the repeat from
 // the budget if it may. If nothing was sent, nothing is repeated: a target that cannot be
@@ -72,7 +72,7 @@
 	switch {
 	case len(a.Ran) > 0 && a.Route.Repeat == RepeatNever:
 		return DeniedRunsOnce
-	case a.Tried >= maxAsked && !a.Begun:
+	case a.Tried >= maxTried && !a.Begun:
 		return DeniedAsked
 	case len(a.Ran) >= most && !a.Begun, most == 1 && a.Sent >= 1:
 		return DeniedRoute
--- a/internal/relay/shortlist_test.go
+++ b/internal/relay/shortlist_test.go
@@ -65,7 +65,7 @@
 }
 
 func TestWithheldEnginesAreSentWhenListedOrLeaving(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	r.WithholdEngines()
 	targets := replicas("a", "small", 1)
 	for _, target := range targets {
@@ -92,7 +92,7 @@
 // An engine that restarts at its address holds nothing and is on no shortlist: VMs that had
 // received it before kept sending there.
 func TestNextIncarnationOfListedEngineIsListed(t *testing.T) {
-	r := relay.NewRegistry(silence)
+	r := relay.NewRegistry(lossTimeout)
 	r.WithholdEngines()
 	first := replicas("a", "small", 1)[0]
 	first.ID = relay.NewTargetID("i-1", 1000)
