--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -95,7 +95,7 @@
 		return refusal(RefusedOverload, RanNo, "it could not be served before its deadline", "come back at the given time, or give a later deadline").
 			WithRetryAt(n.retryTime(p)), false
 	}
-	if refusal, backoffs := n.poolBackoffRefusal(p, w); backoffs {
+	if refusal, backedOff := n.poolBackoffRefusal(p, w); backedOff {
 		return refusal, false
 	}
 	n.wantPermits(p)
@@ -189,7 +189,7 @@
 func (p *pool) latestStart(w *queuedWork) time.Time { return w.deadline.Add(-p.serviceTime(w.cost)) }
 
 func (n *Node) expire(p *pool, w *queuedWork) {
-	if refusal, backoffs := n.poolBackoffRefusal(p, w); backoffs && !w.dropped {
+	if refusal, backedOff := n.poolBackoffRefusal(p, w); backedOff && !w.dropped {
 		n.refuseQueued(w, refusal)
 		return
 	}
--- a/internal/core/followers.go
+++ b/internal/core/followers.go
@@ -193,7 +193,7 @@
 }
 
 // changedAfter returns the targets that changed after the given change: for a control VM those
-// that report to this VM, for an entry VM those that are listed.
+// that report to this VM, for an entry VM those that are advertised.
 func (n *Node) changedAfter(change uint64, control bool) []relay.Target {
 	if change > 0 && change == n.registry.targets.Change() {
 		return nil
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -75,8 +75,8 @@
 type TargetsLearned struct{ Targets []relay.Target }
 
 // TargetsEnded reports to the runtime which incarnations of targets have ended because a later
-// one has begun. ReportedBy is the VM that reported it: a control VM, or this VM if the target reported
-// to it.
+// one has begun. ReportedBy is the VM that reported it: a control VM, or this VM if the target
+// reported to it.
 type TargetsEnded struct {
 	Ended      []relay.Succession
 	ReportedBy VMName
@@ -155,8 +155,8 @@
 	// state; fullState is set once one has sent it.
 	fullStateFrom int
 	fullState     bool
-	// changesPending is set when followers are to be sent changes at the next push. Thousands of targets
-	// may report within a second, and each push goes to hundreds of followers.
+	// changesPending is set when followers are to be sent changes at the next push. Thousands
+	// of targets may report within a second, and each push goes to hundreds of followers.
 	changesPending bool
 	pushAt         time.Time
 	// completeAt is when every live target has reported since this process started. Before
--- a/internal/relay/backoffs.go
+++ b/internal/relay/backoffs.go
@@ -128,8 +128,8 @@
 	return ended
 }
 
-// shortOfTargets reports whether this VM backs off from a target of a service: the others have to bear
-// its load.
+// shortOfTargets reports whether this VM backs off from a target of a service: the others have to
+// bear its load.
 func (r *Router) shortOfTargets(service string, now time.Time) bool {
 	if len(r.backoffs) == 0 {
 		return false
@@ -138,8 +138,8 @@
 }
 
 // hasCapacity reports whether a target of a plain service has capacity for one more request.
-func (r *Router) hasCapacity(t *target, scarce bool) bool {
-	return !scarce || t.ownWork.Requests < (requestsPerSlot*max(t.Slots, 1)+r.vms-1)/r.vms
+func (r *Router) hasCapacity(t *target, shortOfTargets bool) bool {
+	return !shortOfTargets || t.ownWork.Requests < (requestsPerSlot*max(t.Slots, 1)+r.vms-1)/r.vms
 }
 
 // backoffEnd returns when a request that cannot be served now, for the sole reason of
@@ -175,7 +175,7 @@
 	return slices.ContainsFunc(r.members[service], begins) && r.coveredBy(r.services[service], available)
 }
 
-// RetryAt returns when the caller of a request that no target accepted is to come back: after a
+// RetryAt returns when the caller of a request that no target accepted is to retry: after a
 // delay, or after a backoff if that is what keeps it from other targets.
 func (r *Router) RetryAt(service string, delay time.Duration, now time.Time) time.Time {
 	a := PathRequest{}
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -42,9 +42,9 @@
 	// initialShare is the part of the fixed number that a process has at its start; it grows to
 	// the whole within a window. What the previous process on this VM has used is not known.
 	initialShare = 0.3
-	// sumsTTL is the age up to which the sums over all VMs count: two renewals and the way to the
+	// fleetUsageTTL is the age up to which the sums over all VMs count: two renewals and the way to the
 	// leader and back. What a VM repeats in as long is not in them yet.
-	sumsTTL = time.Second
+	fleetUsageTTL = time.Second
 	// budgetBuckets divides the window; a bucket leaves it as a whole.
 	budgetBuckets = 20
 )
@@ -73,7 +73,7 @@
 type budget struct {
 	requests window
 	repeats  window
-	// recent counts the repeats of the last sumsTTL.
+	// recent counts the repeats of the last fleetUsageTTL.
 	recent window
 	// roundUp, from 0 to 1, decides about the fraction of a part: it counts as one repeat if
 	// the sum of both is at least 1.
@@ -90,7 +90,7 @@
 
 // SetFleetUsage sets the usage of all VMs that report to the leader, by service.
 func (r *Router) SetFleetUsage(usage map[string]Usage, vms int, now time.Time) {
-	r.fleetUsage = fleetUsage{usage: usage, vms: vms, until: now.Add(sumsTTL)}
+	r.fleetUsage = fleetUsage{usage: usage, vms: vms, until: now.Add(fleetUsageTTL)}
 }
 
 // Usage returns the usage of this VM, by service.
@@ -142,7 +142,7 @@
 		allowed *= pooledUnstartedShare
 	}
 	part := (allowed - float64(usage.Repeats)) / float64(max(reporting, 1))
-	if float64(b.recent.total(now, sumsTTL)+1) > math.Floor(part+b.roundUp) {
+	if float64(b.recent.total(now, fleetUsageTTL)+1) > math.Floor(part+b.roundUp) {
 		return false
 	}
 	b.note(now, t)
@@ -152,7 +152,7 @@
 // note counts a repeat.
 func (b *budget) note(now time.Time, t BudgetTerms) {
 	b.repeats.add(now, t.Window)
-	b.recent.add(now, sumsTTL)
+	b.recent.add(now, fleetUsageTTL)
 }
 
 // drawRoundUp returns a number from 0 to 1 that this VM keeps for a service.
--- a/internal/relay/digest.go
+++ b/internal/relay/digest.go
@@ -24,8 +24,8 @@
 
 func (id TargetID) bucket() int { return int(id.Key() % digestBuckets) }
 
-// Digest returns the sums of the registry. They exclude superseded incarnations and withheld engines;
-// absent ones differ from those that report again.
+// Digest returns the sums of the registry. They exclude superseded incarnations and withheld
+// engines; absent ones differ from those that report again.
 func (r *Registry) Digest() Digest {
 	d := make(Digest, digestBuckets)
 	for _, e := range r.targets {
--- a/internal/relay/draining.go
+++ b/internal/relay/draining.go
@@ -31,8 +31,8 @@
 	confirmed bool
 }
 
-// NoteDraining records that a target has sent a draining notice with an answer, and reports whether that
-// is new here.
+// NoteDraining records that a target has sent a draining notice with an answer, and reports whether
+// that is new here.
 func (r *Router) NoteDraining(id TargetID, now time.Time) bool {
 	present, known := r.draining[id]
 	if !known {
@@ -49,9 +49,9 @@
 
 // IsDraining reports whether a target is draining, as far as is known here.
 func (r *Router) IsDraining(id TargetID) bool {
-	_, said := r.draining[id]
+	_, draining := r.draining[id]
 	t, known := r.targets[id]
-	return said || known && !t.AcceptsWork()
+	return draining || known && !t.AcceptsWork()
 }
 
 // acceptsWork reports whether the target accepts new work.
@@ -68,7 +68,7 @@
 
 // confirmDraining processes the control VM's update of a target.
 func (r *Router) confirmDraining(t Target) {
-	if present, said := r.draining[t.ID]; said {
+	if present, draining := r.draining[t.ID]; draining {
 		present.confirmed = !t.AcceptsWork()
 		r.draining[t.ID] = present
 	}
--- a/internal/relay/ending.go
+++ b/internal/relay/ending.go
@@ -32,28 +32,28 @@
 // Planned reports whether there is one.
 func (e PlannedStop) Planned() bool { return !e.At.IsZero() }
 
-// WithReload returns the ending after a reload.
+// WithReload returns the planned stop after a reload.
 func (e PlannedStop) WithReload(at time.Time) PlannedStop {
 	e.ReloadedAt = at
 	return e
 }
 
-// WithEnd returns the ending of a VM that stops.
+// WithEnd returns the planned stop of a VM that stops.
 func (e PlannedStop) WithEnd(at time.Time) PlannedStop {
 	e.At = at
 	return e
 }
 
-// EstimatedTokens returns the length of an answer to plan with, by the caller's estimate and the bound on
-// it; 0 if the caller gives none.
-func (e PlannedStop) EstimatedTokens(hint, most int, now time.Time) int {
+// EstimatedTokens returns the length of an answer to plan with, by the caller's estimate and the
+// bound on it; 0 if the caller gives none.
+func (e PlannedStop) EstimatedTokens(lengthHint, maxTokens int, now time.Time) int {
 	if now.Before(e.ReloadedAt.Add(reloadProtection)) {
-		hint *= estimateMargin
+		lengthHint *= estimateMargin
 	}
-	if most > 0 {
-		return min(hint, most)
+	if maxTokens > 0 {
+		return min(lengthHint, maxTokens)
 	}
-	return hint
+	return lengthHint
 }
 
 // Outlasts reports whether an answer that takes so long from now ends after the VM.
--- a/internal/relay/lender.go
+++ b/internal/relay/lender.go
@@ -237,7 +237,7 @@
 	return Permits{Target: ask.Target, PerSecond: limit.answer.PerSecond, Count: count}, true
 }
 
-// limit returns the limit that an ask refers to, or nil if there is none.
+// limit returns the limit that a request refers to, or nil if there is none.
 func (l *PermitAllocator[Holder]) limit(ask PermitRequest, now time.Time) *sharedLimit[Holder] {
 	limit, ok := l.limits[ask.Target]
 	if !ok && !ask.Answer.ReceivedAt.IsZero() {
@@ -306,7 +306,7 @@
 	held.number = number
 	held.left = ask.Left
 	held.unacknowledged = slices.DeleteFunc(held.unacknowledged, func(g pendingGrant) bool { return g.number <= ask.Taken })
-	// No more than the decrease since: an ask that arrives twice may contain returns that were
+	// No more than the decrease since: a request that arrives twice may contain returns that were
 	// counted the first time.
 	decrease := max(before-held.outstanding(), 0)
 	l.granted += held.outstanding() - before
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -131,8 +131,8 @@
 	return m != nil && (m.answer.Limited || m.marked || now.Before(m.knownUntil))
 }
 
-// ApplyMarks applies the leader's marks of limited targets. complete indicates that all other targets
-// are unlimited.
+// ApplyMarks applies the leader's marks of limited targets. complete indicates that all other
+// targets are unlimited.
 func (l *RateLimits) ApplyMarks(marks map[TargetKey]Mark, complete bool, now time.Time) {
 	for key, m := range marks {
 		l.setMarked(key, m.Has(MarkLimited), now)
@@ -283,8 +283,8 @@
 	return l.Take(id, now)
 }
 
-// PermitRequests returns what the next renewal reports to the leader, and gives back the permits that no
-// request has wanted recently. Limits that have ended are removed.
+// PermitRequests returns what the next renewal reports to the leader, and gives back the permits
+// that no request has wanted recently. Limits that have ended are removed.
 func (l *RateLimits) PermitRequests(now time.Time) []PermitRequest {
 	l.bound()
 	var requests []PermitRequest
--- a/internal/relay/mark.go
+++ b/internal/relay/mark.go
@@ -5,8 +5,8 @@
 
 // The marks of a target.
 const (
-	// MarkSilent: no VM receives heartbeats from it, or far more entry VMs find it dead than
-	// well.
+	// MarkSilent: no VM receives heartbeats from it, or far more entry VMs find it failed
+	// than healthy.
 	MarkSilent Mark = 1 << iota
 	// MarkMoving: it was ordered to hold other layers than it reports, and accepts no new work
 	// for those that it gives up.
@@ -24,8 +24,8 @@
 // With returns the marks and another one.
 func (m Mark) With(o Mark) Mark { return m | o }
 
-// ApplyMarks applies the marks of targets that have changed. complete indicates that missing targets
-// have none; otherwise they keep theirs.
+// ApplyMarks applies the marks of targets that have changed. complete indicates that missing
+// targets have none; otherwise they keep theirs.
 func (r *Router) ApplyMarks(marks map[TargetKey]Mark, complete bool) {
 	if complete {
 		clear(r.marks)
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -219,8 +219,8 @@
 	return a != b
 }
 
-// ReceiveHeartbeat records a heartbeat that the target sent to another VM. Whether a target is silent is
-// known only where all heartbeats are received.
+// ReceiveHeartbeat records a heartbeat that the target sent to another VM. Whether a target is
+// silent is known only where all heartbeats are received.
 func (r *Registry) ReceiveHeartbeat(id TargetID, call uint64, now time.Time) {
 	if e, ok := r.targets[id]; ok && call > e.target.Call {
 		if r.isSilent(e, now) {
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -18,8 +18,8 @@
 // request that crashes its target does so as it begins. The leader gathers the reports of all VMs
 // by fingerprint. Runs that overlap in time are one loss: copies of one request that run on all
 // engines of a rack end together when the rack fails, which is no more evidence against it
-// than the end of one of them. A request with QuarantineCrashes losses, one after the other, or with two
-// losses of quarantineTargets targets in all, and no answer anywhere between, is put into
+// than the end of one of them. A request with QuarantineCrashes losses, one after the other, or
+// with two losses of quarantineTargets targets in all, and no answer anywhere between, is put into
 // quarantine, which is replicated with the configuration: a VM accepts no work without a lease,
 // and a lease brings it to the newest revision. A complete answer anywhere clears the request.
 //
@@ -32,12 +32,12 @@
 // blame them; they are released by an operator or when their time is over. A target that does not
 // report its start is one target, however often it ends: reports of one run are repeated, and
 // arrive with other delays each time. A request that falls silent with its target, or that
-// crashes it in mid-answer, is never suspected: it cannot be distinguished from a loss of power, or from
-// the others in mid-answer beside it.
+// crashes it in mid-answer, is never suspected: it cannot be distinguished from a loss of power, or
+// from the others in mid-answer beside it.
 
 const (
-	// QuarantineCrashes is the number of targets, one after the other, that a request has to crash to
-	// be put into quarantine. Each costs an engine for some 5 s; two in a row happen by chance to
+	// QuarantineCrashes is the number of targets, one after the other, that a request has to crash
+	// to be put into quarantine. Each costs an engine for some 5 s; two in a row happen by chance to
 	// innocent requests when several targets a second are lost.
 	QuarantineCrashes = 3
 	// quarantineTargets is the number of targets that two losses in a row have to make up: two
