--- a/internal/core/backoffs.go
+++ b/internal/core/backoffs.go
@@ -91,8 +91,8 @@
 	return a
 }
 
-// poolBackoffRefusal returns the refusal of work that can't start in time because every route of the
-// pool has a backoff. The caller is to retry after the first backoff ends, spread over the same
+// poolBackoffRefusal returns the refusal of work that can't start in time because every route of
+// the pool has a backoff. The caller is to retry after the first backoff ends, spread over the same
 // time again.
 func (n *Node) poolBackoffRefusal(p *pool, w *queuedWork) (Refusal, bool) {
 	first, all := n.backoffEnds(p)
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -171,8 +171,8 @@
 	ready := f.target
 	ready.Call += 100
 	ready.Slots = 12
-	news := core.RegistryUpdate{Incarnation: 99, Through: 1, Targets: []relay.Target{ready}}
-	f.step("e0-0", core.Received{Envelope: core.Envelope{From: core.ReplicaID{VM: "c1-1", Incarnation: 99}, To: "e0-0", Body: core.Message{TargetNews: &news}}})
+	update := core.RegistryUpdate{Incarnation: 99, Through: 1, Targets: []relay.Target{ready}}
+	f.step("e0-0", core.Received{Envelope: core.Envelope{From: core.ReplicaID{VM: "c1-1", Incarnation: 99}, To: "e0-0", Body: core.Message{TargetNews: &update}}})
 	require.Equal(t, ready.Slots, f.learned["e0-0"][drainingTarget].Slots)
 	require.True(t, f.learned["e0-0"][drainingTarget].Leaving)
 }
--- a/internal/core/hints_test.go
+++ b/internal/core/hints_test.go
@@ -240,8 +240,8 @@
 	for call := uint64(1); ordered.IsZero() && call < 500; call++ {
 		now = now.Add(20 * time.Millisecond)
 		for i, layers := range []config.Range{{First: 0, Last: 5}, {First: 0, Last: 5}} {
-			heard := relay.Target{ID: relay.TargetID([]string{"e1", "e2"}[i]), Service: "s", Hall: "a", Accelerator: "k", Address: []string{"a", "b"}[i], Call: call, Layers: layers}
-			n.Step(now, core.TargetSpoke{Conn: 1, Target: heard})
+			received := relay.Target{ID: relay.TargetID([]string{"e1", "e2"}[i]), Service: "s", Hall: "a", Accelerator: "k", Address: []string{"a", "b"}[i], Call: call, Layers: layers}
+			n.Step(now, core.TargetSpoke{Conn: 1, Target: received})
 		}
 		effects := n.Step(now, core.Tick{})
 		settle(n, now, effects)
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -114,9 +114,9 @@
 			n := controlNode([]relay.Target{messages.hint}, time.Unix(100, 0))
 			now := lead(n, time.Unix(100, 0).Add(-2*time.Second))
 			effects := n.Step(now, core.TargetSpoke{Conn: 1, Target: messages.message})
-			told := follow(n, now)
-			require.Len(t, told, 1)
-			require.Equal(t, messages.want, told[0].ID)
+			learned := follow(n, now)
+			require.Len(t, learned, 1)
+			require.Equal(t, messages.want, learned[0].ID)
 			for _, effect := range effects {
 				if saved, ok := effect.(core.SaveTargets); ok {
 					require.NotContains(t, saved.Targets, messages.hint)
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -29,8 +29,8 @@
 }
 
 type limitedAnswer struct {
-	to   core.VMName
-	said relay.LimitAnswer
+	to     core.VMName
+	answer relay.LimitAnswer
 }
 
 func newLimitedFleet(t require.TestingT, perSecond float64, seed uint64) *limitedFleet {
@@ -52,8 +52,8 @@
 		f.answers = nil
 		for _, a := range answers {
 			if !f.dead[a.to] {
-				a.said.ReceivedAt = f.now
-				f.limits[a.to].Observe(limiting, a.said)
+				a.answer.ReceivedAt = f.now
+				f.limits[a.to].Observe(limiting, a.answer)
 			}
 		}
 		for _, vm := range f.entries() {
@@ -70,7 +70,7 @@
 		return
 	}
 	f.arrivals = append(f.arrivals, f.now)
-	f.answers = append(f.answers, limitedAnswer{to: vm, said: relay.LimitAnswer{Limited: f.perSecond > 0, PerSecond: f.perSecond, SentAt: f.now}})
+	f.answers = append(f.answers, limitedAnswer{to: vm, answer: relay.LimitAnswer{Limited: f.perSecond > 0, PerSecond: f.perSecond, SentAt: f.now}})
 }
 
 // between counts the arrivals in an interval.
--- a/internal/core/own_limits.go
+++ b/internal/core/own_limits.go
@@ -28,8 +28,8 @@
 	n.note("target no longer limits the rate of requests", name)
 }
 
-// routeLimited reports whether a runner of a route has a limit, and routeLacksPermit whether this VM
-// has no permit for one of them.
+// routeLimited reports whether a runner of a route has a limit, and routeLacksPermit whether this
+// VM has no permit for one of them.
 func (n *Node) routeLimited(r *route) bool {
 	return slices.ContainsFunc(r.stages, func(s Stage) bool { return n.entry.limits.PerSecond(runnerID(s.Target), n.now) > 0 })
 }
@@ -60,8 +60,8 @@
 	}
 }
 
-// poolLimitRefusal returns the refusal of work that can't start in time because of the work ahead of
-// it and the rate limits of all runners of the pool. The caller is to retry when there is
+// poolLimitRefusal returns the refusal of work that can't start in time because of the work ahead
+// of it and the rate limits of all runners of the pool. The caller is to retry when there is
 // likely a permit.
 func (n *Node) poolLimitRefusal(p *pool, w *queuedWork, ahead float64) (Refusal, bool) {
 	perSecond := 0.0
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -48,8 +48,8 @@
 // than a request. An entry VM also reports such notices with its renewals.
 type TargetDrains struct{ Target relay.TargetID }
 
-// TargetReportReply answers TargetSpoke. Accepted is false where the target should report to another
-// control VM.
+// TargetReportReply answers TargetSpoke. Accepted is false where the target should report to
+// another control VM.
 type TargetReportReply struct {
 	Conn     ConnID
 	Accepted bool
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -90,9 +90,9 @@
 	newer := relay.Target{ID: "i-2", Address: "b", Call: 5}
 	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Through: 1, Targets: []relay.Target{newer}}}))
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 4, Leaving: true}})
-	told := updatedTargets(nextPush(n, now), "e1")
-	require.Len(t, told, 1)
-	require.True(t, told[0].Leaving)
+	updated := updatedTargets(nextPush(n, now), "e1")
+	require.Len(t, updated, 1)
+	require.True(t, updated[0].Leaving)
 }
 
 // fleetOf is a leader whose entry VMs have work at many targets.
@@ -206,8 +206,8 @@
 func TestNewLeaderReportsNoWorkBeforeAllHaveReported(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	f := &fleetOf{t: t, node: n, now: time.Unix(100, 0)}
-	var first, told time.Time
-	for number := uint64(1); told.IsZero() && number < 500; number++ {
+	var first, reportedAt time.Time
+	for number := uint64(1); reportedAt.IsZero() && number < 500; number++ {
 		f.now = f.now.Add(20 * time.Millisecond)
 		tick(n, f.now)
 		for _, effect := range n.Step(f.now, from("e1", core.Message{Renew: &core.Renew{Number: number, Address: core.EntryAddress{VM: "e1"}}})) {
@@ -219,12 +219,12 @@
 				first = f.now
 			}
 			if send.Envelope.Body.Grant.WorkReported {
-				told = f.now
+				reportedAt = f.now
 			}
 		}
 	}
-	require.False(t, told.IsZero())
-	require.GreaterOrEqual(t, told.Sub(first), time.Second)
+	require.False(t, reportedAt.IsZero())
+	require.GreaterOrEqual(t, reportedAt.Sub(first), time.Second)
 }
 
 // After all VMs were killed, each one chose by its own work alone for 1.2 s after the election,
@@ -233,13 +233,13 @@
 	n := controlNode(nil, time.Unix(100, 0))
 	now := time.Unix(100, 0)
 	vms := []core.VMName{"e1", "e2", "e3"}
-	told := make(map[core.VMName]bool)
+	reported := make(map[core.VMName]bool)
 	renew := func(vm core.VMName, number uint64) (granted bool) {
 		body := core.Message{Renew: &core.Renew{Number: number, Address: core.EntryAddress{VM: vm}}}
 		for _, effect := range n.Step(now, from(vm, body)) {
 			if send, ok := effect.(core.Send); ok && send.Envelope.Body.Grant != nil {
 				granted = true
-				told[vm] = send.Envelope.Body.Grant.WorkReported
+				reported[vm] = send.Envelope.Body.Grant.WorkReported
 			}
 		}
 		return granted
@@ -261,11 +261,11 @@
 		tick(n, now)
 		renew("e1", number)
 		renew("e2", number)
-		require.False(t, told["e1"], "e3 has not renewed")
+		require.False(t, reported["e1"], "e3 has not renewed")
 	}
 	renew("e3", number)
 	renew("e1", number+1)
-	require.True(t, told["e1"])
+	require.True(t, reported["e1"])
 }
 
 // The first of 76 VMs to get a lease again assumed that it was the only one.
@@ -400,8 +400,8 @@
 func TestHeartbeatsDoNotWaitForUpdates(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
-	spoke := relay.Target{ID: "i-1", Address: "a", Call: 1}
-	n.Step(now, core.TargetSpoke{Conn: 1, Target: spoke})
+	report := relay.Target{ID: "i-1", Address: "a", Call: 1}
+	n.Step(now, core.TargetSpoke{Conn: 1, Target: report})
 	ask := core.Message{Follow: &core.Follow{OwnOnly: true, Heartbeats: true}}
 	first := updatesTo(n.Step(now, from("c3", ask)), "c3")[0]
 	require.Len(t, first.Targets, 1)
@@ -413,8 +413,8 @@
 		now = now.Add(100 * time.Millisecond)
 		n.Step(now, core.Tick{})
 	}
-	spoke.Call++
-	n.Step(now, core.TargetSpoke{Conn: 1, Target: spoke})
+	report.Call++
+	n.Step(now, core.TargetSpoke{Conn: 1, Target: report})
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 2}})
 	beats := updatesTo(n.Step(now, from("c3", ask)), "c3")
 	require.Len(t, beats, 1)
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -42,8 +42,8 @@
 	// initialShare is the part of the fixed number that a process has at its start; it grows to
 	// the whole within a window. What the previous process on this VM has used is not known.
 	initialShare = 0.3
-	// fleetUsageTTL is the age up to which the sums over all VMs count: two renewals and the way to the
-	// leader and back. What a VM repeats in as long is not in them yet.
+	// fleetUsageTTL is the age up to which the sums over all VMs count: two renewals and the way
+	// to the leader and back. What a VM repeats in as long is not in them yet.
 	fleetUsageTTL = time.Second
 	// budgetBuckets divides the window; a bucket leaves it as a whole.
 	budgetBuckets = 20
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -34,7 +34,7 @@
 		if r.settings.Policy.Has(FullPause) {
 			t.refusedUntil = now.Add(min(initialFullPause<<min(t.refusalsInRow-1, 4), maxFullPause))
 		}
-		if t.refusalsInRow >= deadAfterRefusals {
+		if t.refusalsInRow >= failedAfterRefusals {
 			t.failedAt = now
 		}
 	}
@@ -126,9 +126,9 @@
 	// findingsTTL is how long a VM reports what it found of a target: a VM of the grown fleet
 	// meets each engine about once in this time.
 	findingsTTL = 2 * time.Second
-	// deadAfterRefusals is the number of refusals in a row after which an engine counts as dead:
+	// failedAfterRefusals is the number of refusals in a row after which an engine counts as failed:
 	// one that is full runs requests, which succeed in between.
-	deadAfterRefusals = 3
+	failedAfterRefusals = 3
 )
 
 // Findings is what a VM has recently found of targets, sorted.
--- a/internal/relay/incarnation.go
+++ b/internal/relay/incarnation.go
@@ -97,8 +97,8 @@
 // because another one has begun.
 type Succession struct{ Old, New TargetID }
 
-// AbsenceNote notes that an incarnation with a later start was silent when one with an earlier start
-// reported: it is no longer current unless it has sent a message after Call.
+// AbsenceNote notes that an incarnation with a later start was silent when one with an earlier
+// start reported: it is no longer current unless it has sent a message after Call.
 type AbsenceNote struct {
 	_    struct{} `cbor:",toarray"`
 	ID   TargetID `cbor:"id"`
--- a/internal/relay/lender.go
+++ b/internal/relay/lender.go
@@ -206,26 +206,26 @@
 // Request processes what a holder reports with its renewal of a number, and returns what it is
 // granted. It returns false for a target of which no answer is known, and for a renewal that is
 // not newer than the last.
-func (l *PermitAllocator[Holder]) Request(h Holder, number uint64, ask PermitRequest, now time.Time) (Permits, bool) {
-	limit := l.limit(ask, now)
+func (l *PermitAllocator[Holder]) Request(h Holder, number uint64, request PermitRequest, now time.Time) (Permits, bool) {
+	limit := l.limit(request, now)
 	if limit == nil {
 		return Permits{}, false
 	}
 	limit.askedAt = now
 	limit.refill(now)
-	limit.answer = limit.answer.merge(ask.Answer, answerOrderMargin)
+	limit.answer = limit.answer.merge(request.Answer, answerOrderMargin)
 	if !limit.answer.Limited {
-		return Permits{Target: ask.Target, Over: true}, true
+		return Permits{Target: request.Target, Over: true}, true
 	}
 	held, ok := limit.holders[h]
 	if !ok {
-		held = &allocation{unpaid: ask.Unpaid, returned: ask.Returned}
+		held = &allocation{unpaid: request.Unpaid, returned: request.Returned}
 		limit.holders[h] = held
 	}
 	if number <= held.number {
 		return Permits{}, false
 	}
-	limit.receive(held, number, ask, now)
+	limit.receive(held, number, request, now)
 	limit.clampToBurst()
 	count := l.allocate(limit, held)
 	if count > 0 {
@@ -234,15 +234,15 @@
 		limit.granted += count
 	}
 	held.until = now.Add(l.ttl)
-	return Permits{Target: ask.Target, PerSecond: limit.answer.PerSecond, Count: count}, true
+	return Permits{Target: request.Target, PerSecond: limit.answer.PerSecond, Count: count}, true
 }
 
 // limit returns the limit that a request refers to, or nil if there is none.
-func (l *PermitAllocator[Holder]) limit(ask PermitRequest, now time.Time) *sharedLimit[Holder] {
-	limit, ok := l.limits[ask.Target]
-	if !ok && !ask.Answer.ReceivedAt.IsZero() {
+func (l *PermitAllocator[Holder]) limit(request PermitRequest, now time.Time) *sharedLimit[Holder] {
+	limit, ok := l.limits[request.Target]
+	if !ok && !request.Answer.ReceivedAt.IsZero() {
 		limit = &sharedLimit[Holder]{at: laterTime(now, l.readyAt), holders: make(map[Holder]*allocation)}
-		l.limits[ask.Target] = limit
+		l.limits[request.Target] = limit
 	}
 	return limit
 }
@@ -293,28 +293,28 @@
 
 // outstanding is the permits that the holder may still use.
 func (h *allocation) outstanding() int {
-	lent := h.left
+	outstanding := h.left
 	for _, g := range h.unacknowledged {
-		lent += g.count
+		outstanding += g.count
 	}
-	return lent
+	return outstanding
 }
 
 // receive updates the state of a holder from its report.
-func (l *sharedLimit[Holder]) receive(held *allocation, number uint64, ask PermitRequest, now time.Time) {
+func (l *sharedLimit[Holder]) receive(held *allocation, number uint64, request PermitRequest, now time.Time) {
 	before := held.outstanding()
 	held.number = number
-	held.left = ask.Left
-	held.unacknowledged = slices.DeleteFunc(held.unacknowledged, func(g pendingGrant) bool { return g.number <= ask.Taken })
+	held.left = request.Left
+	held.unacknowledged = slices.DeleteFunc(held.unacknowledged, func(g pendingGrant) bool { return g.number <= request.Taken })
 	// No more than the decrease since: a request that arrives twice may contain returns that were
 	// counted the first time.
 	decrease := max(before-held.outstanding(), 0)
 	l.granted += held.outstanding() - before
-	l.free += float64(min(ask.Returned-min(held.returned, ask.Returned), uint64(decrease)))
-	l.free -= float64(ask.Unpaid - min(held.unpaid, ask.Unpaid))
-	held.unpaid, held.returned = ask.Unpaid, ask.Returned
-	l.wanted += ask.Wanted - held.wanted
-	held.wanted, held.wantedAt = ask.Wanted, now
+	l.free += float64(min(request.Returned-min(held.returned, request.Returned), uint64(decrease)))
+	l.free -= float64(request.Unpaid - min(held.unpaid, request.Unpaid))
+	held.unpaid, held.returned = request.Unpaid, request.Returned
+	l.wanted += request.Wanted - held.wanted
+	held.wanted, held.wantedAt = request.Wanted, now
 }
 
 // allocate returns how many permits a holder is granted: what it wants, up to its part of the
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -78,8 +78,8 @@
 	return &RateLimits{rand: rand.New(rand.NewPCG(seed, 2)), byTarget: make(map[TargetKey]*limit)}
 }
 
-// Observe records what an answer of a target states about its limit, and reports whether that is new
-// here.
+// Observe records what an answer of a target states about its limit, and reports whether that
+// is new here.
 func (l *RateLimits) Observe(id TargetID, answer LimitAnswer) bool {
 	known, ok := l.byTarget[id.Key()]
 	if answer.Limited && answer.PerSecond >= unlimitedFromPerSecond {
--- a/internal/relay/repeat.go
+++ b/internal/relay/repeat.go
@@ -85,7 +85,7 @@
 // AllowedTargets returns the targets that a request may still begin on, or nil for any. A request
 // may run on as many targets as its route allows; after that, an answer that has begun
 // continues on targets that have run it. Targets that have signed off since do not count. A
-// target that is silent, or that VMs find dead, may still be live.
+// target that is silent, or that VMs find failed, may still be live.
 func (r *Router) AllowedTargets(a Attempts) []TargetID {
 	if len(a.Ran) == 0 {
 		return nil
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -193,12 +193,12 @@
 	// Some VMs may repeat more than their share; all together stay within the bound.
 	for step := range 18 {
 		now := start.Add(time.Duration(step) * 500 * time.Millisecond)
-		told := map[string]relay.Usage{"s": {Requests: 3400}}
+		usage := map[string]relay.Usage{"s": {Requests: 3400}}
 		for _, r := range routers {
-			told["s"] = told["s"].Plus(relay.Usage{Repeats: r.Usage(now)["s"].Repeats})
+			usage["s"] = usage["s"].Plus(relay.Usage{Repeats: r.Usage(now)["s"].Repeats})
 		}
 		for _, r := range routers {
-			r.SetFleetUsage(told, vms, now)
+			r.SetFleetUsage(usage, vms, now)
 		}
 		if step == 1 {
 			require.GreaterOrEqual(t, total, 2*40, "40 VMs that meet a lost target have at least 2 repeats each")
