--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -73,7 +73,7 @@
 	f := n.leader.fleetNow(n)
 	report := &fleetReport{
 		term: n.replica.hard.Term, leader: n.settings.Self.VM, vms: f.vms,
-		workKnown: n.knowsWork(), work: n.leader.work, marks: n.leader.marks, usage: f.usage, usageBy: f.usageBy,
+		workKnown: n.knowsWork(), work: n.leader.work, marks: n.leader.marks, usage: f.usage, usageVMs: f.usageVMs,
 	}
 	if !n.now.Before(n.leader.viewCompleteAt) {
 		report.view = n.leader.view
@@ -85,15 +85,15 @@
 func (t *fleetReport) addToGrant(g *Grant, to Renew) {
 	g.VMs = t.vms
 	marks := t.marks.since(to.MarksSeen, maxMarksPerGrant)
-	g.Marks, g.MarksThrough, g.MarksComplete = marks.values, marks.upto, marks.whole
+	g.Marks, g.MarksThrough, g.MarksComplete = marks.values, marks.through, marks.complete
 	if !t.workKnown {
 		g.WorkThrough = to.WorkSeen
 		return
 	}
 	g.WorkReported = true
-	g.Usage, g.UsageVMs = t.usage, t.usageBy
+	g.Usage, g.UsageVMs = t.usage, t.usageVMs
 	work := t.work.since(to.WorkSeen, maxWorkPerGrant)
-	g.Others, g.WorkThrough, g.OthersComplete = work.values, work.upto, work.whole
+	g.Others, g.WorkThrough, g.OthersComplete = work.values, work.through, work.complete
 	for key, w := range g.Others {
 		g.Others[key] = w.Minus(to.Work[key])
 	}
@@ -104,15 +104,15 @@
 	f := n.leader.fleetNow(n)
 	g.VMs = f.vms
 	marks := n.leader.marks.since(b.MarksSeen, maxTargetsPerBatch)
-	g.Marks, g.MarksThrough, g.MarksComplete = marks.values, marks.upto, marks.whole
+	g.Marks, g.MarksThrough, g.MarksComplete = marks.values, marks.through, marks.complete
 	if !n.knowsWork() {
 		g.WorkThrough = b.WorkSeen
 		return
 	}
 	g.WorkReported = true
-	g.Usage, g.UsageVMs = f.usage, f.usageBy
+	g.Usage, g.UsageVMs = f.usage, f.usageVMs
 	work := n.leader.work.since(b.WorkSeen, maxTargetsPerBatch)
-	g.Work, g.WorkThrough, g.WorkComplete = work.values, work.upto, work.whole
+	g.Work, g.WorkThrough, g.WorkComplete = work.values, work.through, work.complete
 }
 
 // knowsWork reports whether this leader knows the work of all entry VMs.
@@ -126,7 +126,7 @@
 // until then.
 func (n *Node) allHaveReported() bool {
 	for vm, f := range n.registry.followers {
-		if _, heard := n.leader.parts[vm]; f.control && n.now.Before(f.until) && !heard {
+		if _, reported := n.leader.aggregates[vm]; f.control && n.now.Before(f.until) && !reported {
 			return false
 		}
 	}
@@ -137,7 +137,7 @@
 // hasEntryFollowers reports whether any entry VM follows a control VM, as those that renew do.
 func (n *Node) hasEntryFollowers() bool {
 	following := n.entryFollowers()
-	for _, p := range n.leader.parts {
+	for _, p := range n.leader.aggregates {
 		following += p.following
 	}
 	return following > 0
@@ -153,8 +153,8 @@
 		}
 	}
 	expected := n.expectedHolders()
-	for _, p := range n.leader.parts {
-		if n.now.Before(p.at.Add(n.partValidFor())) {
+	for _, p := range n.leader.aggregates {
+		if n.now.Before(p.at.Add(n.aggregateTTL())) {
 			expected = append(expected, p.expected...)
 		}
 	}
@@ -175,9 +175,9 @@
 	return held
 }
 
-// partValidFor is how long a control VM's report on its holders is valid; by then its holders
+// aggregateTTL is how long a control VM's report on its holders is valid; by then its holders
 // renew elsewhere.
-func (n *Node) partValidFor() time.Duration { return n.settings.Timing.listedDuration() }
+func (n *Node) aggregateTTL() time.Duration { return n.settings.Timing.listedDuration() }
 
 // fleet is the sum over all entry VMs. It is cached, since hundreds of leases per second carry
 // it.
@@ -185,11 +185,11 @@
 	at   time.Time
 	vms  int
 	work map[relay.TargetKey]relay.Work
-	// usage counts the requests and repeats of usageBy entry VMs, by service.
-	usage   map[string]relay.Usage
-	usageBy int
-	// marks are those of silent targets, of targets that far more entry VMs find dead than
-	// sound, of engines that are to give up layers, and of slow or limited targets.
+	// usage counts the requests and repeats of usageVMs entry VMs, by service.
+	usage    map[string]relay.Usage
+	usageVMs int
+	// marks are those of silent targets, of targets that far more entry VMs find failed than
+	// healthy, of engines that are to give up layers, and of slow or limited targets.
 	marks map[relay.TargetKey]relay.Mark
 }
 
@@ -201,56 +201,56 @@
 		return l.fleet
 	}
 	l.fleet = fleet{at: n.now, work: make(map[relay.TargetKey]relay.Work), usage: make(map[string]relay.Usage)}
-	dead := make(map[relay.TargetKey]int)
-	sound := make(map[relay.TargetKey]int)
+	failed := make(map[relay.TargetKey]int)
+	healthy := make(map[relay.TargetKey]int)
 	var slow []relay.TargetKey
-	add := func(part FleetAggregate) {
-		l.fleet.usageBy += part.VMs
-		for service, s := range part.Usage {
+	add := func(aggregate FleetAggregate) {
+		l.fleet.usageVMs += aggregate.VMs
+		for service, s := range aggregate.Usage {
 			l.fleet.usage[service] = l.fleet.usage[service].Plus(s)
 		}
-		for id, w := range part.Work {
+		for id, w := range aggregate.Work {
 			l.fleet.work[id] = l.fleet.work[id].Plus(w)
 		}
-		for id, vms := range part.Failed {
-			dead[id] += vms
+		for id, vms := range aggregate.Failed {
+			failed[id] += vms
 		}
-		for id, vms := range part.Healthy {
-			sound[id] += vms
+		for id, vms := range aggregate.Healthy {
+			healthy[id] += vms
 		}
-		slow = append(slow, part.Slow...)
+		slow = append(slow, aggregate.Slow...)
 	}
 	add(n.sumHolders())
-	for _, part := range l.parts {
-		if n.now.Before(part.at.Add(n.partValidFor())) {
-			add(part.FleetAggregate)
+	for _, aggregate := range l.aggregates {
+		if n.now.Before(aggregate.at.Add(n.aggregateTTL())) {
+			add(aggregate.FleetAggregate)
 		}
 	}
 	l.fleet.vms = n.entriesKnown()
 	l.work.update(l.fleet.work)
-	l.fleet.marks = n.marksOf(dead, sound)
+	l.fleet.marks = n.marksOf(failed, healthy)
 	for _, key := range slow {
 		l.fleet.marks[key] = l.fleet.marks[key].With(relay.MarkSlow)
 	}
-	l.lender.Forget(n.now)
-	for _, key := range l.lender.Limited() {
+	l.permitAllocator.Forget(n.now)
+	for _, key := range l.permitAllocator.Limited() {
 		l.fleet.marks[key] = l.fleet.marks[key].With(relay.MarkLimited)
 	}
 	l.marks.update(l.fleet.marks)
 	return l.fleet
 }
 
-// marksOf returns the marks of targets, given how many entry VMs find each one dead or sound.
+// marksOf returns the marks of targets, given how many entry VMs find each failed or healthy.
 //
 // An engine that holds no layers yet isn't marked: an order takes nothing from its users. At a
 // start all engines are ordered at once.
-func (n *Node) marksOf(dead, sound map[relay.TargetKey]int) map[relay.TargetKey]relay.Mark {
+func (n *Node) marksOf(failed, healthy map[relay.TargetKey]int) map[relay.TargetKey]relay.Mark {
 	marks := make(map[relay.TargetKey]relay.Mark)
 	for _, id := range n.silentTargets() {
 		marks[id.Key()] = relay.MarkSilent
 	}
-	for key, vms := range dead {
-		if vms >= minDeadFindings && vms >= deadRatio*sound[key] {
+	for key, vms := range failed {
+		if vms >= minFailedFindings && vms >= failedRatio*healthy[key] {
 			marks[key] = relay.MarkSilent
 		}
 	}
@@ -276,5 +276,5 @@
 		return
 	}
 	n.entry.workSeen, n.entry.marksSeen = g.WorkThrough, g.MarksThrough
-	n.emit(FleetLearned{LeaseUntil: n.entry.lease.until, VMs: g.VMs, Others: g.Others, OthersWhole: g.OthersComplete, OthersReported: g.WorkReported, Usage: g.Usage, UsageBy: g.UsageVMs, Marks: g.Marks, MarksWhole: g.MarksComplete})
+	n.emit(FleetLearned{LeaseUntil: n.entry.lease.until, VMs: g.VMs, Others: g.Others, OthersComplete: g.OthersComplete, OthersReported: g.WorkReported, Usage: g.Usage, UsageVMs: g.UsageVMs, Marks: g.Marks, MarksComplete: g.MarksComplete})
 }
--- a/internal/core/leading.go
+++ b/internal/core/leading.go
@@ -43,14 +43,14 @@
 	// joining are the replicas that have asked to join as learners.
 	joining   map[ReplicaID]Member
 	documents documentQueue
-	// parts are the reports of other control VMs on the entry VMs that renew with them.
-	parts map[VMName]receivedPart
+	// aggregates are the reports of other control VMs on the entry VMs that renew with them.
+	aggregates map[VMName]receivedAggregate
 	// suspects are the requests whose runs have crashed targets, and quarantining those whose
 	// quarantine is proposed and not committed yet.
 	suspects     relay.Suspects
 	quarantining map[relay.Fingerprint]bool
-	// lender grants the permits of rate-limited targets to entry VMs.
-	lender *relay.PermitAllocator[ReplicaID]
+	// permitAllocator grants the permits of rate-limited targets to entry VMs.
+	permitAllocator *relay.PermitAllocator[ReplicaID]
 	// workCompleteAt is when the work of all entry VMs is known after an election.
 	workCompleteAt time.Time
 }
@@ -78,8 +78,8 @@
 	renewedAt time.Time
 }
 
-// receivedPart is a control VM's report on its holders, with the time of its arrival.
-type receivedPart struct {
+// receivedAggregate is a control VM's report on its holders, with the time of its arrival.
+type receivedAggregate struct {
 	FleetAggregate
 	following int
 	expected  []VMName
@@ -97,15 +97,15 @@
 	snapshot := l.snapshot
 	deltas := l.deltas
 	*l = leaderState{
-		snapshot:  snapshot,
-		deltas:    deltas,
-		operators: make(map[Index]*waiter),
-		claims:    make(map[Index]claimWaiter),
-		records:   make(map[Index]recordWaiter),
-		leases:    make(map[VMName]*lease),
-		parts:     make(map[VMName]receivedPart),
-		joining:   make(map[ReplicaID]Member),
-		suspects:  relay.NewSuspects(), quarantining: make(map[relay.Fingerprint]bool),
+		snapshot:   snapshot,
+		deltas:     deltas,
+		operators:  make(map[Index]*waiter),
+		claims:     make(map[Index]claimWaiter),
+		records:    make(map[Index]recordWaiter),
+		leases:     make(map[VMName]*lease),
+		aggregates: make(map[VMName]receivedAggregate),
+		joining:    make(map[ReplicaID]Member),
+		suspects:   relay.NewSuspects(), quarantining: make(map[relay.Fingerprint]bool),
 		reports:         make(map[string]map[VMName]receivedReport),
 		platformLeaving: make(map[string]bool),
 		orders:          make(map[string]*orderState),
@@ -115,7 +115,7 @@
 
 func (n *Node) startLeading() {
 	n.leader.reset()
-	n.leader.lender = relay.NewPermitAllocator[ReplicaID](n.rand.Uint64(), n.settings.Timing.Lengthened(relay.PermitTTL), n.now)
+	n.leader.permitAllocator = relay.NewPermitAllocator[ReplicaID](n.rand.Uint64(), n.settings.Timing.Lengthened(relay.PermitTTL), n.now)
 	n.leader.formerLeasesUntil = n.now.Add(n.settings.Timing.Lengthened(n.settings.Timing.LeaseDuration))
 	n.leader.view = newEntryList(uint64(n.replica.hard.Term) << 32)
 	n.leader.work = newWorkLog(uint64(n.replica.hard.Term) << 32)
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -29,8 +29,8 @@
 }
 
 type limitedAnswer struct {
-	to   core.VMName
-	said relay.LimitAnswer
+	to     core.VMName
+	answer relay.LimitAnswer
 }
 
 func newLimitedFleet(t require.TestingT, perSecond float64, seed uint64) *limitedFleet {
@@ -52,8 +52,8 @@
 		f.answers = nil
 		for _, a := range answers {
 			if !f.dead[a.to] {
-				a.said.ReceivedAt = f.now
-				f.limits[a.to].Observe(limiting, a.said)
+				a.answer.ReceivedAt = f.now
+				f.limits[a.to].Observe(limiting, a.answer)
 			}
 		}
 		for _, vm := range f.entries() {
@@ -70,7 +70,7 @@
 		return
 	}
 	f.arrivals = append(f.arrivals, f.now)
-	f.answers = append(f.answers, limitedAnswer{to: vm, said: relay.LimitAnswer{Limited: f.perSecond > 0, PerSecond: f.perSecond, SentAt: f.now}})
+	f.answers = append(f.answers, limitedAnswer{to: vm, answer: relay.LimitAnswer{Limited: f.perSecond > 0, PerSecond: f.perSecond, SentAt: f.now}})
 }
 
 // between counts the arrivals in an interval.
@@ -261,11 +261,11 @@
 
 // Bounds the bytes of 16 limits in a renewal and a lease; a message has at most that many.
 func TestRateLimitMessageSize(t *testing.T) {
-	asks := make([]core.LimitAsk, 16)
+	asks := make([]core.LimitRequest, 16)
 	permits := make([]relay.Permits, 16)
 	for i := range asks {
 		key := relay.NewTargetID("i-7f3a91c2", uint64(1790000000000+i)).Key()
-		asks[i] = core.LimitAsk{Target: key, Heard: true, Limited: true, PerSecond: 4.5, SentMillis: 1200, HeardMillis: 1000, Wanted: 19, Left: 1, Taken: 70000, Unpaid: 3, Returned: 200}
+		asks[i] = core.LimitRequest{Target: key, Answered: true, Limited: true, PerSecond: 4.5, SentMillis: 1200, ReceivedMillis: 1000, Wanted: 19, Left: 1, Taken: 70000, Unpaid: 3, Returned: 200}
 		permits[i] = relay.Permits{Target: key, PerSecond: 4.5, Count: 1}
 	}
 	renew, err := wire.Marshal(&core.Renew{Limits: asks})
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -83,8 +83,8 @@
 	// be made.
 	enginesSeen int
 	settledAt   time.Time
-	// By service, noted holds what was last logged of the plan and its faults, holds the
-	// capacity of the layers that engines hold, and capacityAt when that is updated next.
+	// logged, by service, is what was last logged of the plan and its faults, capacity that of
+	// the layers that engines hold, and capacityAt when that is updated next.
 	logged     map[string]planLog
 	capacity   map[string]relay.Capacity
 	capacityAt map[string]time.Time
@@ -253,7 +253,7 @@
 	n.leader.placing.orders[a.Target] = layerOrder{layers: a.Layers, until: n.now.Add(load + unknownOrderTimeout)}
 	n.leader.placing.inFlight[a.Target] = true
 	n.note("engine ordered to hold layers "+a.Layers.String(), string(a.Target))
-	n.leader.lender.Charge(a.Target.Key())
+	n.leader.permitAllocator.Charge(a.Target.Key())
 	n.emit(OrderLayers{Target: a.Target, Address: t.Address, Layers: a.Layers, NotAfter: n.now.Add(layerOrderLifetime)})
 }
 
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -48,8 +48,8 @@
 // than a request. An entry VM also reports such notices with its renewals.
 type TargetDrains struct{ Target relay.TargetID }
 
-// TargetReportReply answers TargetSpoke. Taken is false where the target should report to another
-// control VM.
+// TargetReportReply answers TargetSpoke. Accepted is false where the target should report to
+// another control VM.
 type TargetReportReply struct {
 	Conn     ConnID
 	Accepted bool
@@ -58,7 +58,7 @@
 }
 
 // WorkCounted is the work of this VM in flight at targets, and which of them it has recently
-// found dead or sound.
+// found failed or healthy.
 type WorkCounted struct {
 	Work map[relay.TargetKey]relay.Work
 	// Usage counts this VM's requests and repeats in the last window, by service.
@@ -74,9 +74,9 @@
 // TargetsLearned passes new reports of targets to the runtime.
 type TargetsLearned struct{ Targets []relay.Target }
 
-// TargetsEnded tells the runtime which incarnations of targets have ended because a later one
-// has begun. Teller is the VM that reported it: a control VM, or this VM if the target reported
-// to it.
+// TargetsEnded reports to the runtime which incarnations of targets have ended because a later
+// one has begun. ReportedBy is the VM that reported it: a control VM, or this VM if the target
+// reported to it.
 type TargetsEnded struct {
 	Ended      []relay.Succession
 	ReportedBy VMName
@@ -89,18 +89,18 @@
 	VMs        int
 	// Others is the work of other VMs in flight at targets: at all of them if OthersComplete,
 	// otherwise where it has changed much.
-	Others      map[relay.TargetKey]relay.Work
-	OthersWhole bool
+	Others         map[relay.TargetKey]relay.Work
+	OthersComplete bool
 	// OthersReported reports whether the leader knows the work of other VMs.
 	OthersReported bool
 	// Usage counts the requests and repeats of UsageVMs entry VMs in the last window, by
 	// service; it is valid where OthersReported is set.
-	Usage   map[string]relay.Usage
-	UsageBy int
+	Usage    map[string]relay.Usage
+	UsageVMs int
 	// Marks are the changed marks of targets; MarksComplete reports that all other targets have
 	// none.
-	Marks      map[relay.TargetKey]relay.Mark
-	MarksWhole bool
+	Marks         map[relay.TargetKey]relay.Mark
+	MarksComplete bool
 }
 
 func (TargetSpoke) isEvent()  {}
@@ -129,11 +129,11 @@
 	// targetExpiry is the silence after which a target is removed: far longer than a network
 	// partition between VMs lasts.
 	targetExpiry = 60 * time.Second
-	// minDeadFindings is the number of entry VMs that must find a target dead, and deadRatio how
-	// many must for each that finds it sound. VMs partitioned from targets find all of them
-	// dead, and are fewer than the others.
-	minDeadFindings = 2
-	deadRatio       = 2
+	// minFailedFindings is the number of entry VMs that must find a target failed, failedRatio
+	// how many must for each that finds it healthy. VMs partitioned from targets find all of
+	// them failed, and are fewer than the others.
+	minFailedFindings = 2
+	failedRatio       = 2
 	// pushIntervalPerFollower is the interval between two pushes, per follower, so that the
 	// share of the processor that pushes take doesn't grow with the followers. It stays well
 	// within the 2 s that a report may take.
@@ -155,8 +155,8 @@
 	// state; fullState is set once one has sent it.
 	fullStateFrom int
 	fullState     bool
-	// changesPending is set when followers are to be sent changes at the next push. Thousands of targets
-	// may report within a second, and each push goes to hundreds of followers.
+	// changesPending is set when followers are to be sent changes at the next push. Thousands
+	// of targets may report within a second, and each push goes to hundreds of followers.
 	changesPending bool
 	pushAt         time.Time
 	// completeAt is when every live target has reported since this process started. Before
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -19,8 +19,8 @@
 	return core.Received{Envelope: core.Envelope{Cluster: "c", From: core.ReplicaID{VM: vm, Incarnation: 1}, To: "c1", Body: body}}
 }
 
-// news returns the targets in the effects' updates to a VM.
-func news(effects []core.Effect, vm core.VMName) []relay.Target {
+// updatedTargets returns the targets in the effects' updates to a VM.
+func updatedTargets(effects []core.Effect, vm core.VMName) []relay.Target {
 	var targets []relay.Target
 	for _, effect := range effects {
 		if send, ok := effect.(core.Send); ok && send.Envelope.To == vm && send.Envelope.Body.TargetNews != nil {
@@ -43,14 +43,14 @@
 	n.Step(now, from("c3", core.Message{Follow: &core.Follow{OwnOnly: true, Heartbeats: true}}))
 	n.Step(now, from("e1", core.Message{Follow: &core.Follow{}}))
 	second := relay.Target{ID: "i-2", Address: "b", Call: 3}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{second}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Through: 1, Targets: []relay.Target{second}}}))
 	own := relay.Target{ID: "i-1", Address: "a", Call: 1}
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: own})
 	pushed := nextPush(n, now)
-	require.Equal(t, []relay.Target{own}, news(pushed, "c3"), "c2 sends it the other target")
-	require.Equal(t, []relay.Target{own, second}, news(pushed, "e1"), "it follows only this control VM")
+	require.Equal(t, []relay.Target{own}, updatedTargets(pushed, "c3"), "c2 sends it the other target")
+	require.Equal(t, []relay.Target{own, second}, updatedTargets(pushed, "e1"), "it follows only this control VM")
 
-	whole := news(n.Step(now, from("e2", core.Message{Follow: &core.Follow{}})), "e2")
+	whole := updatedTargets(n.Step(now, from("e2", core.Message{Follow: &core.Follow{}})), "e2")
 	require.Equal(t, []relay.Target{own, second}, whole, "a follower without state receives everything")
 }
 
@@ -59,11 +59,11 @@
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, from("e1", core.Message{Follow: &core.Follow{OwnOnly: true}}))
 	leaving := relay.Target{ID: "i-2", Address: "b", Call: 3, Leaving: true}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{leaving}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Through: 1, Targets: []relay.Target{leaving}}}))
 	again := leaving
 	again.Call = 4
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: again})
-	require.Equal(t, []relay.Target{again}, news(nextPush(n, now), "e1"), "c2 may have died before it forwarded its report")
+	require.Equal(t, []relay.Target{again}, updatedTargets(nextPush(n, now), "e1"), "c2 may have died before it forwarded its report")
 }
 
 // After a loss of all VMs, every target reports to a control VM that it hasn't reported to
@@ -73,13 +73,13 @@
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	follow := func() []relay.Target {
-		return news(n.Step(now, from("e1", core.Message{Follow: &core.Follow{Incarnation: 3, OwnOnly: true}})), "e1")
+		return updatedTargets(n.Step(now, from("e1", core.Message{Follow: &core.Follow{Incarnation: 3, OwnOnly: true}})), "e1")
 	}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{{ID: "i-2", Address: "b", Call: 3}}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Through: 1, Targets: []relay.Target{{ID: "i-2", Address: "b", Call: 3}}}}))
 	require.Empty(t, follow())
 	nextPush(n, now)
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 4}})
-	require.Empty(t, news(nextPush(n, now), "e1"))
+	require.Empty(t, updatedTargets(nextPush(n, now), "e1"))
 	require.Len(t, follow(), 1)
 }
 
@@ -88,11 +88,11 @@
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, from("e1", core.Message{Follow: &core.Follow{OwnOnly: true}}))
 	newer := relay.Target{ID: "i-2", Address: "b", Call: 5}
-	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Upto: 1, Targets: []relay.Target{newer}}}))
+	n.Step(now, from("c2", core.Message{TargetNews: &core.RegistryUpdate{Incarnation: 9, Through: 1, Targets: []relay.Target{newer}}}))
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 4, Leaving: true}})
-	told := news(nextPush(n, now), "e1")
-	require.Len(t, told, 1)
-	require.True(t, told[0].Leaving)
+	updated := updatedTargets(nextPush(n, now), "e1")
+	require.Len(t, updated, 1)
+	require.True(t, updated[0].Leaving)
 }
 
 // fleetOf is a leader whose entry VMs have work at many targets.
@@ -206,8 +206,8 @@
 func TestNewLeaderReportsNoWorkBeforeAllHaveReported(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	f := &fleetOf{t: t, node: n, now: time.Unix(100, 0)}
-	var first, told time.Time
-	for number := uint64(1); told.IsZero() && number < 500; number++ {
+	var first, reportedAt time.Time
+	for number := uint64(1); reportedAt.IsZero() && number < 500; number++ {
 		f.now = f.now.Add(20 * time.Millisecond)
 		tick(n, f.now)
 		for _, effect := range n.Step(f.now, from("e1", core.Message{Renew: &core.Renew{Number: number, Address: core.EntryAddress{VM: "e1"}}})) {
@@ -219,12 +219,12 @@
 				first = f.now
 			}
 			if send.Envelope.Body.Grant.WorkReported {
-				told = f.now
+				reportedAt = f.now
 			}
 		}
 	}
-	require.False(t, told.IsZero())
-	require.GreaterOrEqual(t, told.Sub(first), time.Second)
+	require.False(t, reportedAt.IsZero())
+	require.GreaterOrEqual(t, reportedAt.Sub(first), time.Second)
 }
 
 // After all VMs were killed, each one chose by its own work alone for 1.2 s after the election,
@@ -233,13 +233,13 @@
 	n := controlNode(nil, time.Unix(100, 0))
 	now := time.Unix(100, 0)
 	vms := []core.VMName{"e1", "e2", "e3"}
-	told := make(map[core.VMName]bool)
+	reported := make(map[core.VMName]bool)
 	renew := func(vm core.VMName, number uint64) (granted bool) {
 		body := core.Message{Renew: &core.Renew{Number: number, Address: core.EntryAddress{VM: vm}}}
 		for _, effect := range n.Step(now, from(vm, body)) {
 			if send, ok := effect.(core.Send); ok && send.Envelope.Body.Grant != nil {
 				granted = true
-				told[vm] = send.Envelope.Body.Grant.WorkReported
+				reported[vm] = send.Envelope.Body.Grant.WorkReported
 			}
 		}
 		return granted
@@ -261,11 +261,11 @@
 		tick(n, now)
 		renew("e1", number)
 		renew("e2", number)
-		require.False(t, told["e1"], "e3 has not renewed")
+		require.False(t, reported["e1"], "e3 has not renewed")
 	}
 	renew("e3", number)
 	renew("e1", number+1)
-	require.True(t, told["e1"])
+	require.True(t, reported["e1"])
 }
 
 // The first of 76 VMs to get a lease again assumed that it was the only one.
@@ -302,8 +302,8 @@
 	require.Greater(t, f.renew("e1", true), whole, "it may have been lost")
 }
 
-// newsTo returns the updates that a step sends to a VM.
-func newsTo(effects []core.Effect, vm core.VMName) []core.RegistryUpdate {
+// updatesTo returns the updates that a step sends to a VM.
+func updatesTo(effects []core.Effect, vm core.VMName) []core.RegistryUpdate {
 	var sent []core.RegistryUpdate
 	for _, effect := range effects {
 		if send, ok := effect.(core.Send); ok && send.Envelope.To == vm && send.Envelope.Body.TargetNews != nil {
@@ -319,27 +319,27 @@
 func TestUpdatesInFlightAreNotResent(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
-	speak := func(id string) {
+	sendReport := func(id string) {
 		now = now.Add(20 * time.Millisecond)
 		n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: relay.TargetID(id), Address: id, Call: 1}})
 	}
-	speak("i-1")
-	first := newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
+	sendReport("i-1")
+	first := updatesTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
 	require.Len(t, first, 1)
-	speak("i-2")
-	speak("i-3")
-	require.Empty(t, newsTo(nextPush(n, now), "e1"), "the first update is in flight")
+	sendReport("i-2")
+	sendReport("i-3")
+	require.Empty(t, updatesTo(nextPush(n, now), "e1"), "the first update is in flight")
 	now = now.Add(100 * time.Millisecond)
-	require.Empty(t, newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), "the first update is still in flight when the follower asks again")
+	require.Empty(t, updatesTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), "the first update is still in flight when the follower asks again")
 
-	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Upto, Acknowledge: true}
+	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Through, Acknowledge: true}
 	n.Step(now, from("e1", core.Message{Follow: &came}))
-	next := newsTo(nextPush(n, now), "e1")
+	next := updatesTo(nextPush(n, now), "e1")
 	require.Len(t, next, 1)
 	require.Len(t, next[0].Targets, 2, "all later changes are in one update")
-	came.After = next[0].Upto
+	came.After = next[0].Through
 	n.Step(now, from("e1", core.Message{Follow: &came}))
-	require.Empty(t, newsTo(nextPush(n, now.Add(time.Second)), "e1"), "nothing has changed")
+	require.Empty(t, updatesTo(nextPush(n, now.Add(time.Second)), "e1"), "nothing has changed")
 }
 
 // Updates lost on a broken link are sent again within the 2 s that a report may take.
@@ -347,8 +347,8 @@
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-1", Address: "a", Call: 1}})
-	require.Len(t, newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), 1)
-	again := newsTo(n.Step(now.Add(time.Second), from("e1", core.Message{Follow: &core.Follow{}})), "e1")
+	require.Len(t, updatesTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), 1)
+	again := updatesTo(n.Step(now.Add(time.Second), from("e1", core.Message{Follow: &core.Follow{}})), "e1")
 	require.Len(t, again, 1)
 	require.Len(t, again[0].Targets, 1)
 }
@@ -359,19 +359,19 @@
 	now := lead(n, time.Unix(100, 0))
 	stays := relay.Target{ID: "i-1", Address: "a", Call: 1}
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: stays})
-	first := newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
+	first := updatesTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
 	require.Len(t, first, 1)
 	leaves := stays
 	leaves.Call, leaves.Leaving = 2, true
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: leaves})
-	beside := newsTo(nextPush(n, now), "e1")
+	beside := updatesTo(nextPush(n, now), "e1")
 	require.Len(t, beside, 1)
 	require.Equal(t, []relay.Target{leaves}, beside[0].Targets)
-	require.Empty(t, newsTo(nextPush(n, now.Add(time.Second/10)), "e1"), "sent only once")
+	require.Empty(t, updatesTo(nextPush(n, now.Add(time.Second/10)), "e1"), "sent only once")
 
-	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Upto, Acknowledge: true}
+	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Through, Acknowledge: true}
 	n.Step(now.Add(300*time.Millisecond), from("e1", core.Message{Follow: &came}))
-	again := newsTo(nextPush(n, now.Add(300*time.Millisecond)), "e1")
+	again := updatesTo(nextPush(n, now.Add(300*time.Millisecond)), "e1")
 	require.Len(t, again, 1, "its position has not changed")
 }
 
@@ -385,38 +385,38 @@
 	lost := 0
 	for range 25 {
 		now = now.Add(100 * time.Millisecond)
-		lost += len(newsTo(n.Step(now, core.Tick{}), "e1"))
+		lost += len(updatesTo(n.Step(now, core.Tick{}), "e1"))
 	}
 	require.Equal(t, 2, lost, "the third would be sent another 2.8 s later")
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-1", Address: "a", Call: 2}})
 	asked := now.Add(600 * time.Millisecond)
-	again := newsTo(n.Step(asked, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
+	again := updatesTo(n.Step(asked, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
 	require.Len(t, again, 1)
 	require.Len(t, again[0].Targets, 1)
-	require.True(t, again[0].Whole)
+	require.True(t, again[0].Complete)
 }
 
 // Heartbeats are sent while other updates to a control VM are in flight.
 func TestHeartbeatsDoNotWaitForUpdates(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
-	spoke := relay.Target{ID: "i-1", Address: "a", Call: 1}
-	n.Step(now, core.TargetSpoke{Conn: 1, Target: spoke})
+	report := relay.Target{ID: "i-1", Address: "a", Call: 1}
+	n.Step(now, core.TargetSpoke{Conn: 1, Target: report})
 	ask := core.Message{Follow: &core.Follow{OwnOnly: true, Heartbeats: true}}
-	first := newsTo(n.Step(now, from("c3", ask)), "c3")[0]
+	first := updatesTo(n.Step(now, from("c3", ask)), "c3")[0]
 	require.Len(t, first.Targets, 1)
-	n.Step(now, from("c3", core.Message{Follow: &core.Follow{Incarnation: first.Incarnation, After: first.Upto, Acknowledge: true, OwnOnly: true, Heartbeats: true}}))
-	ask.Follow.Incarnation, ask.Follow.After = first.Incarnation, first.Upto
+	n.Step(now, from("c3", core.Message{Follow: &core.Follow{Incarnation: first.Incarnation, After: first.Through, Acknowledge: true, OwnOnly: true, Heartbeats: true}}))
+	ask.Follow.Incarnation, ask.Follow.After = first.Incarnation, first.Through
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 1}})
-	require.Len(t, newsTo(nextPush(n, now), "c3"), 1)
+	require.Len(t, updatesTo(nextPush(n, now), "c3"), 1)
 	for range 5 {
 		now = now.Add(100 * time.Millisecond)
 		n.Step(now, core.Tick{})
 	}
-	spoke.Call++
-	n.Step(now, core.TargetSpoke{Conn: 1, Target: spoke})
+	report.Call++
+	n.Step(now, core.TargetSpoke{Conn: 1, Target: report})
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-2", Address: "b", Call: 2}})
-	beats := newsTo(n.Step(now, from("c3", ask)), "c3")
+	beats := updatesTo(n.Step(now, from("c3", ask)), "c3")
 	require.Len(t, beats, 1)
 	require.Empty(t, beats[0].Targets)
 	require.Equal(t, []relay.Heartbeat{{ID: "i-1", Call: 2}}, beats[0].Heartbeats, "the other heartbeat would arrive before its report")
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -65,7 +65,7 @@
 	require.Equal(t, http.StatusOK, ask(t, g))
 	require.Equal(t, http.StatusBadGateway, ask(t, g), "the first sending may have run")
 	require.EqualValues(t, 2, w.next.Load())
-	require.Empty(t, daemon.FindingsOf(g).Dead, "the target has not failed")
+	require.Empty(t, daemon.FindingsOf(g).Failed, "the target has not failed")
 }
 
 // Where all targets are limited, a request waits no longer than permits are likely to arrive,
@@ -79,7 +79,7 @@
 		defer close(granted)
 		for event := daemon.Posted(t.Context(), g); event != nil; event = daemon.Posted(t.Context(), g) {
 			if wanted, ok := event.(core.PermitsWanted); ok {
-				permits := []relay.Permits{{Target: wanted.Asks[0].Target, PerSecond: 4.5, Count: 1}}
+				permits := []relay.Permits{{Target: wanted.Requests[0].Target, PerSecond: 4.5, Count: 1}}
 				daemon.Execute(g, core.PermitsGranted{Number: 1, Permits: permits, Until: time.Now().Add(time.Second)})
 				return
 			}
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -34,7 +34,7 @@
 	// joined and are not known everywhere.
 	budgetUsableShare = 0.95
 	// unstartedShare is the part of a VM's own budget for requests whose callers have received
-	// nothing yet: they can be told to come back, and a stream in mid-answer can't.
+	// nothing yet: they can be asked to retry, and a stream in mid-answer can't.
 	// pooledUnstartedShare is that of the budget of all VMs, which is divided more finely: what
 	// is kept back covers the loss of an engine that 130 streams pass, of a bound of 900.
 	unstartedShare       = 0.6
@@ -42,9 +42,9 @@
 	// initialShare is the part of the fixed number that a process has at its start; it grows to
 	// the whole within a window. What the previous process on this VM has used is not known.
 	initialShare = 0.3
-	// sumsTTL is the age up to which the sums over all VMs count: two renewals and the way to the
-	// leader and back. What a VM repeats in as long is not in them yet.
-	sumsTTL = time.Second
+	// fleetUsageTTL is the age up to which the sums over all VMs count: two renewals and the way
+	// to the leader and back. What a VM repeats in as long is not in them yet.
+	fleetUsageTTL = time.Second
 	// budgetBuckets divides the window; a bucket leaves it as a whole.
 	budgetBuckets = 20
 )
@@ -73,24 +73,24 @@
 type budget struct {
 	requests window
 	repeats  window
-	// recent counts the repeats of the last sumsTTL.
+	// recent counts the repeats of the last fleetUsageTTL.
 	recent window
-	// drawn, from 0 to 1, decides about the fraction of a part: it counts as one repeat if the
-	// sum of both is at least 1.
+	// roundUp, from 0 to 1, decides about the fraction of a part: it counts as one repeat if
+	// the sum of both is at least 1.
 	roundUp float64
 }
 
-// fleetUsage are the usage of all VMs together.
+// fleetUsage is the usage of all VMs together.
 type fleetUsage struct {
 	usage map[string]Usage
-	// vms is the number of VMs in them, and until when they count.
+	// vms is the number of VMs in it, and until when it counts.
 	vms   int
 	until time.Time
 }
 
 // SetFleetUsage sets the usage of all VMs that report to the leader, by service.
 func (r *Router) SetFleetUsage(usage map[string]Usage, vms int, now time.Time) {
-	r.fleetUsage = fleetUsage{usage: usage, vms: vms, until: now.Add(sumsTTL)}
+	r.fleetUsage = fleetUsage{usage: usage, vms: vms, until: now.Add(fleetUsageTTL)}
 }
 
 // Usage returns the usage of this VM, by service.
@@ -142,7 +142,7 @@
 		allowed *= pooledUnstartedShare
 	}
 	part := (allowed - float64(usage.Repeats)) / float64(max(reporting, 1))
-	if float64(b.recent.total(now, sumsTTL)+1) > math.Floor(part+b.roundUp) {
+	if float64(b.recent.total(now, fleetUsageTTL)+1) > math.Floor(part+b.roundUp) {
 		return false
 	}
 	b.note(now, t)
@@ -152,7 +152,7 @@
 // note counts a repeat.
 func (b *budget) note(now time.Time, t BudgetTerms) {
 	b.repeats.add(now, t.Window)
-	b.recent.add(now, sumsTTL)
+	b.recent.add(now, fleetUsageTTL)
 }
 
 // drawRoundUp returns a number from 0 to 1 that this VM keeps for a service.
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -34,7 +34,7 @@
 		if r.settings.Policy.Has(FullPause) {
 			t.refusedUntil = now.Add(min(initialFullPause<<min(t.refusalsInRow-1, 4), maxFullPause))
 		}
-		if t.refusalsInRow >= deadAfterRefusals {
+		if t.refusalsInRow >= failedAfterRefusals {
 			t.failedAt = now
 		}
 	}
@@ -72,7 +72,7 @@
 	}
 }
 
-// Suspect reports whether a target is avoided at present. A void one always is, and what runs
+// Suspect reports whether a target is avoided at present. A superseded one always is, and what runs
 // there is lost.
 func (r *Router) Suspect(id TargetID, now time.Time) bool {
 	t, ok := r.targets[id]
@@ -126,16 +126,16 @@
 	// findingsTTL is how long a VM reports what it found of a target: a VM of the grown fleet
 	// meets each engine about once in this time.
 	findingsTTL = 2 * time.Second
-	// deadAfterRefusals is the number of refusals in a row after which an engine counts as dead:
+	// failedAfterRefusals is the number of refusals in a row after which an engine counts as failed:
 	// one that is full runs requests, which succeed in between.
-	deadAfterRefusals = 3
+	failedAfterRefusals = 3
 )
 
 // Findings is what a VM has recently found of targets, sorted.
 type Findings struct {
-	// Dead are those that have failed and done nothing since, Sound those where a request has
-	// succeeded since the last failure.
-	Dead, Sound []TargetKey
+	// Failed are those that have failed and done nothing since, Healthy those where a request
+	// has succeeded since the last failure.
+	Failed, Healthy []TargetKey
 	// Slow are those that report that they are slow.
 	Slow []TargetKey
 	// Leaving are those that have sent a draining notice with an answer.
@@ -161,16 +161,16 @@
 		}
 		switch {
 		case now.Before(t.failedAt.Add(findingsTTL)):
-			f.Dead = append(f.Dead, t.key)
+			f.Failed = append(f.Failed, t.key)
 		case now.Before(t.succeededAt.Add(findingsTTL)):
-			f.Sound = append(f.Sound, t.key)
+			f.Healthy = append(f.Healthy, t.key)
 		}
 		if now.Before(t.slowUntil) {
 			f.Slow = append(f.Slow, t.key)
 		}
 	}
-	slices.Sort(f.Dead)
-	slices.Sort(f.Sound)
+	slices.Sort(f.Failed)
+	slices.Sort(f.Healthy)
 	slices.Sort(f.Slow)
 	return f
 }
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -22,8 +22,8 @@
 	// limitTTL is how long a limit that no answer to this VM has named counts after the leader
 	// last reported it: as long as a lease, without which this VM sends nothing.
 	limitTTL = 3 * time.Second
-	// maxPermitAsks bounds the limits in one renewal: 16 are some 0.5 KB.
-	maxPermitAsks = 16
+	// maxPermitRequests bounds the limits in one renewal: 16 are some 0.5 KB.
+	maxPermitRequests = 16
 	// maxLimits bounds the limits that are kept: as many as backoffs.
 	maxLimits = maxBackoffs
 	// unlimitedFromPerSecond is the limit, in requests a second, from which on a target counts as
@@ -38,8 +38,8 @@
 	answer LimitAnswer
 	// perSecond is the limit that was last received from the target or the leader.
 	perSecond float64
-	// marked indicates that the leader marks the target as limited; otherwise what the leader has
-	// reported counts until knownUntil.
+	// knownUntil is until when what the leader has reported counts, unless marked is set: the
+	// leader marks the target as limited.
 	knownUntil time.Time
 	marked     bool
 	heldPermits
@@ -78,8 +78,8 @@
 	return &RateLimits{rand: rand.New(rand.NewPCG(seed, 2)), byTarget: make(map[TargetKey]*limit)}
 }
 
-// Observe records what an answer of a target states about its limit, and reports whether that is new
-// here.
+// Observe records what an answer of a target states about its limit, and reports whether that
+// is new here.
 func (l *RateLimits) Observe(id TargetID, answer LimitAnswer) bool {
 	known, ok := l.byTarget[id.Key()]
 	if answer.Limited && answer.PerSecond >= unlimitedFromPerSecond {
@@ -131,13 +131,13 @@
 	return m != nil && (m.answer.Limited || m.marked || now.Before(m.knownUntil))
 }
 
-// ApplyMarks applies the leader's marks of limited targets. Whole indicates that all other targets
-// are unlimited.
-func (l *RateLimits) ApplyMarks(marks map[TargetKey]Mark, whole bool, now time.Time) {
+// ApplyMarks applies the leader's marks of limited targets. complete indicates that all other
+// targets are unlimited.
+func (l *RateLimits) ApplyMarks(marks map[TargetKey]Mark, complete bool, now time.Time) {
 	for key, m := range marks {
 		l.setMarked(key, m.Has(MarkLimited), now)
 	}
-	if !whole {
+	if !complete {
 		return
 	}
 	for key := range l.byTarget {
@@ -266,7 +266,7 @@
 	m.reserved++
 }
 
-// Use ends a reservation. Sent indicates that its request goes to the target now; Use reports
+// Use ends a reservation. sent indicates that its request goes to the target now; Use reports
 // whether it may.
 func (l *RateLimits) Use(id TargetID, sent bool, now time.Time) bool {
 	known, ok := l.byTarget[id.Key()]
@@ -283,11 +283,11 @@
 	return l.Take(id, now)
 }
 
-// PermitRequests returns what the next renewal reports to the leader, and gives back the permits that no
-// request has wanted recently. Limits that have ended are removed.
+// PermitRequests returns what the next renewal reports to the leader, and gives back the permits
+// that no request has wanted recently. Limits that have ended are removed.
 func (l *RateLimits) PermitRequests(now time.Time) []PermitRequest {
 	l.bound()
-	var asks []PermitRequest
+	var requests []PermitRequest
 	for key, m := range l.byTarget {
 		if !m.limited(now) && now.After(m.answer.ReceivedAt.Add(limitTTL)) {
 			delete(l.byTarget, key)
@@ -299,15 +299,15 @@
 			m.returned += uint64(m.left - wanted)
 			m.left = wanted
 		}
-		asks = append(asks, PermitRequest{Target: key, Answer: m.answer, Wanted: wanted, Left: m.left + m.reserved, Taken: m.taken, Unpaid: m.unpaid, Returned: m.returned})
+		requests = append(requests, PermitRequest{Target: key, Answer: m.answer, Wanted: wanted, Left: m.left + m.reserved, Taken: m.taken, Unpaid: m.unpaid, Returned: m.returned})
 	}
-	slices.SortFunc(asks, func(a, b PermitRequest) int { return cmp.Compare(a.Target, b.Target) })
-	if len(asks) > maxPermitAsks {
-		l.rand.Shuffle(len(asks), func(i, j int) { asks[i], asks[j] = asks[j], asks[i] })
-		slices.SortStableFunc(asks, func(a, b PermitRequest) int { return cmp.Compare(min(b.Wanted, 1), min(a.Wanted, 1)) })
-		asks = asks[:maxPermitAsks]
+	slices.SortFunc(requests, func(a, b PermitRequest) int { return cmp.Compare(a.Target, b.Target) })
+	if len(requests) > maxPermitRequests {
+		l.rand.Shuffle(len(requests), func(i, j int) { requests[i], requests[j] = requests[j], requests[i] })
+		slices.SortStableFunc(requests, func(a, b PermitRequest) int { return cmp.Compare(min(b.Wanted, 1), min(a.Wanted, 1)) })
+		requests = requests[:maxPermitRequests]
 	}
-	return asks
+	return requests
 }
 
 // bound keeps the number of limits within maxLimits by removing those with the oldest answers.
