--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -7,7 +7,7 @@
 // and deadline that other processes rely on uses the times of this package: the monotonic time
 // plus the time that the VM was suspended since the process started.
 //
-// Code that is about to act under a lease, fence or deadline calls Sampled, which reads the
+// Code that is about to act under a lease, fence or deadline calls SampleNow, which reads the
 // kernel's clocks. Now adds the suspensions that were sampled last, and makes no system call for
 // them: the daemon samples with each event, some tens a second, and with each request that it
 // accepts.
--- a/internal/daemon/stopping.go
+++ b/internal/daemon/stopping.go
@@ -15,7 +15,7 @@
 }
 
 // refuseOutlasting refuses a stream whose answer would not end before the planned stop of this
-// VM; relay.Ending decides.
+// VM; relay.PlannedStop decides.
 func (g *Gateway) refuseOutlasting(call *Call, route *relay.Route, now time.Time) *relay.Refusal {
 	if !g.policy.Has(relay.StopAdmission) || !g.ending.Planned() || !route.Stream || len(route.Shares) == 0 {
 		return nil
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -22,13 +22,13 @@
 	lastReadAt time.Time
 	// culprit is the target for which the try was abandoned.
 	culprit relay.TargetID
-	// request is what the try sent; its Patience ends when the next event is overdue.
+	// request is what the try sent; its MaxPause ends when the next event is overdue.
 	request *target.Request
-	// livenessChecked says that the engines have been checked in the present pause.
+	// livenessChecked is set if the engines have been checked in the present pause.
 	livenessChecked bool
 	// healthyReports counts the reports in the present pause that show the engine working.
 	healthyReports int
-	// connSilent says that the try was abandoned because its connection was silent.
+	// connSilent is set if the try was abandoned because its connection was silent.
 	connSilent bool
 }
 
--- a/internal/daemon/watcher_test.go
+++ b/internal/daemon/watcher_test.go
@@ -61,7 +61,7 @@
 	_, _ = io.WriteString(conn, "x: 2\n\n") // a client that has closed it reads nothing
 }
 
-// mute engines answer no report request.
+// muteEngines answer no report request.
 type muteEngines struct{ daemon.Engines }
 
 func (muteEngines) Report(context.Context, relay.Stage) (daemon.EngineReport, error) {
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -43,12 +43,12 @@
 // httpHops connects engines in separate processes.
 type httpHops struct{ client *target.Client }
 
-// Run implements Hops.
+// Run implements Transport.
 func (h httpHops) Run(ctx context.Context, to core.Stage, o target.RunOrder) (target.RunReply, error) {
 	return h.client.RunOrder(ctx, to.Address, o)
 }
 
-// Boundary implements Hops.
+// Boundary implements Transport.
 func (h httpHops) Boundary(ctx context.Context, to core.Stage, o target.BoundaryOrder) (target.BoundaryReply, error) {
 	return target.Post[target.BoundaryReply](ctx, h.client, to.Address, target.PathBoundary, o)
 }
--- a/internal/logreport/report.go
+++ b/internal/logreport/report.go
@@ -19,8 +19,8 @@
 
 // Bounds are the times above which an answer counts as late, and the interval of the rows.
 type Bounds struct {
-	// An answer is late if its first event takes longer than MaxFirstEvent, or if a pause
-	// between two events is longer than MaxPause.
+	// MaxFirstEvent is the longest wait for the first event of an answer that is not late, and
+	// MaxPause the longest pause between two of its events.
 	MaxFirstEvent time.Duration
 	MaxPause      time.Duration
 	// Interval is the time that a row covers.
--- a/internal/target/drop_test.go
+++ b/internal/target/drop_test.go
@@ -8,7 +8,7 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// After Drop, a target that restarts on the address gets a new connection.
+// After CloseIdle, a target that restarts on the address gets a new connection.
 func TestDroppedConnectionsAreNotReused(t *testing.T) {
 	s := newScriptedTarget(t, answerTo("1", "ok"))
 	other := newScriptedTarget(t, answerTo("1", "ok"))
--- a/internal/target/exchange.go
+++ b/internal/target/exchange.go
@@ -97,7 +97,7 @@
 	// Matches reports whether an answer belongs to this request. Other answers
 	// on the same connection are surplus and skipped.
 	Matches func(http.Header) bool
-	// MaxPause is the longest pause in the answer before Silent is called, which
+	// MaxPause is the longest pause in the answer before KeepWaiting is called, which
 	// reports whether to keep waiting. Zero waits without limit.
 	MaxPause    time.Duration
 	KeepWaiting func() bool
@@ -143,7 +143,7 @@
 	notReading atomic.Bool
 }
 
-// Read reads bytes of the answer. After each pause of Patience it calls Silent.
+// Read reads bytes of the answer. After each pause of MaxPause it calls KeepWaiting.
 func (l *link) Read(p []byte) (int, error) {
 	for {
 		r := l.request
--- a/internal/target/kept.go
+++ b/internal/target/kept.go
@@ -27,7 +27,7 @@
 
 // FirstByteWait bounds the wait for the first byte on a reused connection.
 type FirstByteWait struct {
-	// Timeout is the wait before Leave is called, once; zero waits without limit.
+	// Timeout is the wait before Abandon is called, once; zero waits without limit.
 	Timeout time.Duration
 	// Abandon reports whether to abandon the connection because the request may be sent again.
 	Abandon func() bool
--- a/internal/target/silence.go
+++ b/internal/target/silence.go
@@ -36,7 +36,7 @@
 const probeNumber = 0
 
 // WithSilence returns a Client with run links of its own. It closes silent connections within
-// bound and reports them to connectionSilent; a bound of zero leaves them to the kernel.
+// bound and reports them to onSilent; a bound of zero leaves them to the kernel.
 func (c *Client) WithSilence(bound time.Duration, onSilent SilentFunc) *Client {
 	next := *c
 	next.silence = silenceDetection{bound: bound, onSilent: onSilent}
