--- a/cmd/spoolbank/cmd/bound.go
+++ b/cmd/spoolbank/cmd/bound.go
@@ -94,8 +94,8 @@
 		fmt.Fprintf(t, "plan, without %d\t%.0f\t%.0f\t%s\t%d\n", lost, holds.Answers, holds.Rate, holds.Time.Round(10*time.Millisecond), holds.Copies)
 	}
 	if rate > 0 {
-		needed, borne := f.Engine.AnswersAtRate(held, rate)
-		if !borne {
+		needed, feasible := f.Engine.AnswersAtRate(held, rate)
+		if !feasible {
 			fmt.Fprintf(t, "at the rate\tnot borne\t%.0f\t\t\n", rate)
 			return t.Flush()
 		}
--- a/internal/daemon/answer.go
+++ b/internal/daemon/answer.go
@@ -32,7 +32,7 @@
 		first = f.firstEventAt.Sub(f.call.Arrived).Milliseconds()
 	}
 	f.g.log.Info("request served", "request", f.call.ID, "held_ms", f.firstPickedAt.Sub(f.call.Arrived).Milliseconds(), "first_ms", first, "events", f.events, "worst_pause_ms", f.worstPause.Milliseconds(), "took_ms", clock.Since(f.call.Arrived).Milliseconds(),
-		"tries", f.count, "prompt", f.call.Prompt, "answer", f.call.Answer, "hint", f.call.Hint, "forecast_us", path.Forecast().Microseconds(), "path", path.String())
+		"tries", f.count, "prompt", f.call.Prompt, "answer", f.call.Answer, "hint", f.call.LengthHint, "forecast_us", path.Forecast().Microseconds(), "path", path.String())
 }
 
 // notePauses reports to the router the mean pause of an answer that came from one path.
--- a/internal/daemon/backoffs_test.go
+++ b/internal/daemon/backoffs_test.go
@@ -45,7 +45,7 @@
 }
 
 // Guards against requests to a target that has announced with an answer that it leaves: the
-// notice was not read, so requests went on until its heartbeats said so too, or without end
+// notice was not read, so requests went on until its heartbeats reported it too, or without end
 // where it sent none.
 func TestNoRequestsToLeavingTarget(t *testing.T) {
 	w := newWorker(t, leaving, served)
--- a/internal/daemon/caller_conn.go
+++ b/internal/daemon/caller_conn.go
@@ -84,7 +84,7 @@
 	o   *outbox
 	// requestID is the id of the request in progress.
 	requestID atomic.Pointer[string]
-	// targetWaits says that a target's answer waits for the caller, and stalled is how long the
+	// targetWaits is set if a target's answer waits for the caller, and stalled is how long the
 	// writer has waited since takeStall. Both belong to the writer.
 	targetWaits bool
 	stalled     time.Duration
@@ -94,7 +94,7 @@
 	writeBuf  []byte
 	written   int
 	writeErr  error
-	// behind says that bytes are buffered, so that the writer must not write to the socket itself.
+	// behind is set if bytes are buffered, so that the writer must not write to the socket itself.
 	behind atomic.Bool
 
 	// The lock of o guards the fields below.
@@ -181,7 +181,7 @@
 	defer c.finishWrite()
 	kept, waited := 0, false
 	began := time.Now()
-	until := began.Add(c.patience())
+	until := began.Add(c.roomTimeout())
 	for kept < len(p) {
 		n := c.buffer(p[kept:])
 		kept += n
@@ -213,8 +213,8 @@
 	return !now.Before(until) || c.targetWaits && !c.o.holdings.Full(c.id) && !c.blockedSince.IsZero() && now.Sub(c.blockedSince) >= readGrace
 }
 
-// patience returns how long the writer waits for room.
-func (c *callerConn) patience() time.Duration {
+// roomTimeout returns how long the writer waits for room.
+func (c *callerConn) roomTimeout() time.Duration {
 	if c.targetWaits {
 		return engineStallLimit
 	}
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -310,7 +310,7 @@
 	Type    core.RefusalKind `json:"type"`
 	Code    core.RefusalKind `json:"code"`
 	Message string           `json:"message"`
-	// Ran says whether the request was run: no, yes or unknown.
+	// Ran is whether the request was run: no, yes or unknown.
 	Ran     core.Ran `json:"ran"`
 	Remedy  string   `json:"remedy"`
 	Request string   `json:"request_id,omitempty"`
@@ -374,7 +374,7 @@
 	return http.StatusServiceUnavailable
 }
 
-// meansNotRun reports whether a status tells callers that a request has not run.
+// meansNotRun reports whether a status means to callers that a request has not run.
 func meansNotRun(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
--- a/internal/daemon/choosing.go
+++ b/internal/daemon/choosing.go
@@ -41,7 +41,7 @@
 }
 
 // waitUntil returns until when a request waits for room, or for a repeat: callers abandon an
-// answer that has sent nothing for callerEventTimeout. A request that can be told to come back
+// answer that has sent nothing for callerEventTimeout. A request that can be asked to come back
 // waits for a permit only, for a part of its route's objective.
 func (f *forwarding) waitUntil() time.Time {
 	if !f.waitsForRoom() {
@@ -96,7 +96,7 @@
 	defer g.mu.Unlock()
 	path, refusal := g.router.Choose(relay.PathRequest{
 		Route: f.route, Service: f.service, Avoid: f.avoided(), Only: g.router.AllowedTargets(f.attempts),
-		Prompt: f.call.Prompt, MaxTokens: f.call.Answer, LengthHint: f.call.Hint, Begun: f.begun, Resumed: f.resumed(),
+		Prompt: f.call.Prompt, MaxTokens: f.call.Answer, LengthHint: f.call.LengthHint, Begun: f.begun, Resumed: f.resumed(),
 		Urgency: f.urgency(), Waiting: waiting,
 	}, now)
 	if refusal == nil && f.count == 0 {
@@ -106,7 +106,7 @@
 }
 
 // avoided returns the targets that are excluded. A stream that has begun does not exclude
-// targets that had no room: its caller can't be told to come back.
+// targets that had no room: its caller can't be asked to come back.
 func (f *forwarding) avoided() []relay.TargetID {
 	if f.begun {
 		return f.avoid
--- a/internal/daemon/crashes.go
+++ b/internal/daemon/crashes.go
@@ -10,7 +10,7 @@
 )
 
 // This file is the gateway's part in quarantining requests that crash their targets;
-// relay/suspects.go describes the problem, core/quarantine.go how all VMs learn of it.
+// relay/suspects.go describes the problem, core/quarantine.go how all VMs receive it.
 
 const (
 	// survivedTTL is how long a request that a target has run well is not suspected of crashing
@@ -105,7 +105,7 @@
 	}
 }
 
-// quarantineRefusal returns the refusal of a request in quarantine: it says that the request
+// quarantineRefusal returns the refusal of a request in quarantine: it states that the request
 // has run, and gives no time to come back. An answer that has begun is not cut off.
 func (g *Gateway) quarantineRefusal(f *forwarding, now time.Time) *relay.Refusal {
 	if f.begun || !g.crashes.quarantined(f.fingerprint, now) {
--- a/internal/daemon/crashes_test.go
+++ b/internal/daemon/crashes_test.go
@@ -215,7 +215,7 @@
 	require.Equal(t, fingerprint("/a"), survived.Request)
 }
 
-// The caller is told at once that the request has run, and no target gets it; other requests
+// The caller gets the status for a request that has run at once, and no target gets it; other requests
 // are served.
 func TestQuarantinedRequestIsNotSent(t *testing.T) {
 	w := newWorker(t, streamed)
@@ -231,7 +231,7 @@
 // A first stage that refuses the request after some wait, because a later stage has ended,
 // counts as a run that ended a target too.
 func TestCrashOfLaterStageIsReported(t *testing.T) {
-	x := daemon.NewEndings()
+	x := daemon.NewEndChecks()
 	now := time.Unix(1000, 0)
 	stage := relay.Stage{Target: "later", Address: "a"}
 	require.True(t, x.Record(stage, fingerprint("/a"), false, now), "the first one starts a check")
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -78,7 +78,7 @@
 	lock     *os.File
 	log      *os.File
 	identity identity
-	// hintsErr says why some hints were not used, or is nil.
+	// hintsErr is why some hints were not used, or nil.
 	hintsErr error
 }
 
--- a/internal/daemon/endings.go
+++ b/internal/daemon/endings.go
@@ -44,7 +44,7 @@
 type run struct {
 	request relay.Fingerprint
 	began   time.Time
-	// started says that the run has produced output.
+	// started is set if the run has produced output.
 	started bool
 }
 
@@ -144,7 +144,7 @@
 }
 
 // brokeOff records a run that broke off with a target, and has the target checked. Certain
-// says that the target is known to have ended.
+// is set if the target is known to have ended.
 func (g *Gateway) brokeOff(s relay.Stage, r run, certain bool) {
 	if g.endChecks.note(s, r, clock.Now()) {
 		go g.checkEnded(s, certain)
--- a/internal/daemon/events.go
+++ b/internal/daemon/events.go
@@ -41,7 +41,7 @@
 			}
 			f.excludeCallerStall(watch)
 			f.leaveMovingEngine(ctx)
-			watch.resetPatience()
+			watch.resetMaxPause()
 		}
 		switch {
 		case err == nil:
@@ -66,7 +66,7 @@
 var eventEnd = []byte("\n\n")
 
 // forwardEvents writes the whole events of data to the caller, and returns the rest. Its error
-// says that the caller has disconnected or was ended.
+// means that the caller has disconnected or was ended.
 func (f *forwarding) forwardEvents(answer *target.Answer, data []byte) ([]byte, error) {
 	end := bytes.LastIndex(data, eventEnd)
 	if end < 0 {
--- a/internal/daemon/export_test.go
+++ b/internal/daemon/export_test.go
@@ -110,7 +110,7 @@
 	g.router.SetOthersWork(nil, true)
 	g.leaseUntil = time.Now().Add(time.Hour)
 	g.leaseHeld = true
-	g.signalInformed()
+	g.signalRoutable()
 	return g, nil
 }
 
@@ -198,20 +198,20 @@
 	g.takeQuarantine(core.QuarantineInForce{Until: map[relay.Fingerprint]time.Time{request: until}})
 }
 
-// Endings are the checks of targets with which requests broke off.
-type Endings struct{ endChecks }
+// EndChecks are the checks of targets with which requests broke off.
+type EndChecks struct{ endChecks }
 
-// NewEndings returns Endings without any.
-func NewEndings() *Endings { return &Endings{} }
+// NewEndChecks returns Endings without any.
+func NewEndChecks() *EndChecks { return &EndChecks{} }
 
 // Record adds a run, and reports whether its target is to be checked.
-func (e *Endings) Record(s relay.Stage, request relay.Fingerprint, started bool, now time.Time) bool {
+func (e *EndChecks) Record(s relay.Stage, request relay.Fingerprint, started bool, now time.Time) bool {
 	return e.note(s, run{request: request, began: now, started: started}, now)
 }
 
 // Take ends the check of a target, and returns the requests that had received nothing and how
 // many others there were.
-func (e *Endings) Take(id relay.TargetID) (starting []relay.Fingerprint, midway int) {
+func (e *EndChecks) Take(id relay.TargetID) (starting []relay.Fingerprint, midway int) {
 	known := e.take(id)
 	return known.fingerprints(), known.midway
 }
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -57,8 +57,8 @@
 	// probeAfter is the pause after which the first engine is probed. Callers abandon a stream
 	// after some 2 s, and a new run needs about 300 ms.
 	probeAfter = 500 * time.Millisecond
-	// maxBufferedAnswerBytes bounds the answers of plain services that are buffered completely before they are
-	// forwarded, in bytes.
+	// maxBufferedAnswerBytes bounds the answers of plain services that are buffered completely
+	// before they are forwarded, in bytes.
 	maxBufferedAnswerBytes = 256 << 10
 	// eventBuffer is the read size for streams, in bytes.
 	eventBuffer = 4 << 10
@@ -110,26 +110,26 @@
 	// lastCause is the cause of the last try's result, for the log.
 	lastCause string
 	lastPath  relay.Path
-	// ambiguousSend says that within one try a sending without any response was followed by another: what
-	// the target reports of the second does not apply to the first.
+	// ambiguousSend is set if within one try a sending without any response was followed by
+	// another: what the target reports of the second does not apply to the first.
 	ambiguousSend bool
-	// leftSilentConn says that the last try was abandoned because its connection was silent.
+	// leftSilentConn is set if the last try was abandoned because its connection was silent.
 	leftSilentConn bool
 }
 
 // attempt is the present sending of a request.
 type attempt struct {
 	pickedAt, sentAt time.Time
-	// read says that the prompt has been processed on the present path.
+	// read is set if the prompt has been processed on the present path.
 	read bool
 	// pace tracks the pauses between the events of the answer on the present path.
 	pace relay.Pace
 	// replaceAt is the earliest time at which a stage's replacement may be sought again.
 	replaceAt map[relay.TargetID]time.Time
-	// resent says that the request was sent a second time: its target may have run the first
+	// resent is set if the request was sent a second time: its target may have run the first
 	// sending, even where the second one failed to connect.
 	resent bool
-	// permit says that a permit of the first target is reserved and unused.
+	// permit is set if a permit of the first target is reserved and unused.
 	permit bool
 }
 
@@ -139,7 +139,7 @@
 	flush func()
 	// caller is the caller's connection, or nil where it is of another type.
 	caller *callerConn
-	// begun says that the caller has received the head of an answer.
+	// begun is set if the caller has received the head of an answer.
 	begun        bool
 	firstEventAt time.Time
 	// lastID is the id of the last event that the caller has received.
@@ -149,13 +149,13 @@
 	events     int
 	lastEvent  time.Time
 	worstPause time.Duration
-	// stallAttributed says that the present pause is attributed to an engine or to the caller.
+	// stallAttributed is set if the present pause is attributed to an engine or to the caller.
 	stallAttributed bool
-	// proven says that the answer has run for long enough to count as evidence that the request is
+	// proven is set if the answer has run for long enough to count as evidence that the request is
 	// harmless.
 	proven bool
-	// callerStall is the time for which the answer has waited for its caller, and waitedForCaller says that
-	// its target has waited since the last read.
+	// callerStall is the time for which the answer has waited for its caller, and waitedForCaller
+	// is set if its target has waited since the last read.
 	callerStall     time.Duration
 	waitedForCaller bool
 }
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -39,7 +39,7 @@
 	router *relay.Router
 	// leaseUntil is when this VM's lease on its document expires.
 	leaseUntil time.Time
-	// leaseHeld says whether "lease held" or "lease lost" was logged last.
+	// leaseHeld is set if "lease held" was logged last, and not "lease lost".
 	leaseHeld bool
 	// routable is closed when this VM first has a lease and knows targets of all services.
 	routable     chan struct{}
@@ -49,8 +49,8 @@
 	suspended time.Duration
 	// limitsLogged are the limits of targets as last logged.
 	limitsLogged []loggedLimit
-	// ending is the planned stop of this VM, if there is one.
-	ending relay.PlannedStop
+	// plannedStop is the planned stop of this VM, if there is one.
+	plannedStop relay.PlannedStop
 
 	callerServer *http.Server
 	stopping     atomic.Bool
@@ -108,17 +108,17 @@
 	conn, results := ask[core.TargetReportReply](g.daemon)
 	defer g.daemon.pendingReplies.Delete(conn)
 	g.daemon.post(core.TargetSpoke{Conn: conn, Target: t})
-	heard := wait(ctx, results, core.TargetReportReply{})
-	if heard.HeldBack {
+	reply := wait(ctx, results, core.TargetReportReply{})
+	if reply.HeldBack {
 		g.Unusable(string(t.ID), &UnusableError{
 			Subject: "target " + string(t.ID), Field: "service " + t.Service, Reason: UnusableService,
 			Remedy: "put a document that names the service, or stop the target",
 		})
 	}
 	switch {
-	case heard.Accepted:
+	case reply.Accepted:
 		return ReportAccepted
-	case heard.Conn != 0:
+	case reply.Conn != 0:
 		return ReportRefused
 	}
 	return ReportUndecided
@@ -163,7 +163,7 @@
 		return
 	}
 	g.mu.Lock()
-	g.ending = g.ending.WithEnd(clock.Now().Add(g.platform.Grace))
+	g.plannedStop = g.plannedStop.WithEnd(clock.Now().Add(g.platform.Grace))
 	g.mu.Unlock()
 	g.daemon.tomb.Go(func() error {
 		began := clock.Now()
--- a/internal/daemon/gateway_metrics.go
+++ b/internal/daemon/gateway_metrics.go
@@ -36,7 +36,7 @@
 	quarantine  metric.Int64Gauge
 	// unused counts the unusable messages of other writers.
 	unused metric.Int64Counter
-	// unread counts the unknown names in the reports of targets.
+	// unread counts the names in messages of targets that nothing reads.
 	unread metric.Int64Counter
 	// notices counts the answers whose notices announce that a target leaves, ask for a backoff or
 	// name a limit.
--- a/internal/daemon/incarnations.go
+++ b/internal/daemon/incarnations.go
@@ -74,10 +74,10 @@
 // logEnded logs ended incarnations in one line, the first few with their start times.
 func (g *Gateway) logEnded(e core.TargetsEnded, lost int) {
 	var old, next []string
-	var oldBorn, nextBorn []uint64
+	var oldStarts, nextStarts []uint64
 	for _, s := range e.Ended[:min(len(e.Ended), maxLoggedTargets)] {
-		old, oldBorn = append(old, s.Old.Name()), append(oldBorn, s.Old.StartMillis())
-		next, nextBorn = append(next, s.New.Name()), append(nextBorn, s.New.StartMillis())
+		old, oldStarts = append(old, s.Old.Name()), append(oldStarts, s.Old.StartMillis())
+		next, nextStarts = append(next, s.New.Name()), append(nextStarts, s.New.StartMillis())
 	}
-	g.log.Info("targets have started again", "targets", len(e.Ended), "told_by", e.ReportedBy, "requests_lost", lost, "old", old, "old_born", oldBorn, "new", next, "new_born", nextBorn)
+	g.log.Info("targets have started again", "targets", len(e.Ended), "told_by", e.ReportedBy, "requests_lost", lost, "old", old, "old_born", oldStarts, "new", next, "new_born", nextStarts)
 }
--- a/internal/daemon/learning.go
+++ b/internal/daemon/learning.go
@@ -40,7 +40,7 @@
 	g.mu.Lock()
 	g.router.UpdateTargets(targets)
 	g.mu.Unlock()
-	g.signalInformed()
+	g.signalRoutable()
 	g.logTargets(targets)
 }
 
@@ -86,19 +86,19 @@
 	g.router.ApplyMarks(e.Marks, e.MarksWhole)
 	g.router.ApplyLimitMarks(e.Marks, e.MarksWhole, clock.Now())
 	g.mu.Unlock()
-	g.signalInformed()
+	g.signalRoutable()
 	if regained {
 		g.log.Info("lease held", "until_in", clock.Until(e.LeaseUntil).String(), "entry_vms", e.VMs)
 	}
 }
 
-// signalInformed ends the wait of calls that arrived before this VM had a lease, a document
+// signalRoutable ends the wait of calls that arrived before this VM had a lease, a document
 // and targets to serve them.
-func (g *Gateway) signalInformed() {
+func (g *Gateway) signalRoutable() {
 	g.mu.Lock()
-	informed := clock.Now().Before(g.leaseUntil) && g.router.Ready()
+	routable := clock.Now().Before(g.leaseUntil) && g.router.Ready()
 	g.mu.Unlock()
-	if informed {
+	if routable {
 		g.routableOnce.Do(func() { close(g.routable) })
 	}
 }
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -15,7 +15,7 @@
 // This file reads bodies within the available memory, and distinguishes slow callers from
 // slow targets.
 
-// errNoMemory says that there was no memory for an answer.
+// errNoMemory is returned if there was no memory for an answer.
 var errNoMemory = errors.New("this VM has no memory left for the answer")
 
 const (
--- a/internal/daemon/notices.go
+++ b/internal/daemon/notices.go
@@ -22,7 +22,7 @@
 // leaving target has accepted end there, and may be given another path; no more requests are
 // sent there.
 
-// ErrHeldBack says that a target accepts nothing from this VM at present.
+// ErrHeldBack is returned if a target accepts nothing from this VM at present.
 var ErrHeldBack = errors.New("held back")
 
 // mayReach returns why the request may not be sent to a target, or nil. Its error is an
--- a/internal/daemon/outbox.go
+++ b/internal/daemon/outbox.go
@@ -79,8 +79,8 @@
 	// queue holds the waiting writers, each as a channel that is closed when it may check again.
 	// One checks at a time: all at once would delay one another.
 	queue []chan struct{}
-	// ended counts the callers that were ended, loggedEnds those since the last upkeep.
-	ended, loggedEnds int64
+	// ended counts the callers that were ended, recentEnds those since the last upkeep.
+	ended, recentEnds int64
 	measuredAt        time.Time
 	lastHeld          int64
 	samples           []runtimemetrics.Sample
@@ -131,8 +131,8 @@
 	for _, id := range o.holdings.EndOverdue(now) {
 		o.endCaller(id, now, "it has read nothing for the time that is borne")
 	}
-	unlogged := max(o.loggedEnds-maxEndLogLines, 0)
-	o.loggedEnds = 0
+	unlogged := max(o.recentEnds-maxEndLogLines, 0)
+	o.recentEnds = 0
 	due := now.Sub(o.measuredAt) >= measureInterval
 	o.mu.Unlock()
 	if unlogged > 0 {
@@ -152,12 +152,12 @@
 	delete(o.behind, id)
 	c.failed = errCallerNotReading
 	o.ended++
-	o.loggedEnds++
+	o.recentEnds++
 	unread := time.Duration(0)
 	if !c.blockedSince.IsZero() {
 		unread = now.Sub(c.blockedSince)
 	}
-	if o.loggedEnds <= maxEndLogLines {
+	if o.recentEnds <= maxEndLogLines {
 		o.log.Info("caller is ended", "request", c.request(), "reason", reason, "held_bytes", c.heldBytes(), "unread_ms", unread.Milliseconds(), "caller", c.RemoteAddr().String())
 	}
 	c.pieces = nil
--- a/internal/daemon/outcome.go
+++ b/internal/daemon/outcome.go
@@ -15,7 +15,7 @@
 // This file determines the outcome of a try that brought no whole answer, and which target is
 // at fault.
 
-// handleUnconfirmed handles an answer whose status would tell the caller that its request has
+// handleUnconfirmed handles an answer whose status would mean to the caller that its request has
 // not run, from a target that does not confirm it.
 func (f *forwarding) handleUnconfirmed(path relay.Path, answer *target.Answer) result {
 	drain(answer)
@@ -103,7 +103,7 @@
 	f.failedDials[id]++
 }
 
-// handleNotRun handles an answer that says that the request has not run. A requested backoff
+// handleNotRun handles an answer that declares that the request has not run. A requested backoff
 // is applied instead of the pause for a full target: a target that backs off is not marked
 // dead however often it refuses.
 func (f *forwarding) handleNotRun(path relay.Path, v Verdict, notice relay.Notice, answer *target.Answer) result {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -47,7 +47,7 @@
 	queue   chan *core.Envelope
 	mu      sync.Mutex
 	address string
-	// serving says that a goroutine sends the messages in the queue.
+	// serving is set while a goroutine sends the messages in the queue.
 	serving bool
 	receipts
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -23,7 +23,7 @@
 	Engines Engines
 	// Router holds the settings of this VM's router.
 	Router relay.Settings
-	// Delegates says that this VM has to start the cluster and has no disk.
+	// Delegates is set if this VM has to start the cluster and has no disk.
 	Delegates bool
 	// Accept is how long after the start of a planned stop callers are still accepted, and Grace
 	// how long after it requests in progress are cut off.
@@ -61,10 +61,10 @@
 type Verdict struct {
 	// ID is the id of the request that the answer belongs to.
 	ID string
-	// NotRun says that the target has not run the request.
+	// NotRun is set if the target has not run the request.
 	NotRun bool
-	// ClaimsNotRun says that the status tells callers that the request has not run: such an answer is
-	// forwarded only where NotRun is set too.
+	// ClaimsNotRun is set if the status means to callers that the request has not run: such an
+	// answer is forwarded only where NotRun is set too.
 	ClaimsNotRun bool
 	// AtFault is the address of the target that could not do its part, if the answer names it.
 	AtFault string
@@ -83,7 +83,7 @@
 	Repath(ctx context.Context, request string, p relay.Path) (relay.Notice, error)
 }
 
-// ErrEngineSilent says that an engine did not answer at all.
+// ErrEngineSilent is returned if an engine did not answer at all.
 var ErrEngineSilent = errors.New("the engine does not answer; it is taken to be lost until it does")
 
 // EngineReport is an engine's report of its own state. It is some 0.2 s old.
@@ -112,9 +112,9 @@
 	Host     string
 	Header   http.Header
 	Body     []byte
-	// Prompt and Answer are the token counts of a stream, Hint the caller's estimate of the
-	// answer's; 0 if not given.
-	Prompt, Answer, Hint int
+	// Prompt and Answer are the token counts of a stream, LengthHint the caller's estimate of
+	// the answer's; 0 if not given.
+	Prompt, Answer, LengthHint int
 	// After is the id of the last event that the caller has, or empty.
 	After string
 }
--- a/internal/daemon/probes.go
+++ b/internal/daemon/probes.go
@@ -76,7 +76,7 @@
 	silent []relay.TargetID
 	// paces are the engines that reported how slow they are.
 	paces map[relay.TargetID]float64
-	// certain says that engines without an answer are lost: others did answer, and this process
+	// certain is set if engines without an answer are lost: others did answer, and this process
 	// was running meanwhile.
 	certain bool
 }
--- a/internal/daemon/promises_test.go
+++ b/internal/daemon/promises_test.go
@@ -21,7 +21,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// notRunStatuses are the statuses that tell a caller that its request has not run and never
+// notRunStatuses are the statuses that mean to a caller that its request has not run and never
 // will.
 var notRunStatuses = []int{http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable}
 
@@ -188,8 +188,8 @@
 }
 
 // Guards against a wrong "not run": a reused connection broke after the request was sent on
-// it, the request was sent again on a new one, and the target rejected that; the caller was
-// told that it had not run.
+// it, the request was sent again on a new one, and the target rejected that; the caller got
+// the status for a request that had not run.
 func TestRejectedResendIsReportedUnknown(t *testing.T) {
 	w := newWorker(t, served, lost, rejected)
 	g := newEntry(t, relay.RepeatAlways, 1, w)
@@ -200,7 +200,7 @@
 	require.Equal(t, http.StatusBadGateway, status)
 }
 
-// A target that answers with such a status, without saying that it did not run the request,
+// A target that answers with such a status, without the header that it did not run the request,
 // may have run it.
 func TestUnconfirmedStatusIsReportedUnknown(t *testing.T) {
 	for _, code := range []string{"408 Timeout", "429 Many", "503 Down"} {
--- a/internal/daemon/receipts.go
+++ b/internal/daemon/receipts.go
@@ -52,11 +52,11 @@
 	// is closed because it is silent.
 	conn   *drpcconn.Conn
 	silent *atomic.Bool
-	// redial says that the last connection was found silent and the next one replaces it.
+	// redial is set if the last connection was found silent and the next one replaces it.
 	redial bool
 }
 
-// nextReceipt returns the receipt to send with a message. A non-nil requested says whether the
+// nextReceipt returns the receipt to send with a message. A non-nil requested is whether the
 // message is a probe.
 func (r *receipts) nextReceipt(requested *core.Receipt, now time.Time) *core.Receipt {
 	r.mu.Lock()
@@ -165,7 +165,7 @@
 	if l.conn == nil {
 		return
 	}
-	open, patience := l.state.UnackedFor(now), l.state.ProbeTimeout()
+	unackedFor, timeout := l.state.UnackedFor(now), l.state.ProbeTimeout()
 	state, action := l.state.Check(now)
 	l.state = state
 	switch action {
@@ -178,7 +178,7 @@
 		l.silent.Store(true)
 		go l.conn.Close()
 		l.conn = nil
-		p.daemon.recordSilentConnection(silentPeer, l.currentAddress(), open, patience)
+		p.daemon.recordSilentConnection(silentPeer, l.currentAddress(), unackedFor, timeout)
 	}
 }
 
--- a/internal/daemon/silent.go
+++ b/internal/daemon/silent.go
@@ -58,7 +58,7 @@
 }
 
 // overdueAfter returns the time after which an answer is overdue, or 0 if answers usually
-// take longer than bound: then a late answer says nothing about its connection.
+// take longer than bound: then a late answer proves nothing about its connection.
 func (a *answerTimes) overdueAfter(service string, bound time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -112,8 +112,8 @@
 	}
 }
 
-// recordHealthyReport records a report that the engine has not stalled; reports of a slow engine reset
-// the count.
+// recordHealthyReport records a report that the engine has not stalled; reports of a slow engine
+// reset the count.
 func (w *watcher) recordHealthyReport(report EngineReport) {
 	if report.Pace > 1 {
 		w.healthyReports = 0
@@ -156,10 +156,10 @@
 	f.lastCause = "its connection fell silent"
 	f.leftSilentConn = true
 	address := path.First().Address
-	voided := f.g.exchanger.CloseIdleSince(address, watch.since())
+	closed := f.g.exchanger.CloseIdleSince(address, watch.since())
 	age := clock.Since(watch.since())
 	after, _ := watch.silentAfter()
 	f.g.daemon.recordSilentConnection(silentStream, address, age, after)
-	f.g.log.V(1).Info("stream leaves a silent connection", "request", f.call.ID, "address", address, "after", f.lastID, "silent_ms", age.Milliseconds(), "kept_left", voided)
+	f.g.log.V(1).Info("stream leaves a silent connection", "request", f.call.ID, "address", address, "after", f.lastID, "silent_ms", age.Milliseconds(), "kept_left", closed)
 	return resultBroken
 }
--- a/internal/daemon/stopping.go
+++ b/internal/daemon/stopping.go
@@ -11,17 +11,17 @@
 func (g *Gateway) Reloaded() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ending = g.ending.WithReload(clock.Now())
+	g.plannedStop = g.plannedStop.WithReload(clock.Now())
 }
 
 // refuseOutlasting refuses a stream whose answer would not end before the planned stop of this
 // VM; relay.PlannedStop decides.
 func (g *Gateway) refuseOutlasting(call *Call, route *relay.Route, now time.Time) *relay.Refusal {
-	if !g.policy.Has(relay.StopAdmission) || !g.ending.Planned() || !route.Stream || len(route.Shares) == 0 {
+	if !g.policy.Has(relay.StopAdmission) || !g.plannedStop.Planned() || !route.Stream || len(route.Shares) == 0 {
 		return nil
 	}
-	tokens := g.ending.EstimatedTokens(call.Hint, call.Answer, now)
-	if !g.ending.Outlasts(g.router.AnswerTime(route.Shares[0].Service, tokens), now) {
+	tokens := g.plannedStop.EstimatedTokens(call.LengthHint, call.Answer, now)
+	if !g.plannedStop.Outlasts(g.router.AnswerTime(route.Shares[0].Service, tokens), now) {
 		return nil
 	}
 	return &relay.Refusal{Kind: relay.RefusedNoRoom, RetryAt: now.Add(retryDelay), Reason: "this VM stops before the answer would end"}
--- a/internal/daemon/unusable.go
+++ b/internal/daemon/unusable.go
@@ -30,7 +30,8 @@
 	UnusableService UnusableReason = "service"
 )
 
-// UnusableError says why a message of another writer is not used, and what to send instead.
+// UnusableError gives the reason why a message of another writer is not used, and what to send
+// instead.
 type UnusableError struct {
 	// Subject is the message that can't be used, as in "heartbeat of i-1".
 	Subject string
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -32,22 +32,22 @@
 	connSilent bool
 }
 
-// minPatienceShare is the part of a route's pause bound before which no engine is checked: on
+// minPauseShare is the part of a route's pause bound before which no engine is checked: on
 // the fastest paths, a moment in which this VM is too busy to read lasts longer than twice the
 // mean pause and looks like a loss.
-const minPatienceShare = 0.4
+const minPauseShare = 0.4
 
 // maxWakeDelay is how late this process may wake up and still treat engines without an answer
 // as silent: a VM that got no processor time has read nothing.
 const maxWakeDelay = 15 * time.Millisecond
 
-// resetPatience sets how long to wait for the next event before waitOn is called.
-func (w *watcher) resetPatience() {
+// resetMaxPause sets how long to wait for the next event before waitOn is called.
+func (w *watcher) resetMaxPause() {
 	w.livenessChecked = false
 	w.healthyReports = 0
 	w.request.MaxPause = stallCheckInterval
 	if after, ok := w.f.g.overdueAfter(w.f.pace); ok && w.meetsPauseBound() {
-		soonest := time.Duration(minPatienceShare * float64(w.f.route.Pause))
+		soonest := time.Duration(minPauseShare * float64(w.f.route.Pause))
 		w.request.MaxPause = min(max(after, soonest), stallCheckInterval)
 	}
 }
@@ -171,7 +171,7 @@
 		return true
 	}
 	if err != nil && !errors.Is(err, ErrEngineSilent) {
-		// The engine is alive, but its report can't be used: that tells nothing of the request.
+		// The engine is alive, but its report can't be used: that proves nothing about the request.
 		w.f.g.log.Info("unusable engine report", "target", first.Target, "request", w.f.call.ID, "error", err.Error())
 		w.healthyReports = 0
 		return false
--- a/internal/silence/link.go
+++ b/internal/silence/link.go
@@ -63,11 +63,11 @@
 type Action int
 
 const (
-	// NoAction says that the link needs no action.
+	// NoAction means that the link needs no action.
 	NoAction Action = iota
-	// SendProbe says that a probe must be sent, which the other end answers at once.
+	// SendProbe means that a probe must be sent, which the other end answers at once.
 	SendProbe
-	// ConnSilent says that the connection is silent.
+	// ConnSilent means that the connection is silent.
 	ConnSilent
 )
 
@@ -88,7 +88,7 @@
 	lateChecks int
 	// silentConns counts the connections found silent since the last acknowledgement.
 	silentConns int
-	// acknowledges says that the other end has sent an acknowledgement at least once: one that
+	// acknowledges is set if the other end has sent an acknowledgement at least once: one that
 	// never does is not judged.
 	acknowledges bool
 }
@@ -140,7 +140,8 @@
 // connection. It acknowledges everything.
 func (l Link) AckedAll(now time.Time) Link { return l.Acked(l.sent, now) }
 
-// Acknowledging returns the link after the other end has sent a number of its own, so that it is judged.
+// Acknowledging returns the link after the other end has sent a number of its own, so that it is
+// judged.
 func (l Link) Acknowledging() Link {
 	l.acknowledges = true
 	return l
--- a/internal/target/admit_test.go
+++ b/internal/target/admit_test.go
@@ -12,7 +12,7 @@
 )
 
 // A request that Admit rejects on an open connection is not sent, and the connection is kept for
-// requests that are admit.
+// requests that are admitted.
 func TestRequestNotAdmittedIsNotSent(t *testing.T) {
 	s := newScriptedTarget(t, answerTo("1", "ok"))
 	x := target.NewExchanger(func() {})
--- a/internal/target/body.go
+++ b/internal/target/body.go
@@ -20,7 +20,7 @@
 var ErrNotReading = errors.New("target does not read the request")
 
 const (
-	// bodyPieceBytes is the size of one write of a body, after which its progress is checked, in bytes.
+	// bodyPieceBytes is the size of one write of a body, after which its progress is checked.
 	bodyPieceBytes = 64 << 10
 	// bodyStallTimeout is how long a target may accept no byte of a body. It is less than
 	// unackedTimeout, after which the kernel breaks the connection without giving the cause.
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -235,7 +235,7 @@
 		return ended
 	}
 	ended.Limit.PerSecond, ended.Limit.Limited, err = ParseRateLimit(response.Header.Values(HeaderRateLimit))
-	if err == nil || ended.Limit.Limited { // an unreadable header says nothing about a limit
+	if err == nil || ended.Limit.Limited { // an unreadable header proves nothing about a limit
 		ended.Limit.SentAt, ended.Limit.ReceivedAt = sentAt, clock.Now()
 	}
 	ended.BackoffUntil, _ = ParseBackoff(response.StatusCode, response.Header, clock.Now()) // an unreadable header requests no backoff
--- a/internal/target/exchange.go
+++ b/internal/target/exchange.go
@@ -21,7 +21,7 @@
 // This file sends whole requests to targets over HTTP/1.1 and reads the answers.
 //
 // It does not use net/http's client, which repeats a request by itself when a
-// reused connection breaks, and can't tell a surplus answer on a reused
+// reused connection breaks, and can't distinguish a surplus answer on a reused
 // connection from the expected one. Both would break the guarantee that some
 // requests run at most once. Here a request is written once, on a connection
 // with nothing left to read, and the caller decides about everything else.
@@ -103,7 +103,7 @@
 	KeepWaiting func() bool
 	// FirstByte bounds the wait for the first byte on a reused connection.
 	FirstByte FirstByteWait
-	// Redial says that the request replaces one on a silent connection.
+	// Redial is set if the request replaces one on a silent connection.
 	Redial bool
 	// Admit is called on an open connection, just before the first byte is sent. If it
 	// returns an error, the request is not sent; a nil Admit admits every request.
@@ -116,7 +116,7 @@
 	Header http.Header
 	// Length is that of the body, or -1 if it is not announced.
 	Length int64
-	// Framed says that a truncated body can be told from a whole one.
+	// Framed is set if a truncated body can be distinguished from a whole one.
 	Framed    bool
 	link      *link
 	body      io.ReadCloser
@@ -134,12 +134,12 @@
 	expiresAt time.Time
 	request   *Request
 	reused    bool
-	// answered says that bytes were received since the request was sent.
+	// answered is set if bytes were received since the request was sent.
 	answered bool
 	written  chan error
 	// sentAt is when the request was sent, lastUsedAt when the previous exchange was closed.
 	sentAt, lastUsedAt time.Time
-	// notReading says that the target does not read the request.
+	// notReading is set if the target does not read the request.
 	notReading atomic.Bool
 }
 
--- a/internal/target/rate_limit.go
+++ b/internal/target/rate_limit.go
@@ -15,7 +15,7 @@
 var ErrUnreadableLimit = errors.New("send requests a second, of 0 or above")
 
 // ParseRateLimit parses the requests a second that a target accepts, and reports whether it names a
-// limit. The lowest of several values counts; an error says that at least one can't be parsed.
+// limit. The lowest of several values counts; an error means that at least one can't be parsed.
 func ParseRateLimit(values []string) (perSecond float64, named bool, err error) {
 	for _, text := range values {
 		limit, unreadable := strconv.ParseFloat(strings.TrimSpace(text), 64)
--- a/internal/target/retry_after.go
+++ b/internal/target/retry_after.go
@@ -22,7 +22,7 @@
 const maxBackoff = 100 * 365 * 24 * time.Hour
 
 // ParseBackoff returns until when a target that rejected a request accepts no more, or zero if
-// it requests no backoff. The latest of several times counts; an error says that one can't be
+// it requests no backoff. The latest of several times counts; an error means that one can't be
 // parsed.
 func ParseBackoff(status int, h http.Header, now time.Time) (until time.Time, err error) {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
--- a/internal/target/silence.go
+++ b/internal/target/silence.go
@@ -82,7 +82,7 @@
 	address   string
 	detection silenceDetection
 	state     silence.Link
-	// armed says that a check is scheduled, silent that the link was closed as silent.
+	// armed is set if a check is scheduled, silent if the link was closed as silent.
 	armed, silent bool
 }
 
