--- a/internal/daemon/caller_conn.go
+++ b/internal/daemon/caller_conn.go
@@ -97,7 +97,7 @@
 	// behind is set if bytes are buffered, so that the writer must not write to the socket itself.
 	behind atomic.Bool
 
-	// The lock of o guards the fields below.
+	// id names the holding of the buffered bytes. The lock of o guards it and the fields below.
 	id           relay.HoldingID
 	pieces       [][]byte
 	offset       int
--- a/internal/daemon/crashes_test.go
+++ b/internal/daemon/crashes_test.go
@@ -215,8 +215,8 @@
 	require.Equal(t, fingerprint("/a"), survived.Request)
 }
 
-// The caller gets the status for a request that has run at once, and no target gets it; other requests
-// are served.
+// The caller gets the status for a request that has run at once, and no target gets the
+// request; other requests are served.
 func TestQuarantinedRequestIsNotSent(t *testing.T) {
 	w := newWorker(t, streamed)
 	g := newStreamEntry(t, w)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -229,7 +229,7 @@
 		DecodeDocument:     decode,
 		Policy:             s.Policy.Relay(),
 		Volatile:           d.isVolatile(),
-		DelegatesBootstrap: d.platform != nil && d.platform.Delegates,
+		DelegatesBootstrap: d.platform != nil && d.platform.DelegatesBootstrap,
 		Self:               self,
 		Cluster:            cluster,
 		Address:            core.EntryAddress{VM: self.VM, Hall: s.Hall, Callers: s.Listen.Callers, Peers: s.Listen.Peers},
--- a/internal/daemon/incarnations_test.go
+++ b/internal/daemon/incarnations_test.go
@@ -16,9 +16,9 @@
 // restarted and lost its requests.
 func TestAnswerOfAnotherIncarnationIsALostEngine(t *testing.T) {
 	engines := reportingEngines{
-		"well":    after(time.Millisecond, daemon.EngineReport{Pace: 1, Born: 100}, nil),
+		"well":    after(time.Millisecond, daemon.EngineReport{Pace: 1, StartMillis: 100}, nil),
 		"untold":  after(time.Millisecond, daemon.EngineReport{Pace: 1}, nil),
-		"another": after(time.Millisecond, daemon.EngineReport{Pace: 12, Born: 200}, nil),
+		"another": after(time.Millisecond, daemon.EngineReport{Pace: 12, StartMillis: 200}, nil),
 	}
 	path := relay.Path{}
 	for _, a := range []string{"well", "untold", "another"} {
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -22,7 +22,7 @@
 // second, as many as before: the limits were not read, and no VM knew what the others sent.
 // The cause showed in the rates, which changed at no VM when the limits were named; no try had
 // failed, so resends were not the cause. Here ten VMs without a leader learn the limit from
-// the target only; a test of package core covers how VMs share it.
+// the target only; core.TestRateLimitAppliesToAllVMs has VMs share it.
 func TestTargetRateLimitHolds(t *testing.T) {
 	const (
 		entryVMs = 10
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -23,8 +23,8 @@
 	Engines Engines
 	// Router holds the settings of this VM's router.
 	Router relay.Settings
-	// Delegates is set if this VM has to start the cluster and has no disk.
-	Delegates bool
+	// DelegatesBootstrap is set if this VM has to start the cluster and has no disk.
+	DelegatesBootstrap bool
 	// Accept is how long after the start of a planned stop callers are still accepted, and Grace
 	// how long after it requests in progress are cut off.
 	Accept time.Duration
@@ -93,8 +93,8 @@
 	Stalled map[string]string
 	// Pace is how many times longer than usual the engine's steps take at present; 0 if unknown.
 	Pace float64
-	// Born is the start of the reporting incarnation, in Unix milliseconds; 0 if unknown.
-	Born uint64
+	// StartMillis is the start of the reporting incarnation, in Unix milliseconds; 0 if unknown.
+	StartMillis uint64
 	// Notice is the engine's notice, also where the report can't be used.
 	Notice relay.Notice
 }
--- a/internal/daemon/probes.go
+++ b/internal/daemon/probes.go
@@ -105,7 +105,7 @@
 		select {
 		case <-q.done:
 			switch {
-			case errors.Is(q.err, ErrEngineSilent), q.err == nil && id.OtherIncarnation(q.report.Born):
+			case errors.Is(q.err, ErrEngineSilent), q.err == nil && id.OtherIncarnation(q.report.StartMillis):
 				r.silent = append(r.silent, id)
 			case q.err == nil && q.report.Pace > 0:
 				r.paces[id] = q.report.Pace
--- a/internal/daemon/silent.go
+++ b/internal/daemon/silent.go
@@ -15,15 +15,15 @@
 
 // This file abandons connections to targets that are silent while the target is healthy.
 //
-// A plain answer arrives at once and whole. If it is overdue on a kept connection, compared to
+// A plain answer arrives at once and whole. If it is overdue on a reused connection, compared to
 // earlier answers of its service, the request is sent again on a new connection. A stream is
-// judged by its own gaps between events, and its engine is asked on a new connection. If the
+// judged by its own gaps between events, and its engine is probed on a new connection. If the
 // engine answers, reports the request neither stalled nor slow, and no event arrives for
 // several gaps, the connection is at fault. Neither case counts against the target. Both use
 // the retry budget, since the request may have run.
 
 const (
-	// minAnswerOverdue is the shortest wait for a plain answer before its kept connection is
+	// minAnswerOverdue is the shortest wait for a plain answer before its reused connection is
 	// suspected: at least twice the shortest objective of callers, so that a target that is
 	// slow for a moment gets no second copy.
 	minAnswerOverdue = 400 * time.Millisecond
@@ -74,7 +74,7 @@
 }
 
 // exchange sends a request to its first target. It sends it again on a new connection if a
-// kept one was closed or silent and the request may be repeated.
+// reused one was closed or silent and the request may be repeated.
 func (f *forwarding) exchange(ctx context.Context, address string, request *target.Request) (*target.Answer, error) {
 	bound := f.g.answers.overdueAfter(f.service, f.g.silenceBound())
 	if !f.route.Stream && bound > 0 && len(f.call.Body) <= target.InlineBody {
@@ -82,7 +82,7 @@
 		request.FirstByte = target.FirstByteWait{Timeout: bound, Abandon: f.mayResend}
 	}
 	request.Redial = f.leftSilentConn
-	// After a try that broke off, avoid a kept connection, which may be silent too: a second copy
+	// After a try that broke off, use no idle connection, which may be silent too: a second copy
 	// is seldom allowed.
 	request.NewConn = request.NewConn || len(f.attempts.Ran) > 0
 	f.leftSilentConn = false
--- a/internal/daemon/silent_links_test.go
+++ b/internal/daemon/silent_links_test.go
@@ -14,15 +14,15 @@
 	"github.com/spoolbank/spoolbank/internal/fake"
 )
 
-// relayedDeployment is a deployment whose VMs connect to the control VMs through relays:
+// proxiedDeployment is a deployment whose VMs connect to the control VMs through proxies:
 // three control VMs and an entry VM, each a process.
-type relayedDeployment struct {
+type proxiedDeployment struct {
 	*deployment
-	relays []*fake.Proxy
+	proxies []*fake.Proxy
 }
 
-func deployRelayed(t *testing.T, silence string) *relayedDeployment {
-	d := &relayedDeployment{deployment: &deployment{t: t, dir: t.TempDir()}}
+func deployProxied(t *testing.T, silence string) *proxiedDeployment {
+	d := &proxiedDeployment{deployment: &deployment{t: t, dir: t.TempDir()}}
 	var control []string
 	for i := range 4 {
 		name := fmt.Sprintf("vm-%d", i+1)
@@ -34,11 +34,11 @@
 		if !p.control {
 			continue
 		}
-		relay, err := fake.NewProxy(freeAddress(t), p.peers)
+		proxy, err := fake.NewProxy(freeAddress(t), p.peers)
 		require.NoError(t, err)
-		t.Cleanup(relay.Close)
-		d.relays = append(d.relays, relay)
-		control = append(control, fmt.Sprintf("%q: %q", name, relay.Address()))
+		t.Cleanup(proxy.Close)
+		d.proxies = append(d.proxies, proxy)
+		control = append(control, fmt.Sprintf("%q: %q", name, proxy.Address()))
 	}
 	for _, p := range d.vms {
 		role := "entry"
@@ -64,10 +64,10 @@
 	return d
 }
 
-// connections returns the number of connections that the relays have passed on.
-func (d *relayedDeployment) connections() int {
+// connections returns the number of connections that the proxies have forwarded.
+func (d *proxiedDeployment) connections() int {
 	sum := 0
-	for _, r := range d.relays {
+	for _, r := range d.proxies {
 		sum += r.ConnectionCount()
 	}
 	return sum
@@ -76,10 +76,10 @@
 // Guards against links that stay silent forever: messages were sent into silent connections,
 // so there was no leader and no statement was decided until processes were restarted.
 func TestSilentLinksAreReplaced(t *testing.T) {
-	d := deployRelayed(t, "1200ms")
+	d := deployProxied(t, "1200ms")
 	for round := range 3 {
 		before := d.connections()
-		for _, r := range d.relays {
+		for _, r := range d.proxies {
 			r.Silence()
 		}
 		statement := fmt.Sprintf("declare service s%d class=0", round)
@@ -96,10 +96,10 @@
 	}
 }
 
-// A relay that only adds delay does not make links silent.
+// A proxy that only adds delay does not make links silent.
 func TestSlowLinksAreKept(t *testing.T) {
-	d := deployRelayed(t, "1200ms")
-	for _, r := range d.relays {
+	d := deployProxied(t, "1200ms")
+	for _, r := range d.proxies {
 		r.SetDelay(20 * time.Millisecond)
 	}
 	before := d.connections()
--- a/internal/daemon/upkeep.go
+++ b/internal/daemon/upkeep.go
@@ -20,8 +20,8 @@
 				g.log.Info("engine that was slow does not answer", "target", e.Target, "error", err.Error())
 				return nil
 			}
-			if e.Target.OtherIncarnation(report.Born) {
-				g.log.Info("engine that was slow has restarted", "target", e.Target, "born", report.Born)
+			if e.Target.OtherIncarnation(report.StartMillis) {
+				g.log.Info("engine that was slow has restarted", "target", e.Target, "born", report.StartMillis)
 				return nil
 			}
 			g.takePaces(map[relay.TargetID]float64{e.Target: report.Pace})
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -181,8 +181,8 @@
 		w.culprit = first.Target
 		return true
 	}
-	if first.Target.OtherIncarnation(report.Born) {
-		w.f.g.log.Info("engine has restarted", "target", first.Target, "address", first.Address, "request", w.f.call.ID, "born", report.Born)
+	if first.Target.OtherIncarnation(report.StartMillis) {
+		w.f.g.log.Info("engine has restarted", "target", first.Target, "address", first.Address, "request", w.f.call.ID, "born", report.StartMillis)
 		w.culprit = first.Target
 		return true
 	}
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -40,16 +40,16 @@
 	Boundary(ctx context.Context, to core.Stage, o target.BoundaryOrder) (target.BoundaryReply, error)
 }
 
-// httpHops connects engines in separate processes.
-type httpHops struct{ client *target.Client }
+// httpTransport connects engines in separate processes.
+type httpTransport struct{ client *target.Client }
 
 // Run implements Transport.
-func (h httpHops) Run(ctx context.Context, to core.Stage, o target.RunOrder) (target.RunReply, error) {
+func (h httpTransport) Run(ctx context.Context, to core.Stage, o target.RunOrder) (target.RunReply, error) {
 	return h.client.RunOrder(ctx, to.Address, o)
 }
 
 // Boundary implements Transport.
-func (h httpHops) Boundary(ctx context.Context, to core.Stage, o target.BoundaryOrder) (target.BoundaryReply, error) {
+func (h httpTransport) Boundary(ctx context.Context, to core.Stage, o target.BoundaryOrder) (target.BoundaryReply, error) {
 	return target.Post[target.BoundaryReply](ctx, h.client, to.Address, target.PathBoundary, o)
 }
 
@@ -105,7 +105,7 @@
 func NewEngine(options EngineOptions) *Engine {
 	options.Batch = max(options.Batch, 1)
 	if options.Transport == nil {
-		options.Transport = httpHops{client: target.NewClient()}
+		options.Transport = httpTransport{client: target.NewClient()}
 	}
 	return &Engine{
 		options: options,
--- a/internal/fake/service.go
+++ b/internal/fake/service.go
@@ -234,7 +234,7 @@
 	return r, nil
 }
 
-// Address returns where the relay listens.
+// Address returns where the proxy listens.
 func (r *Proxy) Address() string { return r.listener.Addr().String() }
 
 // SetDelay sets the delay before each chunk of data is forwarded.
@@ -271,7 +271,7 @@
 	return r.proxied
 }
 
-// Close stops the relay and closes all connections.
+// Close stops the proxy and closes all connections.
 func (r *Proxy) Close() {
 	r.listener.Close()
 	r.Sever(true)
--- a/internal/target/kept_test.go
+++ b/internal/target/kept_test.go
@@ -20,24 +20,24 @@
 // firstByteWait is short because the targets of these tests answer at once, except a slowed one.
 const firstByteWait = 50 * time.Millisecond
 
-// newRelayedTarget returns a relay in front of a target that answers every request, an Exchanger,
+// newProxiedTarget returns a proxy in front of a target that answers every request, an Exchanger,
 // and its number of dials.
-func newRelayedTarget(t *testing.T) (*fake.Proxy, *target.Exchanger, *atomic.Int64) {
+func newProxiedTarget(t *testing.T) (*fake.Proxy, *target.Exchanger, *atomic.Int64) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Keep-Alive", "timeout=600")
 		w.Header().Set("Id", "1")
 		_, _ = io.WriteString(w, "ok") // the caller may have closed the connection
 	}))
-	relay, err := fake.NewProxy("127.0.0.1:0", server.Listener.Addr().String())
+	proxy, err := fake.NewProxy("127.0.0.1:0", server.Listener.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		relay.Close()
+		proxy.Close()
 		require.NoError(t, server.Config.Close())
 		server.Close()
 	})
 	dialled := new(atomic.Int64)
-	return relay, target.NewExchanger(func() { dialled.Add(1) }), dialled
+	return proxy, target.NewExchanger(func() { dialled.Add(1) }), dialled
 }
 
 func requestReused(x *target.Exchanger, address string, wait target.FirstByteWait) error {
@@ -57,37 +57,37 @@
 
 // A request on a reused connection that had fallen silent waited until its caller's deadline.
 func TestSilentReusedConnectionIsAbandoned(t *testing.T) {
-	relay, x, dialled := newRelayedTarget(t)
+	proxy, x, dialled := newProxiedTarget(t)
 	wait := target.FirstByteWait{Timeout: firstByteWait, Abandon: always}
-	require.NoError(t, requestReused(x, relay.Address(), wait))
-	require.NoError(t, requestReused(x, relay.Address(), wait))
+	require.NoError(t, requestReused(x, proxy.Address(), wait))
+	require.NoError(t, requestReused(x, proxy.Address(), wait))
 	require.Equal(t, int64(1), dialled.Load())
-	relay.Silence()
-	err := requestReused(x, relay.Address(), wait)
+	proxy.Silence()
+	err := requestReused(x, proxy.Address(), wait)
 	require.ErrorIs(t, err, target.ErrReusedSilent)
 	require.ErrorIs(t, err, target.ErrStale)
-	require.NoError(t, requestReused(x, relay.Address(), wait))
+	require.NoError(t, requestReused(x, proxy.Address(), wait))
 	require.Equal(t, int64(2), dialled.Load())
 }
 
 // Where the request may not be repeated, its answer is awaited to the end.
 func TestSlowAnswerIsAwaitedIfRequestIsNotRepeatable(t *testing.T) {
-	relay, x, _ := newRelayedTarget(t)
-	require.NoError(t, requestReused(x, relay.Address(), target.FirstByteWait{}))
-	relay.SetDelay(2 * firstByteWait)
+	proxy, x, _ := newProxiedTarget(t)
+	require.NoError(t, requestReused(x, proxy.Address(), target.FirstByteWait{}))
+	proxy.SetDelay(2 * firstByteWait)
 	calls := 0
-	require.NoError(t, requestReused(x, relay.Address(), target.FirstByteWait{Timeout: firstByteWait, Abandon: func() bool { calls++; return false }}))
+	require.NoError(t, requestReused(x, proxy.Address(), target.FirstByteWait{Timeout: firstByteWait, Abandon: func() bool { calls++; return false }}))
 	require.Equal(t, 1, calls)
 }
 
 // One silent connection makes all those suspect that have been idle as long.
 func TestVoidClosesConnectionsIdleSince(t *testing.T) {
-	relay, x, _ := newRelayedTarget(t)
+	proxy, x, _ := newProxiedTarget(t)
 	const kept = 5
 	fill := func(n int) {
 		var open []*target.Answer
 		for range n {
-			answer, err := x.Do(context.Background(), relay.Address(), &target.Request{
+			answer, err := x.Do(context.Background(), proxy.Address(), &target.Request{
 				Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{}, NewConn: true,
 				Matches: func(http.Header) bool { return true },
 			})
@@ -103,9 +103,9 @@
 	fill(kept)
 	cutoff := time.Now()
 	fill(1)
-	require.Equal(t, kept, x.CloseIdleSince(relay.Address(), cutoff))
-	require.Equal(t, 1, x.CloseIdleSince(relay.Address(), time.Now()))
-	require.Zero(t, x.CloseIdleSince(relay.Address(), time.Now()))
+	require.Equal(t, kept, x.CloseIdleSince(proxy.Address(), cutoff))
+	require.Equal(t, 1, x.CloseIdleSince(proxy.Address(), time.Now()))
+	require.Zero(t, x.CloseIdleSince(proxy.Address(), time.Now()))
 }
 
 // When all connections fall silent together, only a few replacements are dialled at once.
--- a/internal/target/silence_test.go
+++ b/internal/target/silence_test.go
@@ -20,13 +20,13 @@
 // silenceBound is short because the engines of these tests answer at once, except a slow one.
 const silenceBound = 800 * time.Millisecond
 
-// newRelayFor starts a relay in front of a server; it is closed at the end of the test.
-func newRelayFor(t *testing.T, server *httptest.Server) *fake.Proxy {
+// newProxyFor starts a proxy in front of a server; it is closed at the end of the test.
+func newProxyFor(t *testing.T, server *httptest.Server) *fake.Proxy {
 	t.Helper()
-	relay, err := fake.NewProxy("127.0.0.1:0", server.Listener.Addr().String())
+	proxy, err := fake.NewProxy("127.0.0.1:0", server.Listener.Addr().String())
 	require.NoError(t, err)
-	t.Cleanup(relay.Close)
-	return relay
+	t.Cleanup(proxy.Close)
+	return proxy
 }
 
 // silentCounts counts the silent connections that a Client reports, by kind.
@@ -55,18 +55,18 @@
 	server := engine(t, func(_ context.Context, o target.RunOrder) target.RunReply {
 		return target.RunReply{Result: core.ResultDone, Next: o.Position + 1}
 	})
-	relay := newRelayFor(t, server)
+	proxy := newProxyFor(t, server)
 	var found silentCounts
 	client := target.NewClient().WithSilence(silenceBound, found.record)
 	run := func(position int) core.RunEnded {
 		now := time.Now()
 		return client.Run(t.Context(), core.Run{
-			Stream: "s", Position: position, Chain: []core.Stage{{Target: "e1", Address: relay.Address()}},
+			Stream: "s", Position: position, Chain: []core.Stage{{Target: "e1", Address: proxy.Address()}},
 			ReplyDeadline: now.Add(time.Minute), NotAfter: now.Add(time.Minute),
 		})
 	}
 	require.Equal(t, core.ResultDone, run(0).Result)
-	relay.Silence()
+	proxy.Silence()
 	const runs = 20
 	var all sync.WaitGroup
 	for i := range runs {
@@ -74,7 +74,7 @@
 	}
 	all.Wait()
 	require.Equal(t, 1, found.count("runs"))
-	require.Equal(t, 2, relay.ConnectionCount())
+	require.Equal(t, 2, proxy.ConnectionCount())
 }
 
 // An engine that takes long to run an order still answers probes on its link.
@@ -86,18 +86,18 @@
 		}
 		return target.RunReply{Result: core.ResultDone}
 	})
-	relay := newRelayFor(t, server)
+	proxy := newProxyFor(t, server)
 	var found silentCounts
 	client := target.NewClient().WithSilence(silenceBound, found.record)
 	order := target.RunOrder{Stream: "s"}
-	_, err := client.RunOrder(t.Context(), relay.Address(), order)
+	_, err := client.RunOrder(t.Context(), proxy.Address(), order)
 	require.NoError(t, err)
 	time.AfterFunc(3*silenceBound, func() { close(release) })
 	order.Position = 1
-	_, err = client.RunOrder(t.Context(), relay.Address(), order)
+	_, err = client.RunOrder(t.Context(), proxy.Address(), order)
 	require.NoError(t, err)
 	require.Zero(t, found.count("runs"))
-	require.Equal(t, 1, relay.ConnectionCount())
+	require.Equal(t, 1, proxy.ConnectionCount())
 }
 
 // A target whose reused connection had fallen silent was counted as unreachable.
@@ -111,12 +111,12 @@
 		require.NoError(t, server.Config.Close())
 		server.Close()
 	})
-	relay := newRelayFor(t, server)
+	proxy := newProxyFor(t, server)
 	var found silentCounts
 	client := target.NewClient().WithSilence(silenceBound, found.record)
-	watch := core.Watch{Target: "t", Address: relay.Address()}
+	watch := core.Watch{Target: "t", Address: proxy.Address()}
 	require.True(t, client.Watch(t.Context(), watch).Report.Reached)
-	relay.Silence()
+	proxy.Silence()
 	require.True(t, client.Watch(t.Context(), watch).Report.Reached)
 	require.Equal(t, 1, found.count("watch"))
 	require.True(t, client.Watch(t.Context(), watch).Report.Reached)
