--- a/internal/daemon/answer.go
+++ b/internal/daemon/answer.go
@@ -23,8 +23,8 @@
 	body   []byte
 }
 
-// noteServed records an answer that was sent completely.
-func (f *forwarding) noteServed(path relay.Path) {
+// recordServed records an answer that was sent completely.
+func (f *forwarding) recordServed(path relay.Path) {
 	f.g.ranWell(f.fingerprint)
 	f.g.meter.served(f.call.Arrived)
 	first := int64(-1)
@@ -35,8 +35,8 @@
 		"tries", f.count, "prompt", f.call.Prompt, "answer", f.call.Answer, "hint", f.call.LengthHint, "forecast_us", path.Forecast().Microseconds(), "path", path.String())
 }
 
-// notePauses reports to the router the mean pause of an answer that came from one path.
-func (f *forwarding) notePauses(path relay.Path) {
+// recordPauses reports to the router the mean pause of an answer that came from one path.
+func (f *forwarding) recordPauses(path relay.Path) {
 	if f.count > 1 || f.events < 2 {
 		return
 	}
--- a/internal/daemon/caller_conn.go
+++ b/internal/daemon/caller_conn.go
@@ -296,7 +296,7 @@
 		err := c.raw.Write(func(fd uintptr) bool {
 			n, fault = writeNow(fd, next)
 			if n == 0 && fault == nil {
-				c.noteBlocked()
+				c.recordBlocked()
 				return false
 			}
 			return true
@@ -305,8 +305,8 @@
 	}
 }
 
-// noteBlocked records that the kernel accepts no more bytes.
-func (c *callerConn) noteBlocked() {
+// recordBlocked records that the kernel accepts no more bytes.
+func (c *callerConn) recordBlocked() {
 	now := time.Now()
 	c.o.mu.Lock()
 	defer c.o.mu.Unlock()
--- a/internal/daemon/crashes.go
+++ b/internal/daemon/crashes.go
@@ -76,8 +76,8 @@
 	return !known && c.reported.Has(request, now)
 }
 
-// takeQuarantine replaces the set of requests in quarantine.
-func (g *Gateway) takeQuarantine(e core.QuarantineInForce) {
+// setQuarantine replaces the set of requests in quarantine.
+func (g *Gateway) setQuarantine(e core.QuarantineInForce) {
 	g.crashes.mu.Lock()
 	before := len(g.crashes.quarantine)
 	g.crashes.quarantine = e.Until
--- a/internal/daemon/endings.go
+++ b/internal/daemon/endings.go
@@ -84,9 +84,9 @@
 	undecided []targetEnd
 }
 
-// note adds a run that broke off with a target, and reports whether it is the first one, so
+// record adds a run that broke off with a target, and reports whether it is the first one, so
 // that the target has to be checked.
-func (e *endChecks) note(s relay.Stage, r run, now time.Time) (first bool) {
+func (e *endChecks) record(s relay.Stage, r run, now time.Time) (first bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	known, found := e.checking[s.Target]
@@ -146,7 +146,7 @@
 // brokeOff records a run that broke off with a target, and has the target checked. Certain
 // is set if the target is known to have ended.
 func (g *Gateway) brokeOff(s relay.Stage, r run, certain bool) {
-	if g.endChecks.note(s, r, clock.Now()) {
+	if g.endChecks.record(s, r, clock.Now()) {
 		go g.checkEnded(s, certain)
 	}
 }
--- a/internal/daemon/export_test.go
+++ b/internal/daemon/export_test.go
@@ -195,7 +195,7 @@
 
 // Quarantine sets the one request in quarantine at a gateway.
 func Quarantine(g *Gateway, request relay.Fingerprint, until time.Time) {
-	g.takeQuarantine(core.QuarantineInForce{Until: map[relay.Fingerprint]time.Time{request: until}})
+	g.setQuarantine(core.QuarantineInForce{Until: map[relay.Fingerprint]time.Time{request: until}})
 }
 
 // EndChecks are the checks of targets with which requests broke off.
@@ -206,7 +206,7 @@
 
 // Record adds a run, and reports whether its target is to be checked.
 func (e *EndChecks) Record(s relay.Stage, request relay.Fingerprint, started bool, now time.Time) bool {
-	return e.note(s, run{request: request, began: now, started: started}, now)
+	return e.record(s, run{request: request, began: now, started: started}, now)
 }
 
 // Take ends the check of a target, and returns the requests that had received nothing and how
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -207,8 +207,8 @@
 		path = f.lastPath
 		f.count++
 		if r == resultDone {
-			f.notePauses(path)
-			f.noteServed(path)
+			f.recordPauses(path)
+			f.recordServed(path)
 			return
 		}
 		if r == resultAborted && ctx.Err() == nil {
@@ -220,7 +220,7 @@
 			return
 		}
 		f.g.log.Info("try failed", "request", f.call.ID, "fingerprint", f.fingerprint, "try", f.count, "result", r.String(), "cause", f.lastCause, "path", path.String(), "begun", f.begun, "read", f.read)
-		f.noteAttempt(r, path)
+		f.recordAttempt(r, path)
 		if refusal := f.awaitRepeat(ctx); refusal != nil {
 			f.end(ctx, refusal)
 			return
@@ -311,7 +311,7 @@
 		return f.handleBroken(ctx, path, watch, err)
 	}
 	defer answer.Close()
-	notice := f.takeNotice(path, answer)
+	notice := f.handleNotice(path, answer)
 	verdict := f.g.platform.Codec.Verdict(answer.Status, answer.Header)
 	if verdict.NotRun {
 		return f.handleNotRun(path, verdict, notice, answer)
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -133,8 +133,8 @@
 	return wait(ctx, results, core.Entries{})
 }
 
-// TakeSeeds replaces the control VMs that the settings name.
-func (g *Gateway) TakeSeeds(vms []core.VMName) { g.daemon.post(core.SeedsRead{VMs: vms}) }
+// SetSeeds replaces the control VMs that the settings name.
+func (g *Gateway) SetSeeds(vms []core.VMName) { g.daemon.post(core.SeedsRead{VMs: vms}) }
 
 // Ready reports whether this VM serves callers.
 func (g *Gateway) Ready() bool {
@@ -243,8 +243,8 @@
 	return g.router.OverdueAfter(p)
 }
 
-// takePaces records the paces that engines report.
-func (g *Gateway) takePaces(paces map[relay.TargetID]float64) {
+// setPaces records the paces that engines report.
+func (g *Gateway) setPaces(paces map[relay.TargetID]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for id, pace := range paces {
--- a/internal/daemon/learning.go
+++ b/internal/daemon/learning.go
@@ -22,7 +22,7 @@
 	case core.PermitsGranted:
 		g.applyGrant(e)
 	case core.QuarantineInForce:
-		g.takeQuarantine(e)
+		g.setQuarantine(e)
 	case core.BackoffsEnded:
 		g.endBackoffs(e.Targets)
 	case core.OrderLayers:
--- a/internal/daemon/notices.go
+++ b/internal/daemon/notices.go
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// takeNotice applies the notice that came with the first target's answer to the present try.
-func (f *forwarding) takeNotice(path relay.Path, answer *target.Answer) relay.Notice {
+// handleNotice applies the notice that came with the first target's answer to the present try.
+func (f *forwarding) handleNotice(path relay.Path, answer *target.Answer) relay.Notice {
 	now := clock.Now()
 	first := path.First()
 	notice, err := f.g.platform.Codec.Notice(first.Target, answer.Status, answer.Header, now)
--- a/internal/daemon/outcome.go
+++ b/internal/daemon/outcome.go
@@ -50,9 +50,9 @@
 	}
 	f.g.failed(culprit, true)
 	f.avoid = append(f.avoid, culprit)
-	f.noteBrokenOff(path, watch, err)
+	f.recordBrokenOff(path, watch, err)
 	if errors.Is(err, target.ErrNotSent) && !f.resent {
-		f.noteUnreached(path.First().Target)
+		f.recordUnreached(path.First().Target)
 		return resultNotSent
 	}
 	return resultBroken
@@ -69,9 +69,9 @@
 	return resultNotSent
 }
 
-// noteBrokenOff records that a target closed the connection in the middle of the request. A
+// recordBrokenOff records that a target closed the connection in the middle of the request. A
 // target that fell silent may be partitioned: no request that it had is to blame.
-func (f *forwarding) noteBrokenOff(path relay.Path, watch *watcher, err error) {
+func (f *forwarding) recordBrokenOff(path relay.Path, watch *watcher, err error) {
 	notSent := errors.Is(err, target.ErrNotSent)
 	if notSent && !f.resent || errors.Is(err, target.ErrSilent) {
 		return
@@ -82,9 +82,9 @@
 	f.g.brokeOff(path.First(), f.sending(), certain)
 }
 
-// noteStageLost records that a later stage of the path kept the first one from running the
+// recordStageLost records that a later stage of the path kept the first one from running the
 // request. A stage that is only full refuses at once.
-func (f *forwarding) noteStageLost(stage relay.Stage) {
+func (f *forwarding) recordStageLost(stage relay.Stage) {
 	if stage.Target != f.lastPath.First().Target && clock.Since(f.sentAt) >= stallCheckInterval {
 		f.g.brokeOff(stage, f.sending(), false)
 	}
@@ -95,8 +95,8 @@
 	return run{request: f.fingerprint, began: f.sentAt, started: f.read}
 }
 
-// noteUnreached records a failed dial to a target.
-func (f *forwarding) noteUnreached(id relay.TargetID) {
+// recordUnreached records a failed dial to a target.
+func (f *forwarding) recordUnreached(id relay.TargetID) {
 	if f.failedDials == nil {
 		f.failedDials = make(map[relay.TargetID]int)
 	}
@@ -116,7 +116,7 @@
 	if culprit.Target != path.First().Target || notice.BackoffUntil.IsZero() {
 		f.g.refusedBy(culprit.Target)
 	}
-	f.noteStageLost(culprit)
+	f.recordStageLost(culprit)
 	f.full = append(f.full, culprit.Target)
 	return resultNotRun
 }
--- a/internal/daemon/repeating.go
+++ b/internal/daemon/repeating.go
@@ -11,8 +11,8 @@
 // This file reports whether a request goes to another target after a try; relay/repeat.go
 // decides.
 
-// noteAttempt records the outcome of a try.
-func (f *forwarding) noteAttempt(r result, path relay.Path) {
+// recordAttempt records the outcome of a try.
+func (f *forwarding) recordAttempt(r result, path relay.Path) {
 	if r != resultNotSent {
 		delete(f.failedDials, path.First().Target)
 	}
--- a/internal/daemon/upkeep.go
+++ b/internal/daemon/upkeep.go
@@ -24,7 +24,7 @@
 				g.log.Info("engine that was slow has restarted", "target", e.Target, "born", report.StartMillis)
 				return nil
 			}
-			g.takePaces(map[relay.TargetID]float64{e.Target: report.Pace})
+			g.setPaces(map[relay.TargetID]float64{e.Target: report.Pace})
 			return nil
 		})
 	}
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -70,7 +70,7 @@
 	r := w.f.g.probes.checkLiveness(w.ctx, path)
 	w.f.g.meter.livenessChecked(len(path.Stages), len(r.silent))
 	w.f.g.log.Info("engines of an overdue answer are asked", "request", w.f.call.ID, "silent_ms", clock.Since(w.since()).Milliseconds(), "mean_ms", w.f.pace.Mean().Milliseconds(), "engines", len(path.Stages), "lost", r.silent, "slow", r.slow(), "certain", r.certain)
-	w.f.g.takePaces(r.paces)
+	w.f.g.setPaces(r.paces)
 	if !r.certain || len(r.silent) == 0 {
 		return w.replaceSlow()
 	}
