--- a/cmd/spoolbank/cmd/client.go
+++ b/cmd/spoolbank/cmd/client.go
@@ -22,7 +22,7 @@
 // and repeats the request if an answer is lost. A command carries a number, so
 // that it takes effect once.
 func (r *root) operate(ctx context.Context, request wire.OperateRequest) (core.Result, error) {
-	keys, err := r.loadKeys()
+	credentials, err := r.loadCredentials()
 	if err != nil {
 		return core.Result{}, err
 	}
@@ -35,7 +35,7 @@
 	var lastErr error
 	for attempt := 0; ; attempt++ {
 		address := addresses[attempt%len(addresses)]
-		reply, err := r.send(ctx, keys, address, request)
+		reply, err := r.send(ctx, credentials, address, request)
 		switch {
 		case err != nil:
 			lastErr = err
@@ -73,11 +73,11 @@
 	return hinted
 }
 
-func (r *root) send(ctx context.Context, keys wire.Credentials, address string, request wire.OperateRequest) (wire.OperateReply, error) {
+func (r *root) send(ctx context.Context, credentials wire.Credentials, address string, request wire.OperateRequest) (wire.OperateReply, error) {
 	wait := time.Duration(request.WaitMillis) * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout+wait)
 	defer cancel()
-	conn, err := keys.Dial(ctx, address)
+	conn, err := credentials.Dial(ctx, address)
 	if err != nil {
 		return wire.OperateReply{}, err
 	}
--- a/cmd/spoolbank/cmd/policy.go
+++ b/cmd/spoolbank/cmd/policy.go
@@ -62,7 +62,7 @@
 
 // fetchDump fetches the state of a process as JSON.
 func (r *root) fetchDump(ctx context.Context, vm string) ([]byte, error) {
-	keys, err := r.loadKeys()
+	credentials, err := r.loadCredentials()
 	if err != nil {
 		return nil, err
 	}
@@ -72,7 +72,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
-	conn, err := keys.Dial(ctx, address)
+	conn, err := credentials.Dial(ctx, address)
 	if err != nil {
 		return nil, &exitError{exitFailed, err}
 	}
--- a/cmd/spoolbank/cmd/root.go
+++ b/cmd/spoolbank/cmd/root.go
@@ -100,7 +100,7 @@
 	return exitUsage
 }
 
-func (r *root) loadKeys() (wire.Credentials, error) {
+func (r *root) loadCredentials() (wire.Credentials, error) {
 	if r.plainText {
 		return wire.Credentials{}, nil
 	}
--- a/cmd/spoolbank/cmd/run.go
+++ b/cmd/spoolbank/cmd/run.go
@@ -80,14 +80,14 @@
 	if err != nil {
 		return err
 	}
-	keys, err := r.loadKeys()
+	credentials, err := r.loadCredentials()
 	if err != nil {
 		return err
 	}
 	merged := core.Result{Kind: core.ResultTable, Revision: vms.Revision}
 	for _, row := range vms.Table.Rows {
 		address := row[len(row)-1]
-		reply, err := r.send(ctx, keys, address, c.request(text))
+		reply, err := r.send(ctx, credentials, address, c.request(text))
 		if err != nil {
 			fmt.Fprintf(r.stderr, "spoolbank: %s did not answer: %v\n", row[0], err)
 			continue
--- a/internal/daemon/answer.go
+++ b/internal/daemon/answer.go
@@ -35,7 +35,7 @@
 		"tries", f.count, "prompt", f.call.Prompt, "answer", f.call.Answer, "hint", f.call.LengthHint, "forecast_us", path.Forecast().Microseconds(), "path", path.String())
 }
 
-// recordPauses reports to the router the mean pause of an answer that came from one path.
+// recordPauses reports to the router the mean pause of a whole answer that came from one path.
 func (f *forwarding) recordPauses(path relay.Path) {
 	if f.count > 1 || f.events < 2 {
 		return
--- a/internal/daemon/caller_conn.go
+++ b/internal/daemon/caller_conn.go
@@ -17,8 +17,8 @@
 // This file is the connection of a caller, which buffers what the caller has not read yet;
 // outbox.go bounds the memory and decides whose connection is ended.
 
-// callers returns a listener whose connections buffer what their callers have not read.
-func (o *outbox) callers(server *http.Server, l net.Listener) net.Listener {
+// callerListener returns a listener whose connections buffer what their callers have not read.
+func (o *outbox) callerListener(server *http.Server, l net.Listener) net.Listener {
 	server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, conn)
 	}
@@ -27,14 +27,14 @@
 		return l
 	}
 	if o.limit > 0 {
-		o.boundKernel(tcp)
+		o.limitSendBuffers(tcp)
 	}
 	return callerListener{TCPListener: tcp, o: o}
 }
 
-// boundKernel bounds the kernel's send buffer for each answer. Accepted connections inherit
+// limitSendBuffers limits the kernel's send buffer for each answer. Accepted connections inherit
 // the option from their listener.
-func (o *outbox) boundKernel(l *net.TCPListener) {
+func (o *outbox) limitSendBuffers(l *net.TCPListener) {
 	raw, err := l.SyscallConn()
 	if err == nil {
 		err = raw.Control(func(fd uintptr) {
@@ -160,8 +160,8 @@
 			return n, nil
 		}
 	}
-	kept, err := c.hold(p[n:])
-	return n + kept, err
+	buffered, err := c.hold(p[n:])
+	return n + buffered, err
 }
 
 // ReadFrom hides the method of the TCP connection, which writes to the socket itself.
@@ -179,12 +179,12 @@
 	c.markBehind()
 	c.writing = true
 	defer c.finishWrite()
-	kept, waited := 0, false
+	buffered, waited := 0, false
 	began := time.Now()
 	until := began.Add(c.roomTimeout())
-	for kept < len(p) {
-		n := c.buffer(p[kept:])
-		kept += n
+	for buffered < len(p) {
+		n := c.buffer(p[buffered:])
+		buffered += n
 		switch {
 		case n > 0:
 			c.startDrain()
@@ -197,14 +197,14 @@
 			waited = true
 		}
 		if c.failed != nil {
-			return kept, c.failed
+			return buffered, c.failed
 		}
 	}
 	if waited {
 		c.stalled += time.Since(began)
 		c.o.wakeNext() // there may be room left for the next writer
 	}
-	return kept, nil
+	return buffered, nil
 }
 
 // givesUp reports whether a writer without room stops waiting: at the time limit of its target
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -151,7 +151,7 @@
 		ReadTimeout:       30 * time.Second,
 		IdleTimeout:       2 * time.Minute,
 	}
-	return d.serveHTTP(server, d.outbox.callers(server, d.callerListener))
+	return d.serveHTTP(server, d.outbox.callerListener(server, d.callerListener))
 }
 
 func (c *callers) routes() http.Handler {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -42,13 +42,13 @@
 
 // Daemon is one running process.
 type Daemon struct {
-	settings settings.Settings
-	log      logr.Logger
-	keys     wire.Credentials
-	tomb     tomb.Tomb
-	node     *core.Node
-	self     core.ReplicaID
-	events   chan core.Event
+	settings    settings.Settings
+	log         logr.Logger
+	credentials wire.Credentials
+	tomb        tomb.Tomb
+	node        *core.Node
+	self        core.ReplicaID
+	events      chan core.Event
 	// inspect carries functions that the loop runs on the Node between events.
 	inspect chan func(*core.Node)
 	disk    chan core.Effect
@@ -115,7 +115,7 @@
 	d.client = d.client.WithSilence(time.Duration(s.Timing.Silence), d.recordSilentConnection)
 	setMemoryLimit(s.Limits.MemoryMB)
 	d.context, d.cancel = context.WithCancel(context.Background())
-	if err := d.loadKeys(); err != nil {
+	if err := d.loadCredentials(); err != nil {
 		return nil, err
 	}
 	recovered, err := d.openState()
@@ -146,13 +146,13 @@
 	return d, nil
 }
 
-func (d *Daemon) loadKeys() error {
+func (d *Daemon) loadCredentials() error {
 	t := d.settings.TLS
 	if t.PlainText {
 		return nil
 	}
-	keys, err := wire.LoadCredentials(t.Certificate, t.Key, t.Authority)
-	d.keys = keys
+	credentials, err := wire.LoadCredentials(t.Certificate, t.Key, t.Authority)
+	d.credentials = credentials
 	return err
 }
 
--- a/internal/daemon/export_test.go
+++ b/internal/daemon/export_test.go
@@ -123,7 +123,7 @@
 
 // CallerListener returns a listener whose connections buffer data that their callers have not read.
 func (g *Gateway) CallerListener(server *http.Server, l net.Listener) net.Listener {
-	return g.daemon.outbox.callers(server, l)
+	return g.daemon.outbox.callerListener(server, l)
 }
 
 // Upkeep maintains the buffered data, as of a time.
@@ -158,7 +158,7 @@
 
 // CallerListener returns a listener whose connections buffer unread data.
 func CallerListener(limits settings.Limits, l net.Listener) net.Listener {
-	return newOutbox(limits, logr.Discard()).callers(&http.Server{}, l)
+	return newOutbox(limits, logr.Discard()).callerListener(&http.Server{}, l)
 }
 
 // Metrics returns the present values of the gauges and counters of buffered data.
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -201,7 +201,7 @@
 
 func (g *Gateway) serveCallersOn(server *http.Server, l net.Listener) {
 	g.callerServer = server
-	callers := g.daemon.outbox.callers(server, l)
+	callers := g.daemon.outbox.callerListener(server, l)
 	g.daemon.tomb.Go(func() error { return g.daemon.serveHTTP(server, g.acceptHealth.wrap(callers, g.meter)) })
 }
 
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -225,7 +225,7 @@
 		Log:     func(err error) { d.log.V(1).Info("peer connection", "error", err.Error()) },
 	}
 	server := drpcserver.NewWithOptions(mux, options)
-	return server.Serve(d.tomb.Context(d.context), d.keys.Listener(d.peerListener))
+	return server.Serve(d.tomb.Context(d.context), d.credentials.Listener(d.peerListener))
 }
 
 // peerServer implements wire.Server for a daemon.
--- a/internal/daemon/probes.go
+++ b/internal/daemon/probes.go
@@ -39,12 +39,12 @@
 	livenessTimeout = 20 * time.Millisecond
 )
 
-// start returns a probe of an engine that is no older than kept.
-func (p *probes) start(engine relay.Stage, kept time.Duration) *probe {
+// start returns a probe of an engine that is no older than ttl.
+func (p *probes) start(engine relay.Stage, ttl time.Duration) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q, ok := p.known[engine.Address]
-	if !ok || clock.Since(q.at) > kept {
+	if !ok || clock.Since(q.at) > ttl {
 		q = &probe{at: clock.Now(), done: make(chan struct{})}
 		p.known[engine.Address] = q
 		go p.run(q, engine)
--- a/internal/daemon/receipts.go
+++ b/internal/daemon/receipts.go
@@ -95,7 +95,7 @@
 	l.redial = false
 	l.receipts.mu.Unlock()
 	if !redial {
-		return d.keys.Dial(d.context, l.currentAddress())
+		return d.credentials.Dial(d.context, l.currentAddress())
 	}
 	select {
 	case <-time.After(rand.N(redialJitter)):
@@ -112,7 +112,7 @@
 	late := time.AfterFunc(redialSlotTimeout, free)
 	defer late.Stop()
 	defer free()
-	return d.keys.Dial(d.context, l.currentAddress())
+	return d.credentials.Dial(d.context, l.currentAddress())
 }
 
 // attachConn starts to check a new connection of a link, until detachConn. The returned flag is
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -14,8 +14,8 @@
 	"github.com/spoolbank/spoolbank/settings"
 )
 
-// makeKeys creates an authority and certificates, as an operator does.
-func makeKeys(t *testing.T, names ...string) string {
+// makeCredentials creates an authority and certificates, as an operator does.
+func makeCredentials(t *testing.T, names ...string) string {
 	dir := t.TempDir()
 	require.Zero(t, spoolbank.Main([]string{"key", "authority", dir}, nil, io.Discard, io.Discard))
 	for _, name := range names {
@@ -24,23 +24,23 @@
 	return dir
 }
 
-func loadKeys(t *testing.T, dir, name string) wire.Credentials {
-	keys, err := wire.LoadCredentials(filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem"), filepath.Join(dir, "authority.pem"))
+func loadCredentials(t *testing.T, dir, name string) wire.Credentials {
+	credentials, err := wire.LoadCredentials(filepath.Join(dir, name+".pem"), filepath.Join(dir, name+"-key.pem"), filepath.Join(dir, "authority.pem"))
 	require.NoError(t, err)
-	return keys
+	return credentials
 }
 
 func TestPeerSendsOnlyAsItself(t *testing.T) {
-	dir := makeKeys(t, "vm-1", "vm-2")
+	dir := makeCredentials(t, "vm-1", "vm-2")
 	s := singleVMSettings(t, filepath.Join(t.TempDir(), "data"))
 	s.TLS = settings.TLS{Certificate: filepath.Join(dir, "vm-1.pem"), Key: filepath.Join(dir, "vm-1-key.pem"), Authority: filepath.Join(dir, "authority.pem")}
 	require.NoError(t, daemon.Bootstrap(s.Data, "vm-1"))
 	defer run(t, s)()
 
-	_, err := loadKeys(t, makeKeys(t, "vm-2"), "vm-2").Dial(t.Context(), s.Listen.Peers)
+	_, err := loadCredentials(t, makeCredentials(t, "vm-2"), "vm-2").Dial(t.Context(), s.Listen.Peers)
 	require.Error(t, err, "certificate of another authority")
 
-	conn, err := loadKeys(t, dir, "vm-2").Dial(t.Context(), s.Listen.Peers)
+	conn, err := loadCredentials(t, dir, "vm-2").Dial(t.Context(), s.Listen.Peers)
 	require.NoError(t, err)
 	defer conn.Close()
 	stream, err := conn.NewStream(t.Context(), wire.RPCLink, wire.Encoding{})
