--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -12,8 +12,8 @@
 // them: the daemon samples with each event, some tens a second, and with each request that it
 // accepts.
 //
-// Go's timers and sockets stop during a suspension, too. Until, ToRuntime and WithDeadline convert a
-// time of this package for them, and code that wakes up from such a wait must check the time again.
+// Go's timers and sockets stop during a suspension, too. Until, ToRuntime and WithDeadline convert
+// a time of this package for them, and code that wakes up from such a wait must check the time again.
 // Times of this package may only be compared with each other; their wall clock part is ahead by
 // the suspensions.
 //
--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -34,7 +34,7 @@
 //
 // A crash can leave the last record torn. It was never acknowledged and is
 // truncated. A damaged record that others follow was acknowledged: the log is
-// refused, since without that record the replica could break its promises.
+// refused, since without that record the replica could violate its guarantees.
 
 // ErrDamaged is wrapped by errors about folders that must not be used.
 var ErrDamaged = errors.New("damaged data folder")
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -122,8 +122,8 @@
 	return resultNotSent
 }
 
-// recordNotRead handles a target that is alive but does not read the request. It counts as full, not
-// as lost; whether it runs the part that it has read is unknown.
+// recordNotRead handles a target that is alive but does not read the request. It counts as full,
+// not as lost; whether it runs the part that it has read is unknown.
 func (f *forwarding) recordNotRead(path relay.Path) result {
 	f.markFull(path)
 	return resultBroken
--- a/internal/target/body.go
+++ b/internal/target/body.go
@@ -100,8 +100,8 @@
 	return errno
 }
 
-// LimitReceiveBuffers limits the kernel's receive buffer of connections that are opened from then on,
-// and so the memory for answers that are not read.
+// LimitReceiveBuffers limits the kernel's receive buffer of connections that are opened from then
+// on, and so the memory for answers that are not read.
 func (x *Exchanger) LimitReceiveBuffers() {
 	first := x.dialer.Control
 	x.dialer.Control = func(network, address string, raw syscall.RawConn) error {
