--- a/internal/daemon/promises_test.go
+++ b/internal/daemon/promises_test.go
@@ -200,7 +200,7 @@
 	require.Equal(t, http.StatusBadGateway, status)
 }
 
-// A target that answers with such a status, without the header that it did not run the request,
+// A target that answers with such a status, without the header for a request that has not run,
 // may have run it.
 func TestUnconfirmedStatusIsReportedUnknown(t *testing.T) {
 	for _, code := range []string{"408 Timeout", "429 Many", "503 Down"} {
