--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -7,13 +7,13 @@
 // and deadline that other processes rely on uses the times of this package: the monotonic time
 // plus the time that the VM was suspended since the process started.
 //
-// Code that is about to act under a lease, fence or deadline calls Sampled, which reads the
+// Code that is about to act under a lease, fence or deadline calls SampleNow, which reads the
 // kernel's clocks. Now adds the suspensions that were sampled last, and makes no system call for
 // them: the daemon samples with each event, some tens a second, and with each request that it
 // accepts.
 //
-// Go's timers and sockets stop during a suspension, too. Until, ToRuntime and WithDeadline convert a
-// time of this package for them, and code that wakes up from such a wait must check the time again.
+// Go's timers and sockets stop during a suspension, too. Until, ToRuntime and WithDeadline convert
+// a time of this package for them, and code that wakes up from such a wait must check the time again.
 // Times of this package may only be compared with each other; their wall clock part is ahead by
 // the suspensions.
 //
--- a/internal/daemon/caller_conn.go
+++ b/internal/daemon/caller_conn.go
@@ -17,8 +17,8 @@
 // This file is the connection of a caller, which buffers what the caller has not read yet;
 // outbox.go bounds the memory and decides whose connection is ended.
 
-// callers returns a listener whose connections buffer what their callers have not read.
-func (o *outbox) callers(server *http.Server, l net.Listener) net.Listener {
+// callerListener returns a listener whose connections buffer what their callers have not read.
+func (o *outbox) callerListener(server *http.Server, l net.Listener) net.Listener {
 	server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, conn)
 	}
@@ -27,14 +27,14 @@
 		return l
 	}
 	if o.limit > 0 {
-		o.boundKernel(tcp)
+		o.limitSendBuffers(tcp)
 	}
 	return callerListener{TCPListener: tcp, o: o}
 }
 
-// boundKernel bounds the kernel's send buffer for each answer. Accepted connections inherit
+// limitSendBuffers limits the kernel's send buffer for each answer. Accepted connections inherit
 // the option from their listener.
-func (o *outbox) boundKernel(l *net.TCPListener) {
+func (o *outbox) limitSendBuffers(l *net.TCPListener) {
 	raw, err := l.SyscallConn()
 	if err == nil {
 		err = raw.Control(func(fd uintptr) {
@@ -84,7 +84,7 @@
 	o   *outbox
 	// requestID is the id of the request in progress.
 	requestID atomic.Pointer[string]
-	// targetWaits says that a target's answer waits for the caller, and stalled is how long the
+	// targetWaits is set if a target's answer waits for the caller, and stalled is how long the
 	// writer has waited since takeStall. Both belong to the writer.
 	targetWaits bool
 	stalled     time.Duration
@@ -94,10 +94,10 @@
 	writeBuf  []byte
 	written   int
 	writeErr  error
-	// behind says that bytes are buffered, so that the writer must not write to the socket itself.
+	// behind is set if bytes are buffered, so that the writer must not write to the socket itself.
 	behind atomic.Bool
 
-	// The lock of o guards the fields below.
+	// id names the holding of the buffered bytes. The lock of o guards it and the fields below.
 	id           relay.HoldingID
 	pieces       [][]byte
 	offset       int
@@ -160,8 +160,8 @@
 			return n, nil
 		}
 	}
-	kept, err := c.hold(p[n:])
-	return n + kept, err
+	buffered, err := c.hold(p[n:])
+	return n + buffered, err
 }
 
 // ReadFrom hides the method of the TCP connection, which writes to the socket itself.
@@ -179,12 +179,12 @@
 	c.markBehind()
 	c.writing = true
 	defer c.finishWrite()
-	kept, waited := 0, false
+	buffered, waited := 0, false
 	began := time.Now()
-	until := began.Add(c.patience())
-	for kept < len(p) {
-		n := c.buffer(p[kept:])
-		kept += n
+	until := began.Add(c.roomTimeout())
+	for buffered < len(p) {
+		n := c.buffer(p[buffered:])
+		buffered += n
 		switch {
 		case n > 0:
 			c.startDrain()
@@ -197,14 +197,14 @@
 			waited = true
 		}
 		if c.failed != nil {
-			return kept, c.failed
+			return buffered, c.failed
 		}
 	}
 	if waited {
 		c.stalled += time.Since(began)
 		c.o.wakeNext() // there may be room left for the next writer
 	}
-	return kept, nil
+	return buffered, nil
 }
 
 // givesUp reports whether a writer without room stops waiting: at the time limit of its target
@@ -213,8 +213,8 @@
 	return !now.Before(until) || c.targetWaits && !c.o.holdings.Full(c.id) && !c.blockedSince.IsZero() && now.Sub(c.blockedSince) >= readGrace
 }
 
-// patience returns how long the writer waits for room.
-func (c *callerConn) patience() time.Duration {
+// roomTimeout returns how long the writer waits for room.
+func (c *callerConn) roomTimeout() time.Duration {
 	if c.targetWaits {
 		return engineStallLimit
 	}
@@ -296,7 +296,7 @@
 		err := c.raw.Write(func(fd uintptr) bool {
 			n, fault = writeNow(fd, next)
 			if n == 0 && fault == nil {
-				c.noteBlocked()
+				c.recordBlocked()
 				return false
 			}
 			return true
@@ -305,8 +305,8 @@
 	}
 }
 
-// noteBlocked records that the kernel accepts no more bytes.
-func (c *callerConn) noteBlocked() {
+// recordBlocked records that the kernel accepts no more bytes.
+func (c *callerConn) recordBlocked() {
 	now := time.Now()
 	c.o.mu.Lock()
 	defer c.o.mu.Unlock()
--- a/internal/daemon/crashes.go
+++ b/internal/daemon/crashes.go
@@ -10,7 +10,7 @@
 )
 
 // This file is the gateway's part in quarantining requests that crash their targets;
-// relay/suspects.go describes the problem, core/quarantine.go how all VMs learn of it.
+// relay/suspects.go describes the problem, core/quarantine.go how all VMs receive it.
 
 const (
 	// survivedTTL is how long a request that a target has run well is not suspected of crashing
@@ -76,8 +76,8 @@
 	return !known && c.reported.Has(request, now)
 }
 
-// takeQuarantine replaces the set of requests in quarantine.
-func (g *Gateway) takeQuarantine(e core.QuarantineInForce) {
+// setQuarantine replaces the set of requests in quarantine.
+func (g *Gateway) setQuarantine(e core.QuarantineInForce) {
 	g.crashes.mu.Lock()
 	before := len(g.crashes.quarantine)
 	g.crashes.quarantine = e.Until
@@ -105,7 +105,7 @@
 	}
 }
 
-// quarantineRefusal returns the refusal of a request in quarantine: it says that the request
+// quarantineRefusal returns the refusal of a request in quarantine: it states that the request
 // has run, and gives no time to come back. An answer that has begun is not cut off.
 func (g *Gateway) quarantineRefusal(f *forwarding, now time.Time) *relay.Refusal {
 	if f.begun || !g.crashes.quarantined(f.fingerprint, now) {
--- a/internal/daemon/export_test.go
+++ b/internal/daemon/export_test.go
@@ -110,7 +110,7 @@
 	g.router.SetOthersWork(nil, true)
 	g.leaseUntil = time.Now().Add(time.Hour)
 	g.leaseHeld = true
-	g.signalInformed()
+	g.signalRoutable()
 	return g, nil
 }
 
@@ -123,7 +123,7 @@
 
 // CallerListener returns a listener whose connections buffer data that their callers have not read.
 func (g *Gateway) CallerListener(server *http.Server, l net.Listener) net.Listener {
-	return g.daemon.outbox.callers(server, l)
+	return g.daemon.outbox.callerListener(server, l)
 }
 
 // Upkeep maintains the buffered data, as of a time.
@@ -158,7 +158,7 @@
 
 // CallerListener returns a listener whose connections buffer unread data.
 func CallerListener(limits settings.Limits, l net.Listener) net.Listener {
-	return newOutbox(limits, logr.Discard()).callers(&http.Server{}, l)
+	return newOutbox(limits, logr.Discard()).callerListener(&http.Server{}, l)
 }
 
 // Metrics returns the present values of the gauges and counters of buffered data.
@@ -195,23 +195,23 @@
 
 // Quarantine sets the one request in quarantine at a gateway.
 func Quarantine(g *Gateway, request relay.Fingerprint, until time.Time) {
-	g.takeQuarantine(core.QuarantineInForce{Until: map[relay.Fingerprint]time.Time{request: until}})
+	g.setQuarantine(core.QuarantineInForce{Until: map[relay.Fingerprint]time.Time{request: until}})
 }
 
-// Endings are the checks of targets with which requests broke off.
-type Endings struct{ endChecks }
+// EndChecks are the checks of targets with which requests broke off.
+type EndChecks struct{ endChecks }
 
-// NewEndings returns Endings without any.
-func NewEndings() *Endings { return &Endings{} }
+// NewEndChecks returns Endings without any.
+func NewEndChecks() *EndChecks { return &EndChecks{} }
 
 // Record adds a run, and reports whether its target is to be checked.
-func (e *Endings) Record(s relay.Stage, request relay.Fingerprint, started bool, now time.Time) bool {
-	return e.note(s, run{request: request, began: now, started: started}, now)
+func (e *EndChecks) Record(s relay.Stage, request relay.Fingerprint, started bool, now time.Time) bool {
+	return e.record(s, run{request: request, began: now, started: started}, now)
 }
 
 // Take ends the check of a target, and returns the requests that had received nothing and how
 // many others there were.
-func (e *Endings) Take(id relay.TargetID) (starting []relay.Fingerprint, midway int) {
+func (e *EndChecks) Take(id relay.TargetID) (starting []relay.Fingerprint, midway int) {
 	known := e.take(id)
 	return known.fingerprints(), known.midway
 }
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -15,7 +15,7 @@
 // This file reads bodies within the available memory, and distinguishes slow callers from
 // slow targets.
 
-// errNoMemory says that there was no memory for an answer.
+// errNoMemory is returned if there was no memory for an answer.
 var errNoMemory = errors.New("this VM has no memory left for the answer")
 
 const (
@@ -122,8 +122,8 @@
 	return resultNotSent
 }
 
-// recordNotRead handles a target that is alive but does not read the request. It counts as full, not
-// as lost; whether it runs the part that it has read is unknown.
+// recordNotRead handles a target that is alive but does not read the request. It counts as full,
+// not as lost; whether it runs the part that it has read is unknown.
 func (f *forwarding) recordNotRead(path relay.Path) result {
 	f.markFull(path)
 	return resultBroken
--- a/internal/daemon/outcome.go
+++ b/internal/daemon/outcome.go
@@ -15,7 +15,7 @@
 // This file determines the outcome of a try that brought no whole answer, and which target is
 // at fault.
 
-// handleUnconfirmed handles an answer whose status would tell the caller that its request has
+// handleUnconfirmed handles an answer whose status would mean to the caller that its request has
 // not run, from a target that does not confirm it.
 func (f *forwarding) handleUnconfirmed(path relay.Path, answer *target.Answer) result {
 	drain(answer)
@@ -50,9 +50,9 @@
 	}
 	f.g.failed(culprit, true)
 	f.avoid = append(f.avoid, culprit)
-	f.noteBrokenOff(path, watch, err)
+	f.recordBrokenOff(path, watch, err)
 	if errors.Is(err, target.ErrNotSent) && !f.resent {
-		f.noteUnreached(path.First().Target)
+		f.recordUnreached(path.First().Target)
 		return resultNotSent
 	}
 	return resultBroken
@@ -69,9 +69,9 @@
 	return resultNotSent
 }
 
-// noteBrokenOff records that a target closed the connection in the middle of the request. A
+// recordBrokenOff records that a target closed the connection in the middle of the request. A
 // target that fell silent may be partitioned: no request that it had is to blame.
-func (f *forwarding) noteBrokenOff(path relay.Path, watch *watcher, err error) {
+func (f *forwarding) recordBrokenOff(path relay.Path, watch *watcher, err error) {
 	notSent := errors.Is(err, target.ErrNotSent)
 	if notSent && !f.resent || errors.Is(err, target.ErrSilent) {
 		return
@@ -82,9 +82,9 @@
 	f.g.brokeOff(path.First(), f.sending(), certain)
 }
 
-// noteStageLost records that a later stage of the path kept the first one from running the
+// recordStageLost records that a later stage of the path kept the first one from running the
 // request. A stage that is only full refuses at once.
-func (f *forwarding) noteStageLost(stage relay.Stage) {
+func (f *forwarding) recordStageLost(stage relay.Stage) {
 	if stage.Target != f.lastPath.First().Target && clock.Since(f.sentAt) >= stallCheckInterval {
 		f.g.brokeOff(stage, f.sending(), false)
 	}
@@ -95,15 +95,15 @@
 	return run{request: f.fingerprint, began: f.sentAt, started: f.read}
 }
 
-// noteUnreached records a failed dial to a target.
-func (f *forwarding) noteUnreached(id relay.TargetID) {
+// recordUnreached records a failed dial to a target.
+func (f *forwarding) recordUnreached(id relay.TargetID) {
 	if f.failedDials == nil {
 		f.failedDials = make(map[relay.TargetID]int)
 	}
 	f.failedDials[id]++
 }
 
-// handleNotRun handles an answer that says that the request has not run. A requested backoff
+// handleNotRun handles an answer that declares that the request has not run. A requested backoff
 // is applied instead of the pause for a full target: a target that backs off is not marked
 // dead however often it refuses.
 func (f *forwarding) handleNotRun(path relay.Path, v Verdict, notice relay.Notice, answer *target.Answer) result {
@@ -116,7 +116,7 @@
 	if culprit.Target != path.First().Target || notice.BackoffUntil.IsZero() {
 		f.g.refusedBy(culprit.Target)
 	}
-	f.noteStageLost(culprit)
+	f.recordStageLost(culprit)
 	f.full = append(f.full, culprit.Target)
 	return resultNotRun
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -47,7 +47,7 @@
 	queue   chan *core.Envelope
 	mu      sync.Mutex
 	address string
-	// serving says that a goroutine sends the messages in the queue.
+	// serving is set while a goroutine sends the messages in the queue.
 	serving bool
 	receipts
 }
@@ -225,7 +225,7 @@
 		Log:     func(err error) { d.log.V(1).Info("peer connection", "error", err.Error()) },
 	}
 	server := drpcserver.NewWithOptions(mux, options)
-	return server.Serve(d.tomb.Context(d.context), d.keys.Listener(d.peerListener))
+	return server.Serve(d.tomb.Context(d.context), d.credentials.Listener(d.peerListener))
 }
 
 // peerServer implements wire.Server for a daemon.
--- a/internal/daemon/probes.go
+++ b/internal/daemon/probes.go
@@ -39,12 +39,12 @@
 	livenessTimeout = 20 * time.Millisecond
 )
 
-// start returns a probe of an engine that is no older than kept.
-func (p *probes) start(engine relay.Stage, kept time.Duration) *probe {
+// start returns a probe of an engine that is no older than ttl.
+func (p *probes) start(engine relay.Stage, ttl time.Duration) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	q, ok := p.known[engine.Address]
-	if !ok || clock.Since(q.at) > kept {
+	if !ok || clock.Since(q.at) > ttl {
 		q = &probe{at: clock.Now(), done: make(chan struct{})}
 		p.known[engine.Address] = q
 		go p.run(q, engine)
@@ -76,7 +76,7 @@
 	silent []relay.TargetID
 	// paces are the engines that reported how slow they are.
 	paces map[relay.TargetID]float64
-	// certain says that engines without an answer are lost: others did answer, and this process
+	// certain is set if engines without an answer are lost: others did answer, and this process
 	// was running meanwhile.
 	certain bool
 }
@@ -105,7 +105,7 @@
 		select {
 		case <-q.done:
 			switch {
-			case errors.Is(q.err, ErrEngineSilent), q.err == nil && id.OtherIncarnation(q.report.Born):
+			case errors.Is(q.err, ErrEngineSilent), q.err == nil && id.OtherIncarnation(q.report.StartMillis):
 				r.silent = append(r.silent, id)
 			case q.err == nil && q.report.Pace > 0:
 				r.paces[id] = q.report.Pace
--- a/internal/daemon/receipts.go
+++ b/internal/daemon/receipts.go
@@ -52,11 +52,11 @@
 	// is closed because it is silent.
 	conn   *drpcconn.Conn
 	silent *atomic.Bool
-	// redial says that the last connection was found silent and the next one replaces it.
+	// redial is set if the last connection was found silent and the next one replaces it.
 	redial bool
 }
 
-// nextReceipt returns the receipt to send with a message. A non-nil requested says whether the
+// nextReceipt returns the receipt to send with a message. A non-nil requested is whether the
 // message is a probe.
 func (r *receipts) nextReceipt(requested *core.Receipt, now time.Time) *core.Receipt {
 	r.mu.Lock()
@@ -95,7 +95,7 @@
 	l.redial = false
 	l.receipts.mu.Unlock()
 	if !redial {
-		return d.keys.Dial(d.context, l.currentAddress())
+		return d.credentials.Dial(d.context, l.currentAddress())
 	}
 	select {
 	case <-time.After(rand.N(redialJitter)):
@@ -112,7 +112,7 @@
 	late := time.AfterFunc(redialSlotTimeout, free)
 	defer late.Stop()
 	defer free()
-	return d.keys.Dial(d.context, l.currentAddress())
+	return d.credentials.Dial(d.context, l.currentAddress())
 }
 
 // attachConn starts to check a new connection of a link, until detachConn. The returned flag is
@@ -165,7 +165,7 @@
 	if l.conn == nil {
 		return
 	}
-	open, patience := l.state.UnackedFor(now), l.state.ProbeTimeout()
+	unackedFor, timeout := l.state.UnackedFor(now), l.state.ProbeTimeout()
 	state, action := l.state.Check(now)
 	l.state = state
 	switch action {
@@ -178,7 +178,7 @@
 		l.silent.Store(true)
 		go l.conn.Close()
 		l.conn = nil
-		p.daemon.recordSilentConnection(silentPeer, l.currentAddress(), open, patience)
+		p.daemon.recordSilentConnection(silentPeer, l.currentAddress(), unackedFor, timeout)
 	}
 }
 
--- a/internal/daemon/silent.go
+++ b/internal/daemon/silent.go
@@ -15,15 +15,15 @@
 
 // This file abandons connections to targets that are silent while the target is healthy.
 //
-// A plain answer arrives at once and whole. If it is overdue on a kept connection, compared to
+// A plain answer arrives at once and whole. If it is overdue on a reused connection, compared to
 // earlier answers of its service, the request is sent again on a new connection. A stream is
-// judged by its own gaps between events, and its engine is asked on a new connection. If the
+// judged by its own gaps between events, and its engine is probed on a new connection. If the
 // engine answers, reports the request neither stalled nor slow, and no event arrives for
 // several gaps, the connection is at fault. Neither case counts against the target. Both use
 // the retry budget, since the request may have run.
 
 const (
-	// minAnswerOverdue is the shortest wait for a plain answer before its kept connection is
+	// minAnswerOverdue is the shortest wait for a plain answer before its reused connection is
 	// suspected: at least twice the shortest objective of callers, so that a target that is
 	// slow for a moment gets no second copy.
 	minAnswerOverdue = 400 * time.Millisecond
@@ -58,7 +58,7 @@
 }
 
 // overdueAfter returns the time after which an answer is overdue, or 0 if answers usually
-// take longer than bound: then a late answer says nothing about its connection.
+// take longer than bound: then a late answer proves nothing about its connection.
 func (a *answerTimes) overdueAfter(service string, bound time.Duration) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -74,7 +74,7 @@
 }
 
 // exchange sends a request to its first target. It sends it again on a new connection if a
-// kept one was closed or silent and the request may be repeated.
+// reused one was closed or silent and the request may be repeated.
 func (f *forwarding) exchange(ctx context.Context, address string, request *target.Request) (*target.Answer, error) {
 	bound := f.g.answers.overdueAfter(f.service, f.g.silenceBound())
 	if !f.route.Stream && bound > 0 && len(f.call.Body) <= target.InlineBody {
@@ -82,7 +82,7 @@
 		request.FirstByte = target.FirstByteWait{Timeout: bound, Abandon: f.mayResend}
 	}
 	request.Redial = f.leftSilentConn
-	// After a try that broke off, avoid a kept connection, which may be silent too: a second copy
+	// After a try that broke off, use no idle connection, which may be silent too: a second copy
 	// is seldom allowed.
 	request.NewConn = request.NewConn || len(f.attempts.Ran) > 0
 	f.leftSilentConn = false
@@ -112,8 +112,8 @@
 	}
 }
 
-// recordHealthyReport records a report that the engine has not stalled; reports of a slow engine reset
-// the count.
+// recordHealthyReport records a report that the engine has not stalled; reports of a slow engine
+// reset the count.
 func (w *watcher) recordHealthyReport(report EngineReport) {
 	if report.Pace > 1 {
 		w.healthyReports = 0
@@ -156,10 +156,10 @@
 	f.lastCause = "its connection fell silent"
 	f.leftSilentConn = true
 	address := path.First().Address
-	voided := f.g.exchanger.CloseIdleSince(address, watch.since())
+	closed := f.g.exchanger.CloseIdleSince(address, watch.since())
 	age := clock.Since(watch.since())
 	after, _ := watch.silentAfter()
 	f.g.daemon.recordSilentConnection(silentStream, address, age, after)
-	f.g.log.V(1).Info("stream leaves a silent connection", "request", f.call.ID, "address", address, "after", f.lastID, "silent_ms", age.Milliseconds(), "kept_left", voided)
+	f.g.log.V(1).Info("stream leaves a silent connection", "request", f.call.ID, "address", address, "after", f.lastID, "silent_ms", age.Milliseconds(), "kept_left", closed)
 	return resultBroken
 }
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -22,32 +22,32 @@
 	lastReadAt time.Time
 	// culprit is the target for which the try was abandoned.
 	culprit relay.TargetID
-	// request is what the try sent; its Patience ends when the next event is overdue.
+	// request is what the try sent; its MaxPause ends when the next event is overdue.
 	request *target.Request
-	// livenessChecked says that the engines have been checked in the present pause.
+	// livenessChecked is set if the engines have been checked in the present pause.
 	livenessChecked bool
 	// healthyReports counts the reports in the present pause that show the engine working.
 	healthyReports int
-	// connSilent says that the try was abandoned because its connection was silent.
+	// connSilent is set if the try was abandoned because its connection was silent.
 	connSilent bool
 }
 
-// minPatienceShare is the part of a route's pause bound before which no engine is checked: on
+// minPauseShare is the part of a route's pause bound before which no engine is checked: on
 // the fastest paths, a moment in which this VM is too busy to read lasts longer than twice the
 // mean pause and looks like a loss.
-const minPatienceShare = 0.4
+const minPauseShare = 0.4
 
 // maxWakeDelay is how late this process may wake up and still treat engines without an answer
 // as silent: a VM that got no processor time has read nothing.
 const maxWakeDelay = 15 * time.Millisecond
 
-// resetPatience sets how long to wait for the next event before waitOn is called.
-func (w *watcher) resetPatience() {
+// resetMaxPause sets how long to wait for the next event before waitOn is called.
+func (w *watcher) resetMaxPause() {
 	w.livenessChecked = false
 	w.healthyReports = 0
 	w.request.MaxPause = stallCheckInterval
 	if after, ok := w.f.g.overdueAfter(w.f.pace); ok && w.meetsPauseBound() {
-		soonest := time.Duration(minPatienceShare * float64(w.f.route.Pause))
+		soonest := time.Duration(minPauseShare * float64(w.f.route.Pause))
 		w.request.MaxPause = min(max(after, soonest), stallCheckInterval)
 	}
 }
@@ -70,7 +70,7 @@
 	r := w.f.g.probes.checkLiveness(w.ctx, path)
 	w.f.g.meter.livenessChecked(len(path.Stages), len(r.silent))
 	w.f.g.log.Info("engines of an overdue answer are asked", "request", w.f.call.ID, "silent_ms", clock.Since(w.since()).Milliseconds(), "mean_ms", w.f.pace.Mean().Milliseconds(), "engines", len(path.Stages), "lost", r.silent, "slow", r.slow(), "certain", r.certain)
-	w.f.g.takePaces(r.paces)
+	w.f.g.setPaces(r.paces)
 	if !r.certain || len(r.silent) == 0 {
 		return w.replaceSlow()
 	}
@@ -171,7 +171,7 @@
 		return true
 	}
 	if err != nil && !errors.Is(err, ErrEngineSilent) {
-		// The engine is alive, but its report can't be used: that tells nothing of the request.
+		// The engine is alive, but its report can't be used: that proves nothing about the request.
 		w.f.g.log.Info("unusable engine report", "target", first.Target, "request", w.f.call.ID, "error", err.Error())
 		w.healthyReports = 0
 		return false
@@ -181,8 +181,8 @@
 		w.culprit = first.Target
 		return true
 	}
-	if first.Target.OtherIncarnation(report.Born) {
-		w.f.g.log.Info("engine has restarted", "target", first.Target, "address", first.Address, "request", w.f.call.ID, "born", report.Born)
+	if first.Target.OtherIncarnation(report.StartMillis) {
+		w.f.g.log.Info("engine has restarted", "target", first.Target, "address", first.Address, "request", w.f.call.ID, "born", report.StartMillis)
 		w.culprit = first.Target
 		return true
 	}
