--- a/internal/core/call.go
+++ b/internal/core/call.go
@@ -221,7 +221,7 @@
 // asked to back off since it was picked, or has set a limit since and this VM has no permit.
 func (n *Node) dispatchCall(c *call) {
 	runner := c.stages[0].Target
-	if n.backedOff(runner) || !c.permitted && !n.entry.limits.Take(runnerID(runner), n.now) {
+	if n.backedOff(runner) || !c.permitted && !n.entry.limits.Acquire(runnerID(runner), n.now) {
 		n.retryCall(c, runner)
 		return
 	}
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -163,7 +163,7 @@
 		n.registry.targets.ReceiveHeartbeat(b.ID, b.Call, n.now)
 	}
 	n.acknowledgeUpdate(from, update)
-	ended, again := n.registry.targets.TakeTransitions()
+	ended, again := n.registry.targets.PopTransitions()
 	n.endIncarnations(ended, from)
 	learned = slices.DeleteFunc(append(learned, again...), func(t relay.Target) bool { return !n.registry.targets.IsCurrent(t.ID) })
 	n.noteLeaving(learned)
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -66,7 +66,7 @@
 
 func (f *limitedFleet) ask(vm core.VMName) {
 	f.limits[vm].NoteDemand(limiting, f.now)
-	if !f.limits[vm].Take(limiting, f.now) {
+	if !f.limits[vm].Acquire(limiting, f.now) {
 		return
 	}
 	f.arrivals = append(f.arrivals, f.now)
--- a/internal/core/own_limits.go
+++ b/internal/core/own_limits.go
@@ -42,7 +42,7 @@
 // has a limit and a permit was taken.
 func (n *Node) routePermit(stages []Stage) bool {
 	id := runnerID(stages[0].Target)
-	return n.entry.limits.PerSecond(id, n.now) > 0 && n.entry.limits.Take(id, n.now)
+	return n.entry.limits.PerSecond(id, n.now) > 0 && n.entry.limits.Acquire(id, n.now)
 }
 
 // wantPermits records that work waits for the runners of a pool, and requests permits if any
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -218,7 +218,7 @@
 	for _, t := range hints {
 		n.registry.targets.ReceiveForwarded(t, n.now)
 	}
-	n.registry.targets.TakeTransitions() // nothing has run yet
+	n.registry.targets.PopTransitions() // nothing has run yet
 	n.registry.saved = n.registry.targets.Change()
 }
 
@@ -260,7 +260,7 @@
 
 // silentTargets returns, sorted, the targets that no VM has recently received a heartbeat of.
 func (n *Node) silentTargets() []relay.TargetID {
-	return n.registry.targets.Silent(n.now, n.settings.Timing.replacedTargetTimeout())
+	return n.registry.targets.SilentTargets(n.now, n.settings.Timing.replacedTargetTimeout())
 }
 
 // targetReported handles a report that a target sent to this VM.
@@ -279,7 +279,7 @@
 // acceptReport records and distributes a report that a target sent to this VM.
 func (n *Node) acceptReport(t relay.Target) {
 	changed := n.registry.targets.ReceiveReport(t, n.now)
-	ended, again := n.registry.targets.TakeTransitions()
+	ended, again := n.registry.targets.PopTransitions()
 	n.endIncarnations(ended, n.settings.Self.VM)
 	if !changed && len(again) == 0 {
 		return
@@ -294,7 +294,7 @@
 // the effect of a heartbeat that reports the same.
 func (n *Node) drainingReported(ids []relay.TargetID, reportedBy VMName) {
 	for _, id := range ids {
-		if !n.registry.targets.Drain(id) {
+		if !n.registry.targets.RecordDraining(id) {
 			continue
 		}
 		n.note("target leaves, as it said with an answer to "+string(reportedBy), string(id))
--- a/internal/core/unnamed.go
+++ b/internal/core/unnamed.go
@@ -72,7 +72,7 @@
 		silence := n.settings.Timing.targetTimeout()
 		u.forgetAt = n.now.Add(silence)
 		u.targets.Expire(n.now.Add(-silence))
-		u.targets.TakeTransitions() // no requests run on targets that are held back
+		u.targets.PopTransitions() // no requests run on targets that are held back
 	}
 	present := n.machine.Config.Document
 	if present.Version == u.decoded.version || n.now.Before(u.readAt) {
--- a/internal/daemon/export_test.go
+++ b/internal/daemon/export_test.go
@@ -118,7 +118,7 @@
 func (g *Gateway) Suspects(id relay.TargetID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.router.Suspect(id, time.Now())
+	return g.router.IsSuspect(id, time.Now())
 }
 
 // CallerListener returns a listener whose connections buffer data that their callers have not read.
--- a/internal/daemon/forward.go
+++ b/internal/daemon/forward.go
@@ -256,13 +256,13 @@
 	f.g.router.Release(f.lastPath, f.read)
 	if f.permit {
 		f.permit = false
-		f.g.router.UsePermit(path.First().Target, false, clock.Now())
+		f.g.router.EndReservation(path.First().Target, false, clock.Now())
 	}
 }
 
 func (g *Gateway) failed(id relay.TargetID, certain bool) {
 	g.mu.Lock()
-	g.router.Failed(id, certain, clock.Now())
+	g.router.RecordFailure(id, certain, clock.Now())
 	g.mu.Unlock()
 	g.meter.targetFailed()
 }
@@ -270,13 +270,13 @@
 func (g *Gateway) refusedBy(id relay.TargetID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.router.Refused(id, clock.Now())
+	g.router.RecordRefusal(id, clock.Now())
 }
 
 func (g *Gateway) succeeded(id relay.TargetID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.router.Succeeded(id, clock.Now())
+	g.router.RecordSuccess(id, clock.Now())
 }
 
 // try sends the request along a path once.
--- a/internal/daemon/notices.go
+++ b/internal/daemon/notices.go
@@ -42,9 +42,9 @@
 	permitted := false
 	if f.permit {
 		f.permit = false
-		permitted = g.router.UsePermit(id, true, now)
+		permitted = g.router.EndReservation(id, true, now)
 	} else {
-		permitted = g.router.TakePermit(id, now)
+		permitted = g.router.AcquirePermit(id, now)
 	}
 	if !permitted {
 		return fmt.Errorf("%w: target %s takes %g requests a second, and this VM has no permit left", ErrHeldBack, id, g.router.Limit(id, now))
--- a/internal/daemon/repeating.go
+++ b/internal/daemon/repeating.go
@@ -87,5 +87,5 @@
 func (f *forwarding) mayResend() bool {
 	f.g.mu.Lock()
 	defer f.g.mu.Unlock()
-	return f.route.Repeat != relay.RepeatNever && f.g.router.TakeRepeat(f.service, f.begun, clock.Now())
+	return f.route.Repeat != relay.RepeatNever && f.g.router.AllowRepeat(f.service, f.begun, clock.Now())
 }
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -154,7 +154,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range p.Stages {
-		if g.router.Suspect(s.Target, now) {
+		if g.router.IsSuspect(s.Target, now) {
 			return s.Target, true
 		}
 	}
--- a/internal/relay/backoffs_load_test.go
+++ b/internal/relay/backoffs_load_test.go
@@ -238,7 +238,7 @@
 	r := w.vms[c.vm]
 	id := c.path.First().Target
 	r.Release(c.path, false)
-	r.Succeeded(id, w.now)
+	r.RecordSuccess(id, w.now)
 	if w.now.Sub(c.began) <= backoffLatencyTarget {
 		w.inTime++
 		return
--- a/internal/relay/backoffs_test.go
+++ b/internal/relay/backoffs_test.go
@@ -38,13 +38,13 @@
 	until := start.Add(10 * time.Second)
 	within := start.Add(9 * time.Second)
 	for name, happens := range map[string]func(r *relay.Router){
-		"an older request succeeds": func(r *relay.Router) { r.Succeeded(id, within) },
+		"an older request succeeds": func(r *relay.Router) { r.RecordSuccess(id, within) },
 		"a heartbeat": func(r *relay.Router) {
 			r.UpdateTargets([]relay.Target{{ID: id, Service: "web", Address: "i-1:80", Hall: "a", Slots: 6, Call: 9}})
 		},
 		"a shorter backoff":                  func(r *relay.Router) { r.Backoff(id, start.Add(time.Second), start.Add(500*time.Millisecond)) },
-		"a refusal that asks for no backoff": func(r *relay.Router) { r.Refused(id, start) },
-		"a failure":                          func(r *relay.Router) { r.Failed(id, true, start) },
+		"a refusal that asks for no backoff": func(r *relay.Router) { r.RecordRefusal(id, start) },
+		"a failure":                          func(r *relay.Router) { r.RecordFailure(id, true, start) },
 		"marks without a problem":            func(r *relay.Router) { r.ApplyMarks(nil, true) },
 		"ended backoffs are removed":         func(r *relay.Router) { r.ForgetBackoffs(within) },
 		"a new configuration": func(r *relay.Router) {
--- a/internal/relay/candidates.go
+++ b/internal/relay/candidates.go
@@ -129,7 +129,7 @@
 	scarce := r.shortOfTargets(s.Name, now)
 	for _, suspects := range []bool{false, true} {
 		var best *target
-		least := 0.0
+		leastBusy := 0.0
 		for _, t := range r.usable(s.Name, a, now, suspects) {
 			if !r.permitAvailable(t, a, now) || t.ownWork.Requests >= r.connLimit(s) || !r.hasCapacity(t, scarce) {
 				continue
@@ -141,8 +141,8 @@
 			if t.Hall != r.settings.Hall {
 				busy += otherHallLoad
 			}
-			if best == nil || busy < least {
-				best, least = t, busy
+			if best == nil || busy < leastBusy {
+				best, leastBusy = t, busy
 			}
 		}
 		if best != nil {
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -26,9 +26,9 @@
 	maxFullPause     = 800 * time.Millisecond
 )
 
-// Refused records that a target did not accept a request: it is full, or its layers have changed.
+// RecordRefusal records that a target did not accept a request: it is full, or its layers have changed.
 // Its other requests go on, so that it is not suspect.
-func (r *Router) Refused(id TargetID, now time.Time) {
+func (r *Router) RecordRefusal(id TargetID, now time.Time) {
 	if t, ok := r.targets[id]; ok {
 		t.refusalsInRow++
 		if r.settings.Policy.Has(FullPause) {
@@ -40,9 +40,9 @@
 	}
 }
 
-// Failed records that a request failed at a target. Certain failures, such as a refused
+// RecordFailure records that a request failed at a target. Certain failures, such as a refused
 // connection, make it suspect at once.
-func (r *Router) Failed(id TargetID, certain bool, now time.Time) {
+func (r *Router) RecordFailure(id TargetID, certain bool, now time.Time) {
 	t, ok := r.targets[id]
 	if !ok {
 		return
@@ -59,8 +59,8 @@
 	}
 }
 
-// Succeeded records that a request succeeded at a target.
-func (r *Router) Succeeded(id TargetID, now time.Time) {
+// RecordSuccess records that a request succeeded at a target.
+func (r *Router) RecordSuccess(id TargetID, now time.Time) {
 	if t, ok := r.targets[id]; ok {
 		t.failedAt = time.Time{}
 		t.succeededAt = now
@@ -72,9 +72,9 @@
 	}
 }
 
-// Suspect reports whether a target is avoided at present. A superseded one always is, and what runs
+// IsSuspect reports whether a target is avoided at present. A superseded one always is, and what runs
 // there is lost.
-func (r *Router) Suspect(id TargetID, now time.Time) bool {
+func (r *Router) IsSuspect(id TargetID, now time.Time) bool {
 	t, ok := r.targets[id]
 	return ok && (t.superseded || t.silent || now.Before(t.suspectUntil))
 }
--- a/internal/relay/incarnation.go
+++ b/internal/relay/incarnation.go
@@ -46,11 +46,11 @@
 
 // NewTargetID returns the identity of the incarnation of a target that began at a start, in Unix
 // milliseconds; 0 if it is not known. Two different pairs have different identities.
-func NewTargetID(name string, born uint64) TargetID {
-	if born == 0 && !strings.Contains(name, startSeparator) {
+func NewTargetID(name string, startMillis uint64) TargetID {
+	if startMillis == 0 && !strings.Contains(name, startSeparator) {
 		return TargetID(name)
 	}
-	return TargetID(name + startSeparator + strconv.FormatUint(born, startBase))
+	return TargetID(name + startSeparator + strconv.FormatUint(startMillis, startBase))
 }
 
 // Name returns the name that all incarnations of the target have.
@@ -67,18 +67,18 @@
 	if at < 0 {
 		return 0
 	}
-	born, err := strconv.ParseUint(string(id[at+len(startSeparator):]), startBase, 64)
+	startMillis, err := strconv.ParseUint(string(id[at+len(startSeparator):]), startBase, 64)
 	if err != nil {
 		return 0 // not created by NewTargetID
 	}
-	return born
+	return startMillis
 }
 
 // OtherIncarnation reports whether a start belongs to another incarnation than this one. It
 // returns false if either start is not known.
-func (id TargetID) OtherIncarnation(born uint64) bool {
+func (id TargetID) OtherIncarnation(startMillis uint64) bool {
 	own := id.StartMillis()
-	return own != 0 && born != 0 && own != born
+	return own != 0 && startMillis != 0 && own != startMillis
 }
 
 // TargetKey represents a TargetID in messages that VMs send each other several times a second: it
@@ -117,7 +117,7 @@
 	byName    map[string][]TargetID
 	byAddress map[string][]TargetID
 	absent    map[TargetID]absence
-	// ended and revived are the changes since the last TakeTransitions.
+	// ended and revived are the changes since the last PopTransitions.
 	ended   []Succession
 	revived []TargetID
 }
@@ -149,11 +149,11 @@
 }
 
 // removeID removes an identity from those at a key.
-func removeID(of map[string][]TargetID, key string, id TargetID) {
-	left := slices.DeleteFunc(of[key], func(o TargetID) bool { return o == id })
-	of[key] = left
+func removeID(index map[string][]TargetID, key string, id TargetID) {
+	left := slices.DeleteFunc(index[key], func(o TargetID) bool { return o == id })
+	index[key] = left
 	if len(left) == 0 {
-		delete(of, key)
+		delete(index, key)
 	}
 }
 
@@ -244,8 +244,8 @@
 func (r *Registry) supersedingIncarnation(t Target) (by TargetID, superseded bool) {
 	latest := t.ID.StartMillis()
 	for _, id := range r.incarnations.conflicting(t) {
-		if born := id.StartMillis(); born > latest && !r.isAbsent(r.targets[id].target) {
-			by, latest, superseded = id, born, true
+		if startMillis := id.StartMillis(); startMillis > latest && !r.isAbsent(r.targets[id].target) {
+			by, latest, superseded = id, startMillis, true
 		}
 	}
 	return by, superseded
@@ -284,20 +284,20 @@
 // incarnation that has been removed here is no longer sent: two VMs would keep it alive between
 // them.
 func (r *Registry) AbsenceNotes() []AbsenceNote {
-	var missed []AbsenceNote
+	var notes []AbsenceNote
 	for id, note := range r.incarnations.absent {
 		if _, known := r.targets[id]; !known {
 			continue
 		}
-		missed = append(missed, AbsenceNote{ID: id, Call: note.call})
+		notes = append(notes, AbsenceNote{ID: id, Call: note.call})
 	}
-	slices.SortFunc(missed, func(a, b AbsenceNote) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	return missed
+	slices.SortFunc(notes, func(a, b AbsenceNote) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	return notes
 }
 
-// TakeTransitions returns the incarnations that have ended, and those that have become current
+// PopTransitions returns the incarnations that have ended, and those that have become current
 // again, since its last call. One that did both is returned only for the state that holds now.
-func (r *Registry) TakeTransitions() (ended []Succession, again []Target) {
+func (r *Registry) PopTransitions() (ended []Succession, revived []Target) {
 	for _, s := range r.incarnations.ended {
 		if r.targets[s.Old].superseded {
 			ended = append(ended, s)
@@ -305,11 +305,11 @@
 	}
 	for _, id := range r.incarnations.revived {
 		if e, known := r.targets[id]; known && !e.superseded {
-			again = append(again, e.target)
+			revived = append(revived, e.target)
 		}
 	}
 	r.incarnations.ended, r.incarnations.revived = nil, nil
-	return ended, again
+	return ended, revived
 }
 
 // IsCurrent reports whether an incarnation is known and not superseded.
@@ -321,18 +321,18 @@
 // signOffs returns the sign-offs that follow from one message: for the incarnation whose start it
 // contains or, without a start, for those of its name that are current here at this moment.
 func (r *Registry) signOffs(t Target) []Target {
-	leaving := []Target{t}
+	messages := []Target{t}
 	if t.ID.StartMillis() != 0 {
-		return leaving
+		return messages
 	}
 	for _, id := range r.incarnations.byName[t.ID.Name()] {
 		if id != t.ID && !r.targets[id].superseded {
 			other := t
 			other.ID = id
-			leaving = append(leaving, other)
+			messages = append(messages, other)
 		}
 	}
-	return leaving
+	return messages
 }
 
 // removeIncarnations removes the incarnations that the registry no longer knows, and notes from
@@ -375,7 +375,9 @@
 }
 
 // keepLatest keeps the incarnation with the later start at a key.
-func keepLatest(of map[string]TargetID, key string, id TargetID) { of[key] = later(of[key], id) }
+func keepLatest(latest map[string]TargetID, key string, id TargetID) {
+	latest[key] = later(latest[key], id)
+}
 
 // later returns the incarnation with the later start.
 func later(a, b TargetID) TargetID {
--- a/internal/relay/incarnation_test.go
+++ b/internal/relay/incarnation_test.go
@@ -74,10 +74,10 @@
 	r.ReceiveReport(old, start)
 	require.True(t, r.ReceiveReport(heartbeatOf(200, 1), start))
 	require.Equal(t, []relay.Target{heartbeatOf(200, 1)}, r.All())
-	ended, again := r.TakeTransitions()
+	ended, again := r.PopTransitions()
 	require.Equal(t, []relay.Succession{{Old: incarnationIDs(100)[0], New: incarnationIDs(200)[0]}}, ended)
 	require.Empty(t, again)
-	require.Contains(t, r.Silent(start.Add(2*time.Second), lossTimeout), incarnationIDs(100)[0], "the old incarnation is reported as silent")
+	require.Contains(t, r.SilentTargets(start.Add(2*time.Second), lossTimeout), incarnationIDs(100)[0], "the old incarnation is reported as silent")
 }
 
 func TestLateMessagesOfEarlierIncarnationAreIgnored(t *testing.T) {
@@ -102,7 +102,7 @@
 			r := relay.NewRegistry(lossTimeout)
 			r.ReceiveReport(heartbeatOf(100, 50), start)
 			r.ReceiveReport(heartbeatOf(200, 1), start.Add(time.Second))
-			r.TakeTransitions()
+			r.PopTransitions()
 			before, digest := r.ChangedSince(0), r.Digest()
 			change := r.Change()
 			now := start.Add(2 * time.Second)
@@ -110,10 +110,10 @@
 			require.Equal(t, before, r.ChangedSince(0))
 			require.Empty(t, r.ChangedSince(change))
 			require.Equal(t, digest, r.Digest())
-			ended, again := r.TakeTransitions()
+			ended, again := r.PopTransitions()
 			require.Empty(t, ended)
 			require.Empty(t, again)
-			require.NotContains(t, r.Silent(now, 500*time.Millisecond), incarnationIDs(200)[0], "a late message does not make the running incarnation silent")
+			require.NotContains(t, r.SilentTargets(now, 500*time.Millisecond), incarnationIDs(200)[0], "a late message does not make the running incarnation silent")
 		})
 	}
 }
@@ -165,7 +165,7 @@
 			change := r.Change()
 			require.True(t, r.ReceiveReport(heartbeatOf(200, 4), now))
 			require.Contains(t, currentIDs(r), incarnationIDs(200)[0])
-			_, again := r.TakeTransitions()
+			_, again := r.PopTransitions()
 			require.Equal(t, []relay.Target{heartbeatOf(200, 4)}, again)
 
 			for _, told := range r.ChangedSince(change) {
@@ -256,7 +256,7 @@
 func TestLaterRegistrationAtAddressIsCurrent(t *testing.T) {
 	r := relay.NewRegistry(lossTimeout)
 	silent := func(now time.Time) []relay.TargetID {
-		return r.Silent(now, 1500*time.Millisecond)
+		return r.SilentTargets(now, 1500*time.Millisecond)
 	}
 	r.ReceiveReport(messageAt("old", "x", 30), start)
 	for i := range 3 {
@@ -278,10 +278,10 @@
 	begun := relay.NewTargetID(old.Target.Name(), 200)
 	require.Equal(t, []string{old.Address}, r.EndIncarnations([]relay.Succession{{Old: old.Target, New: begun}}))
 	require.Empty(t, r.EndIncarnations([]relay.Succession{{Old: old.Target, New: begun}}), "an incarnation ends only once")
-	require.True(t, r.Suspect(old.Target, start), "what runs there is lost")
+	require.True(t, r.IsSuspect(old.Target, start), "what runs there is lost")
 	r.UpdateTargets([]relay.Target{{ID: begun, Service: "s", Address: old.Address, Call: 1}})
-	r.Failed(old.Target, true, start)
-	require.False(t, r.Suspect(begun, start))
+	r.RecordFailure(old.Target, true, start)
+	require.False(t, r.IsSuspect(begun, start))
 	require.Contains(t, r.OwnWork(), old.Target.Key())
 	require.NotContains(t, r.OwnWork(), begun.Key())
 	for range 50 {
--- a/internal/relay/lender.go
+++ b/internal/relay/lender.go
@@ -134,11 +134,11 @@
 // sharedLimit is the limit of one target.
 type sharedLimit[Holder comparable] struct {
 	answer LimitAnswer
-	// free is the permits that are granted to no holder, as of at. It is below 0 where more was
+	// free is the permits that are granted to no holder, as of refilledAt. It is below 0 where more was
 	// sent without a permit.
-	free    float64
-	at      time.Time
-	holders map[Holder]*allocation
+	free       float64
+	refilledAt time.Time
+	holders    map[Holder]*allocation
 	// wanted is the sum of what holders want, granted that of the permits that they may still
 	// use.
 	wanted, granted int
@@ -207,7 +207,7 @@
 // granted. It returns false for a target of which no answer is known, and for a renewal that is
 // not newer than the last.
 func (l *PermitAllocator[Holder]) Request(h Holder, number uint64, request PermitRequest, now time.Time) (Permits, bool) {
-	limit := l.limit(request, now)
+	limit := l.getOrCreate(request, now)
 	if limit == nil {
 		return Permits{}, false
 	}
@@ -225,7 +225,7 @@
 	if number <= held.number {
 		return Permits{}, false
 	}
-	limit.receive(held, number, request, now)
+	limit.applyRequest(held, number, request, now)
 	limit.clampToBurst()
 	count := l.allocate(limit, held)
 	if count > 0 {
@@ -237,11 +237,12 @@
 	return Permits{Target: request.Target, PerSecond: limit.answer.PerSecond, Count: count}, true
 }
 
-// limit returns the limit that a request refers to, or nil if there is none.
-func (l *PermitAllocator[Holder]) limit(request PermitRequest, now time.Time) *sharedLimit[Holder] {
+// getOrCreate returns the limit that a request refers to. One that is not kept yet is created if
+// the request contains an answer of the target; otherwise the result is nil.
+func (l *PermitAllocator[Holder]) getOrCreate(request PermitRequest, now time.Time) *sharedLimit[Holder] {
 	limit, ok := l.limits[request.Target]
 	if !ok && !request.Answer.ReceivedAt.IsZero() {
-		limit = &sharedLimit[Holder]{at: laterTime(now, l.readyAt), holders: make(map[Holder]*allocation)}
+		limit = &sharedLimit[Holder]{refilledAt: laterTime(now, l.readyAt), holders: make(map[Holder]*allocation)}
 		l.limits[request.Target] = limit
 	}
 	return limit
@@ -263,9 +264,9 @@
 		l.sweepAt = now.Add(sweepInterval)
 		l.sweep(now)
 	}
-	if now.After(l.at) {
-		l.free += l.rate() * now.Sub(l.at).Seconds()
-		l.at = now
+	if now.After(l.refilledAt) {
+		l.free += l.rate() * now.Sub(l.refilledAt).Seconds()
+		l.refilledAt = now
 	}
 	l.clampToBurst()
 }
@@ -300,8 +301,8 @@
 	return outstanding
 }
 
-// receive updates the state of a holder from its report.
-func (l *sharedLimit[Holder]) receive(held *allocation, number uint64, request PermitRequest, now time.Time) {
+// applyRequest updates the state of a holder from its report.
+func (l *sharedLimit[Holder]) applyRequest(held *allocation, number uint64, request PermitRequest, now time.Time) {
 	before := held.outstanding()
 	held.number = number
 	held.left = request.Left
--- a/internal/relay/lender_test.go
+++ b/internal/relay/lender_test.go
@@ -127,7 +127,7 @@
 		return
 	}
 	h.limits.NoteDemand(limitedTarget, l.now)
-	if h.limits.Take(limitedTarget, l.now) {
+	if h.limits.Acquire(limitedTarget, l.now) {
 		l.sent = append(l.sent, l.now)
 	}
 }
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -51,9 +51,9 @@
 	// left are those that no request has, and reserved those of requests whose target was chosen
 	// and that are not sent yet. All expire at until.
 	left, reserved int
-	until          time.Time
-	// taken is the number of the last grant that was accepted.
-	taken uint64
+	expiresAt      time.Time
+	// lastGrant is the number of the last grant that was accepted.
+	lastGrant uint64
 	// unpaid counts what was sent without a permit, returned the permits that were given back.
 	unpaid, returned uint64
 }
@@ -92,18 +92,18 @@
 		known = l.add(id.Key())
 	}
 	known.id = id
-	before, was := known.perSecond, known.limited(answer.ReceivedAt)
+	before, wasLimited := known.perSecond, known.limited(answer.ReceivedAt)
 	known.answer = known.answer.merge(answer, 0)
 	if known.answer.Limited {
 		known.setRate(known.answer.PerSecond)
 	} else if !known.marked {
 		known.knownUntil = time.Time{}
 	}
-	return was != known.limited(answer.ReceivedAt) || !ok || before != known.perSecond
+	return wasLimited != known.limited(answer.ReceivedAt) || !ok || before != known.perSecond
 }
 
-// of returns the limit of a target, or nil.
-func (l *RateLimits) of(key TargetKey) *limit {
+// get returns the limit of a target, or nil.
+func (l *RateLimits) get(key TargetKey) *limit {
 	if len(l.byTarget) == 0 {
 		return nil
 	}
@@ -163,7 +163,7 @@
 func (l *RateLimits) Grant(number uint64, permits []Permits, until, now time.Time) {
 	for _, p := range permits {
 		known, ok := l.byTarget[p.Target]
-		if !ok || number <= known.taken {
+		if !ok || number <= known.lastGrant {
 			continue
 		}
 		if p.Over {
@@ -173,13 +173,13 @@
 			continue
 		}
 		known.expire(now)
-		known.taken = number
+		known.lastGrant = number
 		known.setRate(p.PerSecond)
 		if until.After(now) {
 			known.left += p.Count
 			known.noteGranted(p.Count, now)
 		}
-		known.until = laterTime(known.until, until)
+		known.expiresAt = laterTime(known.expiresAt, until)
 		known.knownUntil = laterTime(known.knownUntil, now.Add(limitTTL))
 	}
 }
@@ -192,7 +192,7 @@
 
 // expire removes permits that have expired.
 func (m *limit) expire(now time.Time) {
-	if !now.Before(m.until) {
+	if !now.Before(m.expiresAt) {
 		m.left = 0
 	}
 }
@@ -205,21 +205,21 @@
 
 // NoteDemand counts a request that wants a target.
 func (l *RateLimits) NoteDemand(id TargetID, now time.Time) {
-	if m := l.of(id.Key()); m.limited(now) {
+	if m := l.get(id.Key()); m.limited(now) {
 		m.wanted.add(now, demandWindow)
 	}
 }
 
 // Available reports whether a target may be sent one more request.
 func (l *RateLimits) Available(id TargetID, now time.Time) bool {
-	m := l.of(id.Key())
+	m := l.get(id.Key())
 	return !m.limited(now) || m.hasPermit(now)
 }
 
 // Rate returns the permits of a target that this VM receives in a second: those of the last one,
 // and at least an equal part of the limit among so many VMs.
 func (l *RateLimits) Rate(id TargetID, vms int, now time.Time) float64 {
-	if m := l.of(id.Key()); m.limited(now) {
+	if m := l.get(id.Key()); m.limited(now) {
 		return m.rate(vms, now)
 	}
 	return 0
@@ -229,9 +229,9 @@
 	return max(float64(m.granted.total(now, demandWindow)), max(m.perSecond, minLimitPerSecond)/float64(vms))
 }
 
-// Take takes a permit for one request to a target, and reports whether there is one or none is
+// Acquire takes a permit for one request to a target, and reports whether there is one or none is
 // needed.
-func (l *RateLimits) Take(id TargetID, now time.Time) bool {
+func (l *RateLimits) Acquire(id TargetID, now time.Time) bool {
 	known, ok := l.byTarget[id.Key()]
 	if !ok || !known.limited(now) {
 		return true
@@ -266,9 +266,9 @@
 	m.reserved++
 }
 
-// Use ends a reservation. sent indicates that its request goes to the target now; Use reports
-// whether it may.
-func (l *RateLimits) Use(id TargetID, sent bool, now time.Time) bool {
+// EndReservation ends a reservation. sent indicates that its request is about to be sent to the
+// target: the result then reports whether it may be sent, and a permit is acquired for it.
+func (l *RateLimits) EndReservation(id TargetID, sent bool, now time.Time) bool {
 	known, ok := l.byTarget[id.Key()]
 	if !ok {
 		return true
@@ -280,7 +280,7 @@
 	if !sent {
 		return true
 	}
-	return l.Take(id, now)
+	return l.Acquire(id, now)
 }
 
 // PermitRequests returns what the next renewal reports to the leader, and gives back the permits
@@ -299,7 +299,7 @@
 			m.returned += uint64(m.left - wanted)
 			m.left = wanted
 		}
-		requests = append(requests, PermitRequest{Target: key, Answer: m.answer, Wanted: wanted, Left: m.left + m.reserved, Taken: m.taken, Unpaid: m.unpaid, Returned: m.returned})
+		requests = append(requests, PermitRequest{Target: key, Answer: m.answer, Wanted: wanted, Left: m.left + m.reserved, Taken: m.lastGrant, Unpaid: m.unpaid, Returned: m.returned})
 	}
 	slices.SortFunc(requests, func(a, b PermitRequest) int { return cmp.Compare(a.Target, b.Target) })
 	if len(requests) > maxPermitRequests {
--- a/internal/relay/limits_load_test.go
+++ b/internal/relay/limits_load_test.go
@@ -150,7 +150,7 @@
 	if began.Equal(w.now) {
 		vm.limits.NoteDemand(limitedTarget, w.now)
 	}
-	if vm.limits.Take(limitedTarget, w.now) {
+	if vm.limits.Acquire(limitedTarget, w.now) {
 		w.send(vm)
 		return
 	}
--- a/internal/relay/path.go
+++ b/internal/relay/path.go
@@ -115,7 +115,7 @@
 	}
 	var best Path
 	found := false
-	least := 0.0
+	leastCost := 0.0
 	for _, hall := range slices.Sorted(maps.Keys(byHall)) {
 		path, cost, ok := r.shortest(s, a, byHall[hall], now)
 		if !ok || !r.inTime(a, path) {
@@ -131,8 +131,8 @@
 		if hall != r.settings.Hall && r.settings.Policy.Has(OwnHall) {
 			drawn *= otherHallCost
 		}
-		if !found || drawn < least {
-			best, least, found = path, drawn, true
+		if !found || drawn < leastCost {
+			best, leastCost, found = path, drawn, true
 		}
 	}
 	return best, found
@@ -159,13 +159,13 @@
 // relaxRange finds the cheapest ways from the beginning of a range of layers, given in
 // arrivals, to each position within it.
 func (r *Router) relaxRange(e *Engine, a PathRequest, candidates []candidate, layers config.Range, arrivals []arrival) {
-	ends := stageBoundaries(e, candidates, layers)
-	for _, at := range ends {
+	boundaries := stageBoundaries(e, candidates, layers)
+	for _, at := range boundaries {
 		if !arrivals[at].ok {
 			continue
 		}
 		for i := range candidates {
-			r.relax(e, a, &candidates[i], at, ends, arrivals)
+			r.relax(e, a, &candidates[i], at, boundaries, arrivals)
 		}
 	}
 }
@@ -173,19 +173,19 @@
 // stageBoundaries returns the sorted positions within a range at which a path may pass from
 // one engine to the next: those where the layers of an engine begin or end.
 func stageBoundaries(e *Engine, candidates []candidate, layers config.Range) []int {
-	is := make([]bool, e.Layers+1)
-	is[layers.First], is[layers.Last] = true, true
+	isBoundary := make([]bool, e.Layers+1)
+	isBoundary[layers.First], isBoundary[layers.Last] = true, true
 	for i := range candidates {
-		is[candidates[i].Layers.First] = true
-		is[candidates[i].Layers.Last] = true
+		isBoundary[candidates[i].Layers.First] = true
+		isBoundary[candidates[i].Layers.Last] = true
 	}
-	var borders []int
+	var boundaries []int
 	for at := layers.First; at <= layers.Last; at++ {
-		if is[at] {
-			borders = append(borders, at)
+		if isBoundary[at] {
+			boundaries = append(boundaries, at)
 		}
 	}
-	return borders
+	return boundaries
 }
 
 // candidates returns the engines that have room for at least one layer of a request.
@@ -227,8 +227,8 @@
 		return r.crossingsInFlight + len(r.targets)
 	}
 	bits := float64(e.UsualPrompt+e.UsualAnswer) * e.ActivationBytes * 8
-	most := minPipes * maxPipeShare * e.PipeBits / bits * crossingDuration.Seconds()
-	return max(int(most/float64(r.vms)), 1)
+	capacity := minPipes * maxPipeShare * e.PipeBits / bits * crossingDuration.Seconds()
+	return max(int(capacity/float64(r.vms)), 1)
 }
 
 // relax tries an engine as the next stage after the cheapest way to a position, up to each
@@ -351,11 +351,11 @@
 		return 0
 	}
 	bits := float64(a.Prompt+a.answer) * e.ActivationBytes * 8
-	once := bits / e.PipeBits * float64(time.Second)
+	uncontended := bits / e.PipeBits * float64(time.Second)
 	if !r.settings.Policy.Has(PipeCaution) {
-		return time.Duration(once)
+		return time.Duration(uncontended)
 	}
-	return time.Duration(pipeContentionFactor * once)
+	return time.Duration(pipeContentionFactor * uncontended)
 }
 
 // reconstruct follows the cheapest way over a range of layers back to its beginning and
--- a/internal/relay/permits.go
+++ b/internal/relay/permits.go
@@ -75,15 +75,15 @@
 		return
 	}
 	for _, t := range r.members[service] {
-		if m := r.limits.of(t.key); m.limited(now) && t.begins() && a.mayStartOn(t.ID) && !a.avoids(t.ID) {
+		if m := r.limits.get(t.key); m.limited(now) && t.canStartRequests() && a.mayStartOn(t.ID) && !a.avoids(t.ID) {
 			do(m)
 		}
 	}
 }
 
-// begins reports whether requests begin on a target: on any of a plain service, and on an engine
+// canStartRequests reports whether requests begin on a target: on any of a plain service, and on an engine
 // that holds the first layers.
-func (t *target) begins() bool { return t.acceptsWork() && t.Layers.First == 0 }
+func (t *target) canStartRequests() bool { return t.acceptsWork() && t.Layers.First == 0 }
 
 // permitsFor reports whether the limited targets of a service have permits for a request, beyond
 // those for the waiting requests that go before it.
@@ -98,7 +98,7 @@
 
 // permitAvailable reports whether a target's limit leaves a permit for a request, or it has none.
 func (r *Router) permitAvailable(t *target, a PathRequest, now time.Time) bool {
-	m := r.limits.of(t.key)
+	m := r.limits.get(t.key)
 	if !m.limited(now) {
 		return true
 	}
@@ -113,7 +113,7 @@
 	}
 	var got *limit
 	if len(chosen.Stages) > 0 {
-		got = r.limits.of(chosen.First().Target.Key())
+		got = r.limits.get(chosen.First().Target.Key())
 	}
 	r.limitedMembers(service, a, now, func(m *limit) {
 		if m == got || !a.permits || !m.hasPermit(now) {
@@ -125,7 +125,7 @@
 // reservePermit reserves a permit of a target for a request that it was chosen for, and reports
 // whether it needs one.
 func (r *Router) reservePermit(id TargetID, now time.Time) bool {
-	m := r.limits.of(id.Key())
+	m := r.limits.get(id.Key())
 	if !m.limited(now) {
 		return false
 	}
@@ -133,15 +133,15 @@
 	return true
 }
 
-// UsePermit ends the reservation of a permit. Sent indicates that its request goes to the target
-// now; UsePermit reports whether it may.
-func (r *Router) UsePermit(id TargetID, sent bool, now time.Time) bool {
-	return r.limits.Use(id, sent, now)
+// EndReservation ends the reservation of a permit. sent indicates that its request is about
+// to be sent to the target; the result reports whether it may be sent.
+func (r *Router) EndReservation(id TargetID, sent bool, now time.Time) bool {
+	return r.limits.EndReservation(id, sent, now)
 }
 
-// TakePermit takes a permit for sending one request to a target, and reports whether it may be
+// AcquirePermit takes a permit for sending one request to a target, and reports whether it may be
 // sent.
-func (r *Router) TakePermit(id TargetID, now time.Time) bool { return r.limits.Take(id, now) }
+func (r *Router) AcquirePermit(id TargetID, now time.Time) bool { return r.limits.Acquire(id, now) }
 
 // ChargePermit counts a message that a target is sent before any request, and that needs no
 // permit.
@@ -191,9 +191,9 @@
 	return rate
 }
 
-// noPermit returns the refusal of a request that finds no target where limited ones could serve
+// noPermitRefusal returns the refusal of a request that finds no target where limited ones could serve
 // it, or nil.
-func (r *Router) noPermit(service string, a PathRequest, now time.Time) *Refusal {
+func (r *Router) noPermitRefusal(service string, a PathRequest, now time.Time) *Refusal {
 	if a.permits || !r.servedWithPermits(service, a, now) {
 		return nil
 	}
@@ -228,6 +228,6 @@
 		return false
 	}
 	return slices.ContainsFunc(r.members[service], func(t *target) bool {
-		return r.limits.of(t.key).limited(now) && t.begins() && !t.backoff.holds(now) && a.mayStartOn(t.ID) && !a.avoids(t.ID)
+		return r.limits.get(t.key).limited(now) && t.canStartRequests() && !t.backoff.holds(now) && a.mayStartOn(t.ID) && !a.avoids(t.ID)
 	})
 }
--- a/internal/relay/permits_test.go
+++ b/internal/relay/permits_test.go
@@ -46,10 +46,10 @@
 		}
 	}
 	require.Equal(t, 3, first)
-	require.False(t, r.TakePermit("i-1", start), "another send needs another permit")
-	require.True(t, r.UsePermit("i-1", false, start), "a request that was not sent returns its permit")
-	require.True(t, r.TakePermit("i-1", start))
-	require.False(t, r.UsePermit("i-1", true, start.Add(relay.PermitTTL)), "a permit expires")
+	require.False(t, r.AcquirePermit("i-1", start), "another send needs another permit")
+	require.True(t, r.EndReservation("i-1", false, start), "a request that was not sent returns its permit")
+	require.True(t, r.AcquirePermit("i-1", start))
+	require.False(t, r.EndReservation("i-1", true, start.Add(relay.PermitTTL)), "a permit expires")
 }
 
 // A message that is not a request is sent at once, and takes the next permit.
@@ -62,7 +62,7 @@
 	require.EqualValues(t, 1, asks[0].Unpaid)
 	grantPermits(r, 1, 1, "i-1")
 	r.ChargePermit("i-1", start)
-	require.False(t, r.TakePermit("i-1", start))
+	require.False(t, r.AcquirePermit("i-1", start))
 }
 
 // A limited engine begins no request without a permit, and stays in use as a later stage.
@@ -107,7 +107,7 @@
 		require.Equal(t, c.gets, refusal == nil, name)
 		if c.gets {
 			r.Release(path, false)
-			r.UsePermit("i-1", false, start)
+			r.EndReservation("i-1", false, start)
 		}
 	}
 	over()
--- a/internal/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -105,24 +105,24 @@
 	},
 	relay.UnreadPrompts: func(p relay.Policy) any { return pathsWithPolicy(p, placedToday(), 40) },
 	relay.FailureMean: func(p relay.Policy) any {
-		return afterFailure(p, func(r *relay.Router, id relay.TargetID) { r.Failed(id, false, start) })
+		return afterFailure(p, func(r *relay.Router, id relay.TargetID) { r.RecordFailure(id, false, start) })
 	},
 	relay.Suspicion: func(p relay.Policy) any {
-		return afterFailure(p.With(relay.FailureMean, false), func(r *relay.Router, id relay.TargetID) { r.Failed(id, true, start) })
+		return afterFailure(p.With(relay.FailureMean, false), func(r *relay.Router, id relay.TargetID) { r.RecordFailure(id, true, start) })
 	},
 	relay.FullPause: func(p relay.Policy) any {
-		return afterFailure(p, func(r *relay.Router, id relay.TargetID) { r.Refused(id, start) })
+		return afterFailure(p, func(r *relay.Router, id relay.TargetID) { r.RecordRefusal(id, start) })
 	},
 	relay.SharedFindings: func(p relay.Policy) any {
 		r, _ := routerWithPolicy(p, plain(2))
-		r.Failed("p0", true, start)
+		r.RecordFailure("p0", true, start)
 		dead := r.Findings(start).Failed
 		return len(dead)
 	},
 	relay.RepeatShares: func(p relay.Policy) any {
 		r, _ := routerWithPolicy(p, nil)
 		repeats := 0
-		for r.TakeRepeat("s", false, start.Add(time.Minute)) {
+		for r.AllowRepeat("s", false, start.Add(time.Minute)) {
 			repeats++
 		}
 		return repeats
@@ -132,7 +132,7 @@
 		r.SetVMCount(100)
 		r.SetFleetUsage(nil, 100, start)
 		granted := 0
-		for r.TakeRepeat("s", true, start) {
+		for r.AllowRepeat("s", true, start) {
 			granted++
 		}
 		return granted
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -134,20 +134,22 @@
 // followers are to be sent it before they ask.
 func (r *Registry) ReceiveReport(t Target, now time.Time) bool {
 	if !t.Gone {
-		return r.take(t, now, true)
+		return r.applyReport(t, now, true)
 	}
 	isNew := false
 	for _, message := range r.signOffs(t) {
-		isNew = r.take(message, now, true) || isNew
+		isNew = r.applyReport(message, now, true) || isNew
 	}
 	return isNew
 }
 
 // ReceiveForwarded processes a report forwarded by another VM, and returns whether it is new. That
 // of a superseded incarnation is not.
-func (r *Registry) ReceiveForwarded(t Target, now time.Time) bool { return r.take(t, now, false) }
+func (r *Registry) ReceiveForwarded(t Target, now time.Time) bool {
+	return r.applyReport(t, now, false)
+}
 
-func (r *Registry) take(t Target, now time.Time, direct bool) bool {
+func (r *Registry) applyReport(t Target, now time.Time, direct bool) bool {
 	present, known := r.targets[t.ID]
 	next := t
 	if known {
@@ -192,9 +194,9 @@
 	return !r.targets[t.ID].superseded && (differs || reattached && next.Leaving || reappeared || present.superseded)
 }
 
-// Drain records that a target has sent another VM a draining notice with an answer, and reports
+// RecordDraining records that a target has sent another VM a draining notice with an answer, and reports
 // whether that is new. It does not count as a heartbeat.
-func (r *Registry) Drain(id TargetID) bool {
+func (r *Registry) RecordDraining(id TargetID) bool {
 	e, known := r.targets[id]
 	if !known || e.superseded || e.target.Leaving {
 		return false
@@ -320,13 +322,13 @@
 // All returns every target that is not superseded, sorted by identity.
 func (r *Registry) All() []Target { return r.ChangedSince(0) }
 
-// Silent returns the targets that have not signed off and that are superseded or have not reported
+// SilentTargets returns the targets that have not signed off and that are superseded or have not reported
 // for lossTimeout. Where another target at the same address has reported since, the shorter time
-// replaced is enough: an address has one target at a time, and late messages of one that
+// replacedTimeout is enough: an address has one target at a time, and late messages of one that
 // died may still arrive.
-func (r *Registry) Silent(now time.Time, replaced time.Duration) []TargetID {
+func (r *Registry) SilentTargets(now time.Time, replacedTimeout time.Duration) []TargetID {
 	var silent []TargetID
-	after, replacedAfter := now.Add(-r.lossTimeout), now.Add(-replaced)
+	after, replacedAfter := now.Add(-r.lossTimeout), now.Add(-replacedTimeout)
 	for _, id := range r.sortedIDs {
 		e := r.targets[id]
 		if !e.target.Gone && (e.superseded || e.reportedAt.Before(after) || r.replaced(e, after, replacedAfter)) {
--- a/internal/relay/registry_test.go
+++ b/internal/relay/registry_test.go
@@ -56,8 +56,8 @@
 	r.ReceiveReport(message("old", 30), start)
 	r.ReceiveReport(message("new", 1), start.Add(time.Second))
 	now := start.Add(2 * time.Second)
-	require.Equal(t, []relay.TargetID{"old"}, r.Silent(now, 1500*time.Millisecond))
-	require.Empty(t, r.Silent(start.Add(2*time.Second), lossTimeout))
+	require.Equal(t, []relay.TargetID{"old"}, r.SilentTargets(now, 1500*time.Millisecond))
+	require.Empty(t, r.SilentTargets(start.Add(2*time.Second), lossTimeout))
 }
 
 // A message that another VM forwards again is no new heartbeat.
@@ -66,9 +66,9 @@
 	r.ReceiveReport(message("i-1", 3), start)
 	r.ReceiveForwarded(message("i-1", 3), start.Add(5*time.Second))
 	r.ReceiveHeartbeat("i-1", 3, start.Add(5*time.Second))
-	require.Len(t, r.Silent(start.Add(4*time.Second), 4*time.Second), 1)
+	require.Len(t, r.SilentTargets(start.Add(4*time.Second), 4*time.Second), 1)
 	r.ReceiveHeartbeat("i-1", 4, start.Add(5*time.Second))
-	require.Empty(t, r.Silent(start.Add(4*time.Second), 4*time.Second))
+	require.Empty(t, r.SilentTargets(start.Add(4*time.Second), 4*time.Second))
 }
 
 func TestFollowersReceiveChanges(t *testing.T) {
--- a/internal/relay/repeat.go
+++ b/internal/relay/repeat.go
@@ -76,7 +76,7 @@
 		return DeniedAsked
 	case len(a.Ran) >= most && !a.Begun, most == 1 && a.Sent >= 1:
 		return DeniedRoute
-	case a.Sent > 0 && a.Reached && !r.TakeRepeat(a.Service, a.Begun, now):
+	case a.Sent > 0 && a.Reached && !r.AllowRepeat(a.Service, a.Begun, now):
 		return DeniedBudget
 	}
 	return NotDenied
--- a/internal/relay/repeat_test.go
+++ b/internal/relay/repeat_test.go
@@ -80,11 +80,11 @@
 	r.SetVMCount(10)
 	r.SetFleetUsage(map[string]relay.Usage{"s": {Requests: 1000, Repeats: 340}}, 10, start)
 	granted := 0
-	for r.TakeRepeat("s", false, start) {
+	for r.AllowRepeat("s", false, start) {
 		granted++
 	}
 	require.Zero(t, granted, "340 of 400 are used, and the caller of a request that has not begun can retry")
-	for r.TakeRepeat("s", true, start) {
+	for r.AllowRepeat("s", true, start) {
 		granted++
 	}
 	require.Equal(t, 4, granted, "a tenth of the rest")
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -11,7 +11,7 @@
 	// Hall is the data hall of this VM.
 	Hall   string
 	Budget BudgetTerms
-	// Started is when the process began.
+	// Started is when the process started.
 	Started time.Time
 	Seed    uint64
 	Policy  Policy
@@ -147,9 +147,9 @@
 	r.budget(service).requests.add(now, r.settings.Budget.Window)
 }
 
-// TakeRepeat takes a repeat from the budget of a service and reports whether there was one.
+// AllowRepeat reports whether the repeat budget of a service allows one more, and counts it.
 // begun is set if the caller has received a part of its answer.
-func (r *Router) TakeRepeat(service string, begun bool, now time.Time) bool {
+func (r *Router) AllowRepeat(service string, begun bool, now time.Time) bool {
 	whole := begun || !r.settings.Policy.Has(RepeatShares)
 	if now.Before(r.fleetUsage.until) && r.settings.Policy.Has(PooledRepeats) {
 		return r.budget(service).takePooled(now, r.settings.Budget, r.fleetUsage.usage[service], r.fleetUsage.vms, r.vms, whole)
@@ -234,7 +234,7 @@
 // at a random time within another length of the backoff, so that no more callers return at
 // once than were refused.
 func (r *Router) noRoomRefusal(service string, a PathRequest, now time.Time) *Refusal {
-	if refusal := r.noPermit(service, a, now); refusal != nil {
+	if refusal := r.noPermitRefusal(service, a, now); refusal != nil {
 		return refusal
 	}
 	until, length := r.backoffEnd(service, a, now)
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -98,8 +98,8 @@
 func TestRefusalDoesNotMakeTargetSuspect(t *testing.T) {
 	r, route := newRouter(engines(presentFleet))
 	full := choose(t, r, ask(route), start).First().Target
-	r.Refused(full, start)
-	require.False(t, r.Suspect(full, start))
+	r.RecordRefusal(full, start)
+	require.False(t, r.IsSuspect(full, start))
 	require.False(t, choose(t, r, ask(route), start).Includes(full))
 	later := start.Add(time.Second)
 	seen := false
@@ -114,15 +114,15 @@
 func TestPathsAvoidDeadEngines(t *testing.T) {
 	r, route := newRouter(engines(presentFleet))
 	dead := choose(t, r, ask(route), start).First().Target
-	r.Failed(dead, true, start)
-	require.True(t, r.Suspect(dead, start))
+	r.RecordFailure(dead, true, start)
+	require.True(t, r.IsSuspect(dead, start))
 	for range 50 {
 		path := choose(t, r, ask(route), start)
 		requireWhole(t, path)
 		require.False(t, path.Includes(dead))
 	}
-	r.Succeeded(dead, start)
-	require.False(t, r.Suspect(dead, start))
+	r.RecordSuccess(dead, start)
+	require.False(t, r.IsSuspect(dead, start))
 }
 
 // All VMs switched to one hall at once on load reports that were half a second old. A VM
@@ -160,7 +160,7 @@
 	spend := func(begun bool) int {
 		granted := 0
 		for range 1000 {
-			if r.TakeRepeat("s", begun, later) {
+			if r.AllowRepeat("s", begun, later) {
 				granted++
 			}
 		}
@@ -171,7 +171,7 @@
 	rest := spend(true)
 	require.Greater(t, rest, 5)
 	require.LessOrEqual(t, unbegun+rest, 40+200/10)
-	require.True(t, r.TakeRepeat("s", true, later.Add(11*time.Second)))
+	require.True(t, r.AllowRepeat("s", true, later.Add(11*time.Second)))
 }
 
 // At 300 VMs, each had 2.6 repeats of its own in ten seconds and refused callers after a
@@ -186,7 +186,7 @@
 	}
 	total := 0
 	repeats := func(r *relay.Router, now time.Time) {
-		for r.TakeRepeat("s", true, now) {
+		for r.AllowRepeat("s", true, now) {
 			total++
 		}
 	}
@@ -239,7 +239,7 @@
 					if test.usage != nil {
 						r.SetFleetUsage(test.usage, vms, now)
 					}
-					if r.TakeRepeat("s", true, now) {
+					if r.AllowRepeat("s", true, now) {
 						total++
 					}
 				}
@@ -258,9 +258,9 @@
 	r, _ := newRouter(nil)
 	r.SetVMCount(10)
 	r.SetFleetUsage(map[string]relay.Usage{"s": {Repeats: 95}}, 5, start)
-	require.False(t, r.TakeRepeat("s", true, start), "five of ten VMs have 100 of 200")
+	require.False(t, r.AllowRepeat("s", true, start), "five of ten VMs have 100 of 200")
 	r.SetFleetUsage(map[string]relay.Usage{"s": {Repeats: 95}}, 10, start)
-	require.True(t, r.TakeRepeat("s", true, start))
+	require.True(t, r.AllowRepeat("s", true, start))
 }
 
 // Old sums are ignored.
@@ -270,7 +270,7 @@
 	r.SetFleetUsage(nil, 100, start)
 	later := start.Add(2 * time.Second)
 	granted := 0
-	for r.TakeRepeat("s", true, later) {
+	for r.AllowRepeat("s", true, later) {
 		granted++
 	}
 	require.LessOrEqual(t, granted, 2)
@@ -281,7 +281,7 @@
 	r, _ := newRouter(engines(presentFleet))
 	r.SetVMCount(10)
 	granted := 0
-	for r.TakeRepeat("s", true, start) {
+	for r.AllowRepeat("s", true, start) {
 		granted++
 	}
 	require.Positive(t, granted)
@@ -355,24 +355,24 @@
 		require.False(t, path.Includes(moving))
 		require.False(t, path.Includes(silent))
 	}
-	require.False(t, r.Suspect(moving, start))
-	require.True(t, r.Suspect(silent, start))
+	require.False(t, r.IsSuspect(moving, start))
+	require.True(t, r.IsSuspect(silent, start))
 }
 
 func TestFindingsSeparateDeadFromSound(t *testing.T) {
 	r, route := newRouter(engines(presentFleet))
 	path := choose(t, r, ask(route), start)
 	bad, good := path.Stages[0].Target, path.Stages[1].Target
-	r.Failed(bad, true, start)
-	r.Succeeded(good, start)
+	r.RecordFailure(bad, true, start)
+	r.RecordSuccess(good, start)
 	found := r.Findings(start.Add(time.Second))
 	require.Equal(t, []relay.TargetKey{bad.Key()}, found.Failed)
 	require.Equal(t, []relay.TargetKey{good.Key()}, found.Healthy)
-	r.Succeeded(bad, start.Add(time.Second))
+	r.RecordSuccess(bad, start.Add(time.Second))
 	found = r.Findings(start.Add(time.Second))
 	require.Empty(t, found.Failed)
 	for range 3 {
-		r.Refused(good, start.Add(time.Second))
+		r.RecordRefusal(good, start.Add(time.Second))
 	}
 	found = r.Findings(start.Add(time.Second))
 	require.Equal(t, []relay.TargetKey{good.Key()}, found.Failed)
--- a/internal/relay/substitute_test.go
+++ b/internal/relay/substitute_test.go
@@ -103,7 +103,7 @@
 	targets := enginesHolding("large", first, lost, config.Range{First: 55, Last: 80},
 		config.Range{First: 25, Last: 40}, config.Range{First: 40, Last: 60})
 	r.UpdateTargets(targets)
-	r.Failed(targets[3].ID, true, start)
+	r.RecordFailure(targets[3].ID, true, start)
 	path := choose(t, r, ask(route), start)
 	require.Equal(t, lost, path.Stages[1].Layers)
 	later := start.Add(time.Second)
