--- a/internal/core/engine_fleet_test.go
+++ b/internal/core/engine_fleet_test.go
@@ -50,7 +50,7 @@
 		Name: "s", MaxConns: 1348, Engine: &relay.Engine{
 			Slots: 192, Layers: 80, LayerBytes: 1750e6, TokenBytes: 590e3, Load: 14 * time.Second,
 			Accelerators: []relay.Accelerator{
-				{Name: "a100", Bytes: 72e9, Pace: 2.4, Read: 3.2}, {Name: "l40s", Bytes: 43.2e9, Pace: 5.6, Read: 2.7}, {Name: "l4", Bytes: 21.6e9, Pace: 16, Read: 8.2},
+				{Name: "a100", Bytes: 72e9, StepFactor: 2.4, ReadFactor: 3.2}, {Name: "l40s", Bytes: 43.2e9, StepFactor: 5.6, ReadFactor: 2.7}, {Name: "l4", Bytes: 21.6e9, StepFactor: 16, ReadFactor: 8.2},
 			},
 			UsualPrompt: 765, UsualAnswer: 230,
 		},
--- a/internal/core/fleet_bench_test.go
+++ b/internal/core/fleet_bench_test.go
@@ -36,7 +36,7 @@
 	return &relay.Document{Version: 1, Services: []relay.Service{{
 		Name: "s", MaxConns: 900, Engine: &relay.Engine{
 			Slots: 192, Layers: 80, LayerBytes: 1750e6, TokenBytes: 393e3,
-			Accelerators: []relay.Accelerator{{Name: "l4", Bytes: 21600e6, Pace: 16, Read: 8}},
+			Accelerators: []relay.Accelerator{{Name: "l4", Bytes: 21600e6, StepFactor: 16, ReadFactor: 8}},
 			UsualPrompt:  770, UsualAnswer: 170,
 		},
 	}}}, nil
--- a/internal/core/hints_test.go
+++ b/internal/core/hints_test.go
@@ -224,7 +224,7 @@
 func TestNoOrdersUntilAllTargetsHaveReported(t *testing.T) {
 	engine := &relay.Engine{
 		Slots: 10, Layers: 10, LayerBytes: 1e9, TokenBytes: 1e6, UsualPrompt: 10, UsualAnswer: 10, Load: time.Second, LoadsAtOnce: 1,
-		Accelerators: []relay.Accelerator{{Name: "k", Bytes: 30e9, Pace: 1, Read: 1}},
+		Accelerators: []relay.Accelerator{{Name: "k", Bytes: 30e9, StepFactor: 1, ReadFactor: 1}},
 	}
 	document := &relay.Document{Version: 1, Services: []relay.Service{{Name: "s", Engine: engine}}}
 	self := core.ReplicaID{VM: "c1", Incarnation: 1}
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -101,7 +101,7 @@
 	for i, a := range known {
 		requests[i] = LimitRequest{
 			Target: a.Target, Answered: !a.Answer.ReceivedAt.IsZero(), Limited: a.Answer.Limited, PerSecond: a.Answer.PerSecond,
-			Wanted: a.Wanted, Left: a.Left, Taken: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned,
+			Wanted: a.Wanted, Left: a.Left, Taken: a.LastGrant, Unpaid: a.Unpaid, Returned: a.Returned,
 		}
 		if requests[i].Answered {
 			requests[i].SentMillis, requests[i].ReceivedMillis = age(a.Answer.SentAt, n.now), age(a.Answer.ReceivedAt, n.now)
@@ -112,7 +112,7 @@
 
 // permitRequest converts the ages of a request to times of this VM's clock.
 func (a LimitRequest) permitRequest(now time.Time) relay.PermitRequest {
-	request := relay.PermitRequest{Target: a.Target, Wanted: a.Wanted, Left: a.Left, Taken: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned}
+	request := relay.PermitRequest{Target: a.Target, Wanted: a.Wanted, Left: a.Left, LastGrant: a.Taken, Unpaid: a.Unpaid, Returned: a.Returned}
 	if a.Answered {
 		request.Answer = relay.LimitAnswer{Limited: a.Limited, PerSecond: a.PerSecond, SentAt: timeOfAge(a.SentMillis, now), ReceivedAt: timeOfAge(a.ReceivedMillis, now)}
 	}
--- a/internal/daemon/events.go
+++ b/internal/daemon/events.go
@@ -19,7 +19,7 @@
 	f.read = true
 	f.g.mu.Lock()
 	defer f.g.mu.Unlock()
-	f.g.router.Begun(f.lastPath)
+	f.g.router.RecordBegun(f.lastPath)
 	f.g.router.ObserveFirstEvent(clock.Since(f.sentAt))
 }
 
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -248,7 +248,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for id, pace := range paces {
-		g.router.SetPace(id, pace, clock.Now())
+		g.router.RecordSlowdown(id, pace, clock.Now())
 	}
 }
 
--- a/internal/daemon/notices.go
+++ b/internal/daemon/notices.go
@@ -102,7 +102,7 @@
 		isNew = true
 	}
 	if !notice.BackoffUntil.IsZero() {
-		g.router.Backoff(id, notice.BackoffUntil, now)
+		g.router.RecordBackoff(id, notice.BackoffUntil, now)
 		isNew = true
 	}
 	return isNew
--- a/internal/daemon/repeating.go
+++ b/internal/daemon/repeating.go
@@ -58,7 +58,7 @@
 func (f *forwarding) mayRepeat() relay.Denial {
 	f.g.mu.Lock()
 	defer f.g.mu.Unlock()
-	return f.g.router.MayRepeat(f.attempts, clock.Now())
+	return f.g.router.TryRepeat(f.attempts, clock.Now())
 }
 
 // refusalFor returns the refusal of a request that may not go to another target.
@@ -78,7 +78,7 @@
 	a := f.attemptsAfter(resultBroken, f.lastPath)
 	f.g.mu.Lock()
 	defer f.g.mu.Unlock()
-	return f.g.router.CouldRepeat(a, clock.Now())
+	return f.g.router.CanRepeat(a, clock.Now())
 }
 
 // mayResend reports whether a request whose reused connection was lost may be sent on a new
--- a/internal/relay/arrange.go
+++ b/internal/relay/arrange.go
@@ -64,8 +64,8 @@
 // bestOf returns the best plan over all memory sizes, each with the segments that
 // segmentsOf gives for it.
 func (e *Engine) bestOf(g *estimator, units []unit, segmentsOf func([]unit, int) []config.Range) candidatePlan {
-	var best, bearing candidatePlan
-	tokens := e.usual()
+	var best, surviving candidatePlan
+	tokens := e.usualTokens()
 	var before []placement
 	for range memorySizes {
 		segments := segmentsOf(units, int(tokens))
@@ -78,13 +78,13 @@
 			c := e.evaluate(g, units, placements, rest, int(tokens))
 			best = best.better(c)
 			if c.survivesLoss {
-				bearing = bearing.better(c)
+				surviving = surviving.better(c)
 			}
 		}
 		tokens *= memoryStep
 	}
-	if bearing.fullRate > survivorPart*best.fullRate {
-		return bearing
+	if surviving.fullRate > survivorPart*best.fullRate {
+		return surviving
 	}
 	return best
 }
@@ -127,7 +127,7 @@
 		if used == 0 {
 			return placements, units[next:]
 		}
-		times := max(alikeFrom(units, next)/used, 1)
+		times := max(countSameKind(units, next)/used, 1)
 		for _, s := range round {
 			s.step, s.count, s.round = used, times, next
 			placements = append(placements, s)
@@ -136,8 +136,8 @@
 	}
 }
 
-// alikeFrom counts the consecutive engines of one kind from an index on.
-func alikeFrom(units []unit, next int) int {
+// countSameKind counts the consecutive engines of one kind from an index on.
+func countSameKind(units []unit, next int) int {
 	n := 0
 	for next+n < len(units) && units[next+n].kind.Name == units[next].kind.Name {
 		n++
@@ -181,7 +181,7 @@
 	for i := range filled {
 		held = e.addToGroup(held, &filled[i].kind, filled[i].target.Layers, 1)
 	}
-	return candidatePlan{placements: placements, filled: filled, planScore: g.score(sortByPace(held))}
+	return candidatePlan{placements: placements, filled: filled, planScore: g.score(sortBySpeed(held))}
 }
 
 // consecutive returns consecutive ranges of the given sizes.
@@ -221,7 +221,7 @@
 	level := make([]float64, e.Layers)
 	ends := map[int]bool{0: true, e.Layers: true}
 	for _, l := range held {
-		addLevel(level, l.layers, l.room.answers*float64(l.count))
+		addLevel(level, l.layers, l.perLayer.answers*float64(l.count))
 		ends[l.layers.First], ends[l.layers.Last] = true, true
 	}
 	cuts := slices.Sorted(maps.Keys(ends))
--- a/internal/relay/ask.go
+++ b/internal/relay/ask.go
@@ -41,7 +41,7 @@
 	meanAnswerShare = 0.6
 )
 
-// withExpectedAnswer returns the ask with the expected length of the answer.
+// withExpectedAnswer returns the request with the expected length of the answer.
 func (a PathRequest) withExpectedAnswer(e *Engine) PathRequest {
 	answer := e.UsualAnswer
 	if a.LengthHint > 0 {
--- a/internal/relay/backoffs.go
+++ b/internal/relay/backoffs.go
@@ -33,8 +33,9 @@
 const (
 	// requestsPerSlot is the number of concurrent requests that a target of a plain service gets
 	// from all VMs together for each of its slots while VMs back off from another one of the
-	// service: one that runs and two that wait, of the few more that targets queue. Each VM
-	// counts its own part, which it knows exactly; counts of all VMs are too old by then.
+	// service: one that runs and two that wait; targets queue a few more than that. Each VM
+	// keeps to an equal part by the count of its own requests, which is exact: the counts of the
+	// other VMs arrive too late for this.
 	requestsPerSlot = 3
 	// maxBackoffs bounds the backoffs that are kept, some 0.5 MB: seven times as many as the
 	// targets of the largest deployment. Each incarnation of a target that restarts again and
@@ -48,16 +49,16 @@
 // backoff is a time in which a target accepts nothing from this VM.
 type backoff struct{ began, until time.Time }
 
-// holds reports whether the backoff has not ended. The zero value has ended.
-func (r backoff) holds(now time.Time) bool { return now.Before(r.until) }
+// active reports whether the backoff has not ended. The zero value has ended.
+func (r backoff) active(now time.Time) bool { return now.Before(r.until) }
 
-// Backoff records that a target accepts nothing from this VM until a time.
-func (r *Router) Backoff(id TargetID, until, now time.Time) {
+// RecordBackoff records that a target accepts nothing from this VM until a time.
+func (r *Router) RecordBackoff(id TargetID, until, now time.Time) {
 	present := r.backoffs[id]
 	if !until.After(present.until) {
 		return
 	}
-	if !present.holds(now) {
+	if !present.active(now) {
 		present = backoff{began: now}
 	}
 	present.until = until
@@ -88,12 +89,12 @@
 // BackedOff returns until when a target accepts nothing from this VM, and whether it does.
 func (r *Router) BackedOff(id TargetID, now time.Time) (until time.Time, backedOff bool) {
 	known := r.backoffs[id]
-	return known.until, known.holds(now)
+	return known.until, known.active(now)
 }
 
 // ForgetBackoffs removes the backoffs that have ended.
 func (r *Router) ForgetBackoffs(now time.Time) {
-	maps.DeleteFunc(r.backoffs, func(_ TargetID, known backoff) bool { return !known.holds(now) })
+	maps.DeleteFunc(r.backoffs, func(_ TargetID, known backoff) bool { return !known.active(now) })
 }
 
 // BackedOffTarget is a target that accepts nothing from this VM until a time.
@@ -106,7 +107,7 @@
 func (r *Router) BackedOffTargets(now time.Time) []BackedOffTarget {
 	var backedOff []BackedOffTarget
 	for id, known := range r.backoffs {
-		if known.holds(now) {
+		if known.active(now) {
 			backedOff = append(backedOff, BackedOffTarget{Target: id, Until: known.until})
 		}
 	}
@@ -134,7 +135,7 @@
 	if len(r.backoffs) == 0 {
 		return false
 	}
-	return slices.ContainsFunc(r.members[service], func(t *target) bool { return t.backoff.holds(now) && t.acceptsWork() })
+	return slices.ContainsFunc(r.members[service], func(t *target) bool { return t.backoff.active(now) && t.acceptsWork() })
 }
 
 // hasCapacity reports whether a target of a plain service has capacity for one more request.
@@ -153,7 +154,7 @@
 	}
 	var backoffs []backoff
 	for _, t := range r.members[service] {
-		if t.backoff.holds(now) && t.acceptsWork() {
+		if t.backoff.active(now) && t.acceptsWork() {
 			backoffs = append(backoffs, t.backoff)
 		}
 	}
@@ -170,7 +171,7 @@
 // servableAt reports whether the targets of a service whose backoffs have ended at a time, by
 // what is known now, can serve a request.
 func (r *Router) servableAt(service string, a PathRequest, at time.Time) bool {
-	available := func(t *target) bool { return !t.backoff.holds(at) && t.acceptsWork() }
+	available := func(t *target) bool { return !t.backoff.active(at) && t.acceptsWork() }
 	begins := func(t *target) bool { return available(t) && t.Layers.First == 0 && a.mayStartOn(t.ID) }
 	return slices.ContainsFunc(r.members[service], begins) && r.coveredBy(r.services[service], available)
 }
--- a/internal/relay/backoffs_load_test.go
+++ b/internal/relay/backoffs_load_test.go
@@ -251,7 +251,7 @@
 	r := w.vms[c.vm]
 	id := c.path.First().Target
 	r.Release(c.path, false)
-	r.Backoff(id, w.now.Add(requestedBackoff), w.now)
+	r.RecordBackoff(id, w.now.Add(requestedBackoff), w.now)
 	c.avoid = append(c.avoid, id)
 	if c.sent < c.most {
 		w.ask(c)
--- a/internal/relay/backoffs_test.go
+++ b/internal/relay/backoffs_test.go
@@ -42,7 +42,7 @@
 		"a heartbeat": func(r *relay.Router) {
 			r.UpdateTargets([]relay.Target{{ID: id, Service: "web", Address: "i-1:80", Hall: "a", Slots: 6, Call: 9}})
 		},
-		"a shorter backoff":                  func(r *relay.Router) { r.Backoff(id, start.Add(time.Second), start.Add(500*time.Millisecond)) },
+		"a shorter backoff":                  func(r *relay.Router) { r.RecordBackoff(id, start.Add(time.Second), start.Add(500*time.Millisecond)) },
 		"a refusal that asks for no backoff": func(r *relay.Router) { r.RecordRefusal(id, start) },
 		"a failure":                          func(r *relay.Router) { r.RecordFailure(id, true, start) },
 		"marks without a problem":            func(r *relay.Router) { r.ApplyMarks(nil, true) },
@@ -61,7 +61,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, a := plainRouter(id)
-			r.Backoff(id, until, start)
+			r.RecordBackoff(id, until, start)
 			happens(r)
 			_, refusal := r.Choose(a, within)
 			require.NotNil(t, refusal, "also if it is the only target")
@@ -74,19 +74,19 @@
 func TestNewIncarnationHasNoBackoff(t *testing.T) {
 	old, next := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-1", 200)
 	r, a := plainRouter(old)
-	r.Backoff(old, start.Add(time.Hour), start)
+	r.RecordBackoff(old, start.Add(time.Hour), start)
 	r.UpdateTargets([]relay.Target{plainTarget(next)})
 	r.EndIncarnations([]relay.Succession{{Old: old, New: next}})
 	require.Equal(t, next, picked(t, r, a, start))
-	r.Backoff(old, start.Add(2*time.Hour), start) // a late answer of the old incarnation
+	r.RecordBackoff(old, start.Add(2*time.Hour), start) // a late answer of the old incarnation
 	require.Equal(t, next, picked(t, r, a, start))
 }
 
 func TestOperatorEndsBackoff(t *testing.T) {
 	first, second := relay.NewTargetID("i-1", 100), relay.NewTargetID("i-1", 200)
 	r, a := plainRouter(second)
-	r.Backoff(first, start.Add(time.Hour), start)
-	r.Backoff(second, start.Add(time.Hour), start)
+	r.RecordBackoff(first, start.Add(time.Hour), start)
+	r.RecordBackoff(second, start.Add(time.Hour), start)
 	require.Zero(t, r.EndBackoffs("i-2"))
 	require.Equal(t, 2, r.EndBackoffs("i-1"))
 	require.Equal(t, second, picked(t, r, a, start))
@@ -94,7 +94,7 @@
 
 func TestRequestsGoToOtherTargetsDuringBackoff(t *testing.T) {
 	r, a := plainRouter("i-1", "i-2", "i-3")
-	r.Backoff("i-1", start.Add(time.Second), start)
+	r.RecordBackoff("i-1", start.Add(time.Second), start)
 	for range 50 {
 		require.NotEqual(t, relay.TargetID("i-1"), picked(t, r, a, start))
 	}
@@ -108,8 +108,8 @@
 func TestRefusedCallersReturnSpreadAfterFirstBackoff(t *testing.T) {
 	r, a := plainRouter("i-1", "i-2")
 	first := start.Add(4 * time.Second)
-	r.Backoff("i-1", first, start)
-	r.Backoff("i-2", start.Add(time.Hour), start)
+	r.RecordBackoff("i-1", first, start)
+	r.RecordBackoff("i-2", start.Add(time.Hour), start)
 	thirds := make(map[int64]int)
 	const callers = 300
 	for range callers {
@@ -130,7 +130,7 @@
 	r, route := newRouter(engines(presentFleet))
 	pinned := ask(route)
 	pinned.Only = []relay.TargetID{choose(t, r, pinned, start).First().Target}
-	r.Backoff(pinned.Only[0], start.Add(time.Second), start)
+	r.RecordBackoff(pinned.Only[0], start.Add(time.Second), start)
 	_, refusal := r.Choose(pinned, start)
 	require.NotNil(t, refusal)
 	require.Equal(t, start.Add(time.Second), refusal.NotBefore)
@@ -144,7 +144,7 @@
 	path := choose(t, r, ask(route), start)
 	defer r.Release(path, false)
 	last := path.Stages[len(path.Stages)-1].Target
-	r.Backoff(last, start.Add(time.Second), start)
+	r.RecordBackoff(last, start.Add(time.Second), start)
 	for range 100 {
 		path := choose(t, r, ask(route), start)
 		require.False(t, path.Includes(last))
@@ -152,7 +152,7 @@
 	}
 	for _, e := range holding(engines(presentFleet), relay.Plan(engine(), engines(presentFleet))) {
 		if e.Layers.Last == engine().Layers && e.ID != last {
-			r.Backoff(e.ID, start.Add(3*time.Second), start)
+			r.RecordBackoff(e.ID, start.Add(3*time.Second), start)
 		}
 	}
 	_, refusal := r.Choose(ask(route), start)
@@ -162,8 +162,8 @@
 
 func TestEndedBackoffsAreRemoved(t *testing.T) {
 	r, _ := plainRouter("i-1", "i-2")
-	r.Backoff("i-1", start.Add(time.Second), start)
-	r.Backoff("i-2", start.Add(2*time.Second), start)
+	r.RecordBackoff("i-1", start.Add(time.Second), start)
+	r.RecordBackoff("i-2", start.Add(2*time.Second), start)
 	require.Len(t, r.BackedOffTargets(start), 2)
 	r.ForgetBackoffs(start.Add(time.Second))
 	require.Equal(t, []relay.BackedOffTarget{{Target: "i-2", Until: start.Add(2 * time.Second)}}, r.BackedOffTargets(start.Add(time.Second)))
@@ -173,10 +173,10 @@
 func TestBackoffsAreBounded(t *testing.T) {
 	r, _ := plainRouter("i-1")
 	year := start.Add(365 * 24 * time.Hour)
-	r.Backoff("i-1", year, start)
+	r.RecordBackoff("i-1", year, start)
 	const most, more = 4096, 100
 	for born := range uint64(most + more) {
-		r.Backoff(relay.NewTargetID("i-2", born+1), year, start.Add(time.Duration(born+1)*time.Second))
+		r.RecordBackoff(relay.NewTargetID("i-2", born+1), year, start.Add(time.Duration(born+1)*time.Second))
 	}
 	later := start.Add(2 * time.Hour)
 	require.Len(t, r.BackedOffTargets(later), most)
--- a/internal/relay/bound.go
+++ b/internal/relay/bound.go
@@ -47,7 +47,7 @@
 	if bytes < 0 {
 		return UpperBound{}
 	}
-	m.Answers = bytes / max(e.TokenBytes*e.usual(), 1)
+	m.Answers = bytes / max(e.TokenBytes*e.usualTokens(), 1)
 	return m
 }
 
@@ -80,7 +80,7 @@
 	for n := 1; n <= min(e.maxLayers(k), e.Layers); n++ {
 		answers := e.answersAt(k, n)
 		step := float64(e.StepBase) + answers*e.perAnswer()
-		alone := waitMultiple * step * k.Pace * float64(max(e.UsualAnswer, 1)) / float64(time.Second)
+		alone := waitMultiple * step * k.StepFactor * float64(max(e.UsualAnswer, 1)) / float64(time.Second)
 		most = max(most, float64(n)/float64(e.Layers)*answers/max(alone, 1/maxRate))
 	}
 	return most
@@ -89,13 +89,13 @@
 // workPerAnswer returns the seconds of work of engines of a kind for one answer, beside
 // others.
 func (e *Engine) workPerAnswer(k Accelerator) float64 {
-	write := e.perAnswer() * k.Pace * float64(e.UsualAnswer) / float64(time.Second)
-	return write + float64(e.UsualPrompt)*k.Read/max(e.ReadPerSecond, 1)
+	write := e.perAnswer() * k.StepFactor * float64(e.UsualAnswer) / float64(time.Second)
+	return write + float64(e.UsualPrompt)*k.ReadFactor/max(e.ReadPerSecond, 1)
 }
 
 // perAnswer returns what each answer adds to a step over all layers, in nanoseconds.
 func (e *Engine) perAnswer() float64 {
-	return float64(e.StepPerRequest) + float64(e.StepPerKilotoken)*e.usual()/1000
+	return float64(e.StepPerRequest) + float64(e.StepPerKilotoken)*e.usualTokens()/1000
 }
 
 // Capacity returns the capacity of a fleet with the layers that its targets report, over all
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// This file bounds repeats over all VMs without a message for each of them.
+// This file bounds the repeats of all VMs together, without a message for each repeat.
 //
 // The bound applies to a service, over all VMs: in any window, repeats are at most a share of the
 // requests plus a fixed number. With each renewal a VM reports to the leader its requests and
@@ -105,7 +105,8 @@
 	return usage
 }
 
-// window counts recent events.
+// window counts the events of a sliding time span. at is the number of the newest bucket, counted
+// from the Unix epoch.
 type window struct {
 	buckets [budgetBuckets]int
 	at      int64
@@ -133,9 +134,9 @@
 	return total
 }
 
-// takePooled takes one repeat, if the budget of all VMs allows it. useReserve indicates that it
-// may take the last one.
-func (b *budget) takePooled(now time.Time, t BudgetTerms, usage Usage, reporting, vms int, useReserve bool) bool {
+// allowPooled reports whether the budget of all VMs allows one more repeat, and counts it if so.
+// useReserve indicates that the repeat may come from the part above pooledUnstartedShare.
+func (b *budget) allowPooled(now time.Time, t BudgetTerms, usage Usage, reporting, vms int, useReserve bool) bool {
 	known := float64(max(vms, reporting, 1))
 	allowed := budgetUsableShare * (t.Share*float64(usage.Requests) + t.Fixed*float64(reporting)/known)
 	if !useReserve {
@@ -145,12 +146,12 @@
 	if float64(b.recent.total(now, fleetUsageTTL)+1) > math.Floor(part+b.roundUp) {
 		return false
 	}
-	b.note(now, t)
+	b.countRepeat(now, t)
 	return true
 }
 
-// note counts a repeat.
-func (b *budget) note(now time.Time, t BudgetTerms) {
+// countRepeat counts a repeat.
+func (b *budget) countRepeat(now time.Time, t BudgetTerms) {
 	b.repeats.add(now, t.Window)
 	b.recent.add(now, fleetUsageTTL)
 }
@@ -162,9 +163,9 @@
 	return rand.New(rand.NewPCG(r.settings.Seed, h.Sum64())).Float64()
 }
 
-// take takes one repeat, if the budget of this VM allows it. useReserve indicates that it may
-// take the last one.
-func (b *budget) take(now time.Time, t BudgetTerms, vms int, age time.Duration, useReserve bool) bool {
+// allow reports whether the budget of this VM allows one more repeat, and counts it if so.
+// useReserve indicates that the repeat may come from the part above unstartedShare.
+func (b *budget) allow(now time.Time, t BudgetTerms, vms int, age time.Duration, useReserve bool) bool {
 	grown := min(max(float64(age)/float64(t.Window), initialShare), 1)
 	allowed := budgetUsableShare * (t.Share*float64(b.requests.total(now, t.Window)) + grown*t.Fixed/float64(max(vms, 1)))
 	if !useReserve {
@@ -173,6 +174,6 @@
 	if float64(b.repeats.total(now, t.Window)+1) > math.Floor(allowed+b.roundUp) {
 		return false
 	}
-	b.note(now, t)
+	b.countRepeat(now, t)
 	return true
 }
--- a/internal/relay/candidates.go
+++ b/internal/relay/candidates.go
@@ -87,7 +87,7 @@
 func (r *Router) usable(service string, a PathRequest, now time.Time, suspects bool) []*target {
 	var usable []*target
 	for _, t := range r.members[service] {
-		if !t.acceptsWork() || t.backoff.holds(now) || t.silent && !slices.Contains(a.Only, t.ID) || t.moving || now.Before(t.refusedUntil) || a.avoids(t.ID) {
+		if !t.acceptsWork() || t.backoff.active(now) || t.silent && !slices.Contains(a.Only, t.ID) || t.moving || now.Before(t.refusedUntil) || a.avoids(t.ID) {
 			continue
 		}
 		if !suspects && now.Before(t.suspectUntil) {
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -45,31 +45,31 @@
 		return c
 	}
 	sum := Capacity{Answers: c.Answers + o.Answers, Rate: c.Rate + o.Rate, Copies: min(c.Copies, o.Copies)}
-	sum.Time = littleTime(sum.Answers, sum.Rate)
+	sum.Time = answerTime(sum.Answers, sum.Rate)
 	return sum
 }
 
-// littleTime returns the time of an answer by Little's law.
-func littleTime(answers, rate float64) time.Duration {
-	return time.Duration(min(answers/rate, hourSeconds) * float64(time.Second))
+// answerTime returns the time of an answer by Little's law.
+func answerTime(answers, rate float64) time.Duration {
+	return time.Duration(min(answers/rate, maxAnswerSeconds) * float64(time.Second))
 }
 
-// hourSeconds bounds the time of an answer, which would be infinite for a model without a
+// maxAnswerSeconds bounds the time of an answer, which would be infinite for a model without a
 // rate.
-const hourSeconds = 3600
+const maxAnswerSeconds = 3600
 
 // engineGroup is a number of engines of one kind that hold the same layers.
 type engineGroup struct {
 	kind   *Accelerator
 	layers config.Range
 	count  int
-	// room is what each of them adds at each of its layers.
-	room room
+	// perLayer is what each of them adds at each of its layers.
+	perLayer layerCapacity
 }
 
-// room is the memory at one layer, in usual requests, and the time that a step of one of
+// layerCapacity is the memory at one layer, in answers to usual requests, and the time that a step of one of
 // them takes there, in nanoseconds.
-type room struct{ answers, step float64 }
+type layerCapacity struct{ answers, step float64 }
 
 // groupsOf groups the engines that hold layers, the fastest kinds first.
 func (e *Engine) groupsOf(units []unit) []engineGroup {
@@ -79,7 +79,7 @@
 			all = e.addToGroup(all, &u.kind, u.target.Layers, 1)
 		}
 	}
-	return sortByPace(all)
+	return sortBySpeed(all)
 }
 
 // addToGroup adds engines to the group that they belong to.
@@ -90,12 +90,12 @@
 			return all
 		}
 	}
-	return append(all, engineGroup{kind: kind, layers: layers, count: count, room: e.roomOf(kind, layers.Len())})
+	return append(all, engineGroup{kind: kind, layers: layers, count: count, perLayer: e.layerCapacityOf(kind, layers.Len())})
 }
 
-// sortByPace sorts groups by speed.
-func sortByPace(all []engineGroup) []engineGroup {
-	slices.SortStableFunc(all, func(a, b engineGroup) int { return cmp.Compare(a.kind.Pace, b.kind.Pace) })
+// sortBySpeed sorts groups by speed.
+func sortBySpeed(all []engineGroup) []engineGroup {
+	slices.SortStableFunc(all, func(a, b engineGroup) int { return cmp.Compare(a.kind.StepFactor, b.kind.StepFactor) })
 	return all
 }
 
@@ -107,32 +107,34 @@
 // answersAt returns the mean number of usual requests in progress that one engine has
 // memory for.
 func (e *Engine) answersAt(kind Accelerator, layers int) float64 {
-	most := max(maxMemoryShare*float64(e.tokens(kind, layers))/e.usual(), 0)
+	most := max(maxMemoryShare*float64(e.tokens(kind, layers))/e.usualTokens(), 0)
 	return max(most-headroomDeviations*math.Sqrt(most), 0)
 }
 
-// usual returns the number of tokens of a usual request.
-func (e *Engine) usual() float64 { return float64(max(e.UsualPrompt+e.UsualAnswer, 1)) }
+// usualTokens returns the number of tokens of a usual request.
+func (e *Engine) usualTokens() float64 { return float64(max(e.UsualPrompt+e.UsualAnswer, 1)) }
 
-// roomOf returns what an engine with this many layers adds at each of them. A transfer
+// layerCapacityOf returns what an engine with this many layers adds at each of them. A transfer
 // between engines happens once for each stride of steps and is divided among the layers.
-func (e *Engine) roomOf(kind *Accelerator, layers int) room {
+func (e *Engine) layerCapacityOf(kind *Accelerator, layers int) layerCapacity {
 	answers := e.answersAt(*kind, layers)
 	step := float64(e.StepBase) + answers*e.perAnswer()
 	way := float64(sameHallDelay) / float64(max(e.Stride, 1)) / float64(layers)
-	return room{answers: answers, step: waitMultiple*step*kind.Pace/float64(e.Layers) + way}
+	return layerCapacity{answers: answers, step: waitMultiple*step*kind.StepFactor/float64(e.Layers) + way}
 }
 
 // estimator computes the capacity of engines. It reuses its buffers from one plan to the
 // next, since a search evaluates about a thousand plans.
 type estimator struct {
-	engine *Engine
-	at     []int
-	spans  []layerSpan
-	rooms  []room
+	engine    *Engine
+	spanIndex []int
+	spans     []layerSpan
+	buffer    []layerCapacity
 }
 
-func newEstimator(e *Engine) *estimator { return &estimator{engine: e, at: make([]int, e.Layers+1)} }
+func newEstimator(e *Engine) *estimator {
+	return &estimator{engine: e, spanIndex: make([]int, e.Layers+1)}
+}
 
 // capacity returns the capacity of the engines of one hall, which are given in order of
 // speed.
@@ -144,14 +146,14 @@
 	copies := math.MaxInt
 	spans := g.spansOf(held)
 	for _, s := range spans {
-		most = min(most, answersIn(s.rooms))
+		most = min(most, answersIn(s.holders))
 		copies = min(copies, s.copies)
 	}
 	if most <= 0 {
 		return Capacity{}
 	}
 	c := Capacity{Answers: most, Rate: e.rateOf(spans, most), Copies: copies}
-	c.Time = littleTime(c.Answers, c.Rate)
+	c.Time = answerTime(c.Answers, c.Rate)
 	return c
 }
 
@@ -160,101 +162,102 @@
 	total := 0.0
 	for _, l := range held {
 		if l.layers.First == 0 {
-			total += float64(l.count) * min(l.room.answers, float64(e.Slots))
+			total += float64(l.count) * min(l.perLayer.answers, float64(e.Slots))
 		}
 	}
 	return total
 }
 
-// layerSpan is a run of layers that the same engines hold.
+// layerSpan is a run of layers that the same engines hold. holders has one element for each group
+// of engines that holds it.
 type layerSpan struct {
-	layers int
-	copies int
-	rooms  []room
+	layers  int
+	copies  int
+	holders []layerCapacity
 }
 
 // spansOf divides the layers at the ends of ranges and returns the spans in order. The
 // result is valid until the next call.
 func (g *estimator) spansOf(held []engineGroup) []layerSpan {
-	count := g.number(held)
+	count := g.numberSpans(held)
 	g.spans = slices.Grow(g.spans[:0], count)[:count]
 	clear(g.spans)
-	for _, i := range g.at[:g.engine.Layers] {
+	for _, i := range g.spanIndex[:g.engine.Layers] {
 		g.spans[i].layers++
 	}
 	entries := 0
 	for _, l := range held {
-		entries += g.at[l.layers.Last] - g.at[l.layers.First]
+		entries += g.spanIndex[l.layers.Last] - g.spanIndex[l.layers.First]
 	}
-	g.rooms = slices.Grow(g.rooms[:0], entries)[:entries]
-	g.allocateRooms(held)
+	g.buffer = slices.Grow(g.buffer[:0], entries)[:entries]
+	g.allocateHolders(held)
 	for _, l := range held {
-		r := room{answers: float64(l.count) * l.room.answers, step: l.room.step}
-		for i := g.at[l.layers.First]; i < g.at[l.layers.Last] && l.count > 0; i++ {
-			g.spans[i].rooms = append(g.spans[i].rooms, r)
+		r := layerCapacity{answers: float64(l.count) * l.perLayer.answers, step: l.perLayer.step}
+		for i := g.spanIndex[l.layers.First]; i < g.spanIndex[l.layers.Last] && l.count > 0; i++ {
+			g.spans[i].holders = append(g.spans[i].holders, r)
 			g.spans[i].copies += l.count
 		}
 	}
 	return g.spans
 }
 
-// number assigns each layer the index of its span and returns the number of spans.
-func (g *estimator) number(held []engineGroup) int {
-	clear(g.at)
+// numberSpans assigns each layer the index of its span and returns the number of spans.
+func (g *estimator) numberSpans(held []engineGroup) int {
+	clear(g.spanIndex)
 	for _, l := range held {
-		g.at[l.layers.First], g.at[l.layers.Last] = 1, 1
+		g.spanIndex[l.layers.First], g.spanIndex[l.layers.Last] = 1, 1
 	}
-	g.at[0] = 0
+	g.spanIndex[0] = 0
 	count := 0
-	for i := range g.at {
-		count += g.at[i]
-		g.at[i] = count
+	for i := range g.spanIndex {
+		count += g.spanIndex[i]
+		g.spanIndex[i] = count
 	}
-	if layers := g.engine.Layers; g.at[layers] == g.at[layers-1] {
+	if layers := g.engine.Layers; g.spanIndex[layers] == g.spanIndex[layers-1] {
 		// No engine holds the last layers.
-		g.at[layers]++
+		g.spanIndex[layers]++
 	}
-	return g.at[g.engine.Layers]
+	return g.spanIndex[g.engine.Layers]
 }
 
-// allocateRooms gives each span its part of the buffer for rooms.
-func (g *estimator) allocateRooms(held []engineGroup) {
+// allocateHolders gives each span its part of the buffer for holders.
+func (g *estimator) allocateHolders(held []engineGroup) {
 	sizes := make([]int, len(g.spans))
 	for _, l := range held {
-		for i := g.at[l.layers.First]; i < g.at[l.layers.Last]; i++ {
+		for i := g.spanIndex[l.layers.First]; i < g.spanIndex[l.layers.Last]; i++ {
 			sizes[i]++
 		}
 	}
 	from := 0
 	for i, n := range sizes {
-		g.spans[i].rooms = g.rooms[from : from : from+n]
+		g.spans[i].holders = g.buffer[from : from : from+n]
 		from += n
 	}
 }
 
-func answersIn(rooms []room) float64 {
+func answersIn(holders []layerCapacity) float64 {
 	total := 0.0
-	for _, r := range rooms {
+	for _, r := range holders {
 		total += r.answers
 	}
 	return total
 }
 
-// shares is the number of equal shares into which the answers in progress are divided. Each
+// rateShares is the number of equal shares into which the answers in progress are divided. Each
 // share counts with the time of its slowest answer, so the rate is a lower bound that is
 // too low by at most the rate of one share.
-const shares = 16
+const rateShares = 16
 
 // rateOf returns the rate at which the given number of answers in progress end.
 func (e *Engine) rateOf(spans []layerSpan, answers float64) float64 {
-	var steps [shares]float64
+	var steps [rateShares]float64
 	for _, s := range spans {
-		addStepTimes(&steps, s, answers/shares)
+		addStepTimes(&steps, s, answers/rateShares)
 	}
 	rate := 0.0
 	for _, step := range steps {
 		seconds := step * float64(max(e.UsualAnswer, 1)) / float64(time.Second)
-		rate += answers / shares / max(seconds, 1/maxRate)
+		rate += answers / rateShares / max(seconds, 1/maxRate)
 	}
 	return rate
 }
@@ -267,38 +270,38 @@
 
 // addStepTimes adds the time of a step over a span to that of each share of the answers.
 // The first shares use the fastest engines.
-func addStepTimes(steps *[shares]float64, s layerSpan, share float64) {
-	at, upto := 0, s.rooms[0].answers
+func addStepTimes(steps *[rateShares]float64, s layerSpan, share float64) {
+	at, upto := 0, s.holders[0].answers
 	for k := range steps {
 		place := share * float64(k+1)
-		for place > upto*(1+rounding) && at+1 < len(s.rooms) {
+		for place > upto*(1+rounding) && at+1 < len(s.holders) {
 			at++
-			upto += s.rooms[at].answers
+			upto += s.holders[at].answers
 		}
-		steps[k] += float64(s.layers) * s.rooms[at].step
+		steps[k] += float64(s.layers) * s.holders[at].step
 	}
 }
 
-// lossesBorne is the number of engines of a hall whose loss a plan is made to bear.
-const lossesBorne = 3
+// plannedLosses is the number of engines of a hall whose loss a plan is made to bear.
+const plannedLosses = 3
 
-// maxEnginesForLosses is the size of a hall above which losses are not tried: lossesBorne
+// maxEnginesForLosses is the size of a hall above which losses are not tried: plannedLosses
 // out of more than 200 engines are less than 2 in 100.
 const maxEnginesForLosses = 200
 
-// afterLosses returns the capacity of a hall with 0, 1 and up to lossesBorne engines lost.
+// afterLosses returns the capacity of a hall with 0, 1 and up to plannedLosses engines lost.
 // Each step loses the engine whose loss costs most of those that are tried.
-func (g *estimator) afterLosses(held []engineGroup) [lossesBorne + 1]Capacity {
-	var all [lossesBorne + 1]Capacity
+func (g *estimator) afterLosses(held []engineGroup) [plannedLosses + 1]Capacity {
+	var all [plannedLosses + 1]Capacity
 	all[0] = g.capacity(held)
 	left := slices.Clone(held)
-	for n := 1; n <= lossesBorne && all[n-1].Answers > 0; n++ {
+	for n := 1; n <= plannedLosses && all[n-1].Answers > 0; n++ {
 		worst := -1
 		for _, i := range g.engine.criticalGroups(left) {
 			left[i].count--
 			c := g.capacity(left)
 			if c.Answers == 0 && n == 1 {
-				c = g.restored(left)
+				c = g.capacityAfterRepair(left)
 			}
 			left[i].count++
 			if worst < 0 || c.Rate < all[n].Rate {
@@ -310,9 +313,9 @@
 	return all
 }
 
-// restored returns the capacity of a hall that lacks layers after its own engines have
-// taken them over, reduced for the time that this takes.
-func (g *estimator) restored(held []engineGroup) Capacity {
+// capacityAfterRepair returns the capacity that a hall that lacks layers has once its own engines
+// have taken them over, times repairedShare for the time that this takes.
+func (g *estimator) capacityAfterRepair(held []engineGroup) Capacity {
 	e := g.engine
 	units := unitsOf(held)
 	if len(units) == 0 {
@@ -327,8 +330,8 @@
 		units[i].target.Layers = m.Layers
 	}
 	c := g.capacity(e.groupsOf(units))
-	c.Answers *= restoredPart
-	c.Rate *= restoredPart
+	c.Answers *= repairedShare
+	c.Rate *= repairedShare
 	return c
 }
 
@@ -344,9 +347,9 @@
 	return units
 }
 
-// lossesTried bounds the number of groups for which the loss of one engine is tried. Groups
+// maxLossCandidates bounds the number of groups for which the loss of one engine is tried. Groups
 // with the only holder of a layer are tried in any case.
-const lossesTried = 8
+const maxLossCandidates = 8
 
 // criticalGroups returns indices of groups, the most critical first: those where the loss
 // of one engine leaves the least memory at some layer. Every group with the only holder of
@@ -356,7 +359,7 @@
 	copies := make([]int, e.Layers)
 	for _, l := range held {
 		for i := l.layers.First; i < l.layers.Last; i++ {
-			level[i] += l.room.answers * float64(l.count)
+			level[i] += l.perLayer.answers * float64(l.count)
 			copies[i] += l.count
 		}
 	}
@@ -368,14 +371,14 @@
 			continue
 		}
 		order = append(order, i)
-		left[i] = slices.Min(level[l.layers.First:l.layers.Last]) - l.room.answers
+		left[i] = slices.Min(level[l.layers.First:l.layers.Last]) - l.perLayer.answers
 		if slices.Min(copies[l.layers.First:l.layers.Last]) == 1 {
 			left[i] = -1
 			alone++
 		}
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(left[a], left[b]) })
-	return order[:min(len(order), max(lossesTried, alone))]
+	return order[:min(len(order), max(maxLossCandidates, alone))]
 }
 
 // addLevel adds answers at each layer of a range.
@@ -385,9 +388,9 @@
 	}
 }
 
-// restoredPart is the part of its restored capacity that a hall counts for if it lacks
-// layers and can get them back from its own engines: loads take seconds.
-const restoredPart = 0.5
+// repairedShare is the share that counts of the capacity of a hall that lacks layers and gets
+// them back from its own engines: loads take seconds.
+const repairedShare = 0.5
 
 // planScore is what plans for a hall are compared by.
 type planScore struct {
@@ -395,7 +398,7 @@
 	// engine, or gets it back from its own engines.
 	survivesLoss bool
 	// fullRate is the rate with all engines, and meanRate the mean of the rates after the
-	// loss of 0, 1 and up to lossesBorne engines.
+	// loss of 0, 1 and up to plannedLosses engines.
 	fullRate, meanRate float64
 }
 
@@ -414,5 +417,5 @@
 	for _, c := range all {
 		total += c.Rate
 	}
-	return planScore{survivesLoss: all[1].Rate > 0, fullRate: all[0].Rate, meanRate: total / (lossesBorne + 1)}
+	return planScore{survivesLoss: all[1].Rate > 0, fullRate: all[0].Rate, meanRate: total / (plannedLosses + 1)}
 }
--- a/internal/relay/capacity_test.go
+++ b/internal/relay/capacity_test.go
@@ -39,9 +39,9 @@
 	e := engine()
 	e.TokenBytes, e.StepBase, e.Stride, e.UsualPrompt, e.UsualAnswer = 492000, 1020*time.Microsecond, 5, 770, 230
 	e.Accelerators = []relay.Accelerator{
-		{Name: "large", Bytes: 72000e6, Pace: 2.4, Read: 3.2},
-		{Name: "quick", Bytes: 14400e6, Pace: 5.3, Read: 7.9},
-		{Name: "slow", Bytes: 21600e6, Pace: 16, Read: 8.2},
+		{Name: "large", Bytes: 72000e6, StepFactor: 2.4, ReadFactor: 3.2},
+		{Name: "quick", Bytes: 14400e6, StepFactor: 5.3, ReadFactor: 7.9},
+		{Name: "slow", Bytes: 21600e6, StepFactor: 16, ReadFactor: 8.2},
 	}
 	return e
 }
--- a/internal/relay/chain.go
+++ b/internal/relay/chain.go
@@ -67,7 +67,7 @@
 	for surplus := sum(sizes) - layers; surplus > 0; surplus-- {
 		slowest := slices.IndexFunc(sizes, func(n int) bool { return n > 0 })
 		for i := range sizes {
-			if sizes[i] > 0 && float64(sizes[i])*group[i].kind.Pace > float64(sizes[slowest])*group[slowest].kind.Pace {
+			if sizes[i] > 0 && float64(sizes[i])*group[i].kind.StepFactor > float64(sizes[slowest])*group[slowest].kind.StepFactor {
 				slowest = i
 			}
 		}
--- a/internal/relay/document.go
+++ b/internal/relay/document.go
@@ -88,13 +88,13 @@
 	// TokenBytes is the memory of one token over all layers.
 	TokenBytes float64
 	// StepBase, StepPerRequest and StepPerKilotoken add up to the time of one step over all
-	// layers at pace 1: a constant, a part for each request that writes, and a part for
+	// layers at a StepFactor of 1: a constant, a part for each request that writes, and a part for
 	// each 1,000 tokens of context.
 	StepBase         time.Duration
 	StepPerRequest   time.Duration
 	StepPerKilotoken time.Duration
 	// ReadPerSecond is the number of prompt tokens read in a second over all layers, at a
-	// reading factor of 1.
+	// ReadFactor of 1.
 	ReadPerSecond float64
 	// Chunk bounds the prompt tokens that an engine reads in one pass, and Stride is the
 	// number of steps in a pass of requests that write.
@@ -109,10 +109,12 @@
 	// requests.
 	ActivationBytes float64
 	PipeBits        float64
-	UsualPrompt     int
-	UsualAnswer     int
-	Accelerators    []Accelerator
-	Delays          []HallDelay
+	// UsualPrompt and UsualAnswer are the lengths of the prompt and the answer of a usual
+	// request, in tokens.
+	UsualPrompt  int
+	UsualAnswer  int
+	Accelerators []Accelerator
+	Delays       []HallDelay
 }
 
 // Accelerator is a kind of engine hardware.
@@ -120,15 +122,15 @@
 	Name string
 	// Bytes is the memory for weights and requests together.
 	Bytes float64
-	// Pace multiplies the time of steps, and Read the time of reading prompts.
-	Pace float64
-	Read float64
+	// StepFactor multiplies the time of steps, and Read the time of reading prompts.
+	StepFactor float64
+	ReadFactor float64
 }
 
 // Slowed returns the accelerator of an engine whose work takes the given factor longer.
 func (a Accelerator) Slowed(times float64) Accelerator {
-	a.Pace *= times
-	a.Read *= times
+	a.StepFactor *= times
+	a.ReadFactor *= times
 	return a
 }
 
--- a/internal/relay/fault.go
+++ b/internal/relay/fault.go
@@ -29,8 +29,8 @@
 	add(e.Slots <= 0, "slots", "are not above 0")
 	add(e.UsualPrompt+e.UsualAnswer <= 0, "usual prompt and answer", "add up to no token")
 	for _, a := range e.Accelerators {
-		add(a.Pace <= 0 || a.Read <= 0, "kind "+a.Name, "has a pace or a reading factor that is not above 0")
-		add(e.layersFor(a, int(e.usual())) <= 0, "kind "+a.Name, "has no memory for one layer and a usual request")
+		add(a.StepFactor <= 0 || a.ReadFactor <= 0, "kind "+a.Name, "has a pace or a reading factor that is not above 0")
+		add(e.layersFor(a, int(e.usualTokens())) <= 0, "kind "+a.Name, "has no memory for one layer and a usual request")
 	}
 	return append(faults, e.fleetFaults(targets)...)
 }
@@ -46,7 +46,7 @@
 			unknown = append(unknown, t.Accelerator)
 			continue
 		}
-		room += e.layersFor(kind, int(e.usual()))
+		room += e.layersFor(kind, int(e.usualTokens()))
 	}
 	slices.Sort(unknown)
 	for _, name := range slices.Compact(unknown) {
--- a/internal/relay/fault_test.go
+++ b/internal/relay/fault_test.go
@@ -29,7 +29,7 @@
 		{"no step", "time of a step", func(e *relay.Engine) { e.StepBase = 0 }, false},
 		{"no slots", "slots", func(e *relay.Engine) { e.Slots = 0 }, false},
 		{"no usual request", "usual prompt and answer", func(e *relay.Engine) { e.UsualPrompt, e.UsualAnswer = 0, 0 }, false},
-		{"no pace", "kind tiny", func(e *relay.Engine) { e.Accelerators[3].Pace = 0 }, false},
+		{"no pace", "kind tiny", func(e *relay.Engine) { e.Accelerators[3].StepFactor = 0 }, false},
 		{"no memory beside a layer", "kind large", func(e *relay.Engine) { e.LayerBytes = 72000e6 }, true},
 		{"kinds that no engine has", "kinds", func(e *relay.Engine) { e.Accelerators = e.Accelerators[:3] }, false},
 		{"no kinds", "kinds", func(e *relay.Engine) { e.Accelerators = nil }, true},
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -26,10 +26,10 @@
 	}
 	for i := range rapid.IntRange(0, 4).Draw(t, "kinds") {
 		e.Accelerators = append(e.Accelerators, relay.Accelerator{
-			Name:  fmt.Sprintf("k%d", i),
-			Bytes: rapid.SampledFrom([]float64{0, 1e9, 14400e6, 72000e6, 1e15}).Draw(t, "bytes"),
-			Pace:  rapid.SampledFrom([]float64{0, 1, 5.3, 16}).Draw(t, "pace"),
-			Read:  rapid.SampledFrom([]float64{0, 1, 15}).Draw(t, "read_x"),
+			Name:       fmt.Sprintf("k%d", i),
+			Bytes:      rapid.SampledFrom([]float64{0, 1e9, 14400e6, 72000e6, 1e15}).Draw(t, "bytes"),
+			StepFactor: rapid.SampledFrom([]float64{0, 1, 5.3, 16}).Draw(t, "pace"),
+			ReadFactor: rapid.SampledFrom([]float64{0, 1, 15}).Draw(t, "read_x"),
 		})
 	}
 	return e
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -80,8 +80,8 @@
 }
 
 const (
-	// slowThreshold is how many times longer than usual the steps of an engine take that counts
-	// as slow: at twice, it serves half as much as it is planned for.
+	// slowThreshold is the factor from which on an engine counts as slow whose steps take that many
+	// times longer than usual: at 2 it serves half as much as it is planned for.
 	slowThreshold = 2.0
 	// forwardedSlowdown is the slowdown of an engine that has reported to another VM that it is
 	// slow: the update does not contain by how much.
@@ -105,9 +105,9 @@
 	return due
 }
 
-// SetPace records how many times longer than usual the steps of an engine take, as it reports.
-// It does not count as lost: what it holds stays where it is.
-func (r *Router) SetPace(id TargetID, pace float64, now time.Time) {
+// RecordSlowdown records how many times longer than usual the steps of an engine take, as it reports.
+// A slow engine does not count as lost, and keeps its layers.
+func (r *Router) RecordSlowdown(id TargetID, pace float64, now time.Time) {
 	t, ok := r.targets[id]
 	if !ok || now.Before(t.slowUntil.Add(-slowRecheckLead)) || !r.settings.Policy.Has(SlowEngines) {
 		return
--- a/internal/relay/herd_test.go
+++ b/internal/relay/herd_test.go
@@ -96,7 +96,7 @@
 		h.refused++
 		return
 	}
-	h.routers[vm].Begun(path)
+	h.routers[vm].RecordBegun(path)
 	h.first[path.Stages[0].Target]++
 	full := false
 	for _, s := range path.Stages {
--- a/internal/relay/lender.go
+++ b/internal/relay/lender.go
@@ -100,9 +100,10 @@
 	Answer LimitAnswer
 	// Wanted counts the requests of the last second that wanted the target.
 	Wanted int
-	// Left is the permits that it holds, and Taken the number of the last grant it accepted.
-	Left  int
-	Taken uint64
+	// Left is the permits that it holds, and LastGrant the number of the last grant that
+	// it accepted.
+	Left      int
+	LastGrant uint64
 	// Unpaid counts what it has sent without a permit since it began to keep the limit, and
 	// Returned the permits that it has given back unused.
 	Unpaid, Returned uint64
@@ -271,7 +272,8 @@
 	l.clampToBurst()
 }
 
-// sweep removes what holders have had for too long.
+// sweep removes the holders whose permits have all expired, and demand that was reported longer
+// than demandWindow ago.
 func (l *sharedLimit[Holder]) sweep(now time.Time) {
 	for h, held := range l.holders {
 		if !now.Before(held.until) {
@@ -306,7 +308,7 @@
 	before := held.outstanding()
 	held.number = number
 	held.left = request.Left
-	held.unacknowledged = slices.DeleteFunc(held.unacknowledged, func(g pendingGrant) bool { return g.number <= request.Taken })
+	held.unacknowledged = slices.DeleteFunc(held.unacknowledged, func(g pendingGrant) bool { return g.number <= request.LastGrant })
 	// No more than the decrease since: a request that arrives twice may contain returns that were
 	// counted the first time.
 	decrease := max(before-held.outstanding(), 0)
--- a/internal/relay/limits.go
+++ b/internal/relay/limits.go
@@ -38,8 +38,8 @@
 	answer LimitAnswer
 	// perSecond is the limit that was last received from the target or the leader.
 	perSecond float64
-	// knownUntil is until when what the leader has reported counts, unless marked is set: the
-	// leader marks the target as limited.
+	// knownUntil is when the limit that the leader has last reported expires. marked is set while
+	// the leader marks the target as limited, which has no expiry.
 	knownUntil time.Time
 	marked     bool
 	heldPermits
@@ -299,7 +299,7 @@
 			m.returned += uint64(m.left - wanted)
 			m.left = wanted
 		}
-		requests = append(requests, PermitRequest{Target: key, Answer: m.answer, Wanted: wanted, Left: m.left + m.reserved, Taken: m.lastGrant, Unpaid: m.unpaid, Returned: m.returned})
+		requests = append(requests, PermitRequest{Target: key, Answer: m.answer, Wanted: wanted, Left: m.left + m.reserved, LastGrant: m.lastGrant, Unpaid: m.unpaid, Returned: m.returned})
 	}
 	slices.SortFunc(requests, func(a, b PermitRequest) int { return cmp.Compare(a.Target, b.Target) })
 	if len(requests) > maxPermitRequests {
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -98,7 +98,7 @@
 	r.UpdateTargets(replicatedEngines())
 	path := choose(t, r, ask(route), start)
 	slow := path.Stages[1].Target
-	r.SetPace(slow, 12, start)
+	r.RecordSlowdown(slow, 12, start)
 	for range 20 {
 		require.False(t, choose(t, r, ask(route), start).Includes(slow))
 	}
@@ -111,10 +111,10 @@
 
 	soon := start.Add(800 * time.Millisecond)
 	require.Len(t, r.SlowEnginesToCheck(soon), 1, "it is checked before it is used again")
-	r.SetPace(slow, 12, soon)
+	r.RecordSlowdown(slow, 12, soon)
 	_, is = r.SlowStage(path, start.Add(2*time.Second))
 	require.True(t, is, "found slow again, it is avoided for longer")
-	r.SetPace(slow, 1, start.Add(2700*time.Millisecond))
+	r.RecordSlowdown(slow, 1, start.Add(2700*time.Millisecond))
 	_, is = r.SlowStage(path, start.Add(2700*time.Millisecond))
 	require.False(t, is)
 }
@@ -123,7 +123,7 @@
 func TestSlowEngineWithoutSubstituteServes(t *testing.T) {
 	r, route := newRouter(nil)
 	r.UpdateTargets(enginesHolding("large", config.Range{First: 0, Last: 30}, config.Range{First: 30, Last: 55}, config.Range{First: 55, Last: 80}))
-	r.SetPace("a-large-1", 12, start)
+	r.RecordSlowdown("a-large-1", 12, start)
 	require.True(t, choose(t, r, ask(route), start).Includes("a-large-1"))
 }
 
@@ -132,8 +132,8 @@
 	r, _ := newRouter(nil)
 	r.UpdateTargets(replicatedEngines())
 	for _, pace := range []float64{0, -1, 0.2, 1} {
-		r.SetPace("a-large-0", pace, start)
+		r.RecordSlowdown("a-large-0", pace, start)
 		require.Empty(t, r.Findings(start).Slow, "pace %g", pace)
 	}
-	r.SetPace("i-unknown", 12, start)
+	r.RecordSlowdown("i-unknown", 12, start)
 }
--- a/internal/relay/path.go
+++ b/internal/relay/path.go
@@ -268,8 +268,8 @@
 }
 
 // admissionFraction returns a number from 0 to 1 that is fixed for this VM and target. If
-// it were drawn anew for each request, a VM without room would get it after a few more
-// requests.
+// it were drawn anew for each request, a VM that the draw left without room would be given
+// room by one of its next few requests.
 func (r *Router) admissionFraction(t *target) float64 {
 	return rand.New(rand.NewPCG(r.settings.Seed, uint64(t.key))).Float64()
 }
@@ -308,12 +308,12 @@
 	share := layers / float64(e.Layers)
 	context := float64(load.Tokens)/layers + float64(a.Prompt)
 	step := float64(e.StepBase) + float64(e.StepPerRequest)*float64(load.Requests+1) + float64(e.StepPerKilotoken)*context/1000
-	read := float64(time.Second) * float64(a.Prompt) / max(e.ReadPerSecond, 1) * kind.Read
+	read := float64(time.Second) * float64(a.Prompt) / max(e.ReadPerSecond, 1) * kind.ReadFactor
 	use := (float64(load.Tokens) + float64(a.memoryTokens())*layers) / float64(max(e.tokenLayers(kind, t.Layers.Len()), 1))
 	weight := r.costWeight(t, use)
 	c := candidate{
 		target:   t,
-		perLayer: weight * (read + float64(a.answer)*step*kind.Pace) / float64(e.Layers),
+		perLayer: weight * (read + float64(a.answer)*step*kind.StepFactor) / float64(e.Layers),
 		pass:     e.passOf(kind, load, t.Layers.Len()),
 	}
 	if r.settings.Policy.Has(UnreadPrompts) {
@@ -341,7 +341,7 @@
 func (e *Engine) readRate(kind Accelerator, load Work, share float64) float64 {
 	context := float64(load.Tokens) / (share * float64(e.Layers))
 	step := float64(e.StepBase) + float64(e.StepPerRequest)*float64(load.Requests) + float64(e.StepPerKilotoken)*context/1000
-	pass := share * (float64(e.Stride)*step*kind.Pace + float64(time.Second)*float64(e.Chunk)/max(e.ReadPerSecond, 1)*kind.Read)
+	pass := share * (float64(e.Stride)*step*kind.StepFactor + float64(time.Second)*float64(e.Chunk)/max(e.ReadPerSecond, 1)*kind.ReadFactor)
 	return float64(max(e.Chunk, 1)) / max(pass, 1)
 }
 
--- a/internal/relay/pause.go
+++ b/internal/relay/pause.go
@@ -25,8 +25,9 @@
 	// meanPauseShare is the part of a route's bound on pauses that the mean pause may take: the
 	// worst pause of an answer is twice its mean.
 	meanPauseShare = 0.5
-	// minHeadroom is the part of that which an empty path must leave for others to count as one
-	// whose answers can be in time.
+	// minHeadroom is the part of that time by which the mean pause on an empty path must be
+	// shorter, so that other requests can be admitted, for its answers to count as able to be
+	// in time.
 	minHeadroom = 0.2
 	// maxEmptyMultiple is how many times longer than on an empty path pauses may get where none
 	// is in time: an engine whose steps take twice as long as empty ones serves half of what it
@@ -110,7 +111,7 @@
 // passOf returns the time of a pass over one layer, at the load of a target and empty.
 func (e *Engine) passOf(kind Accelerator, load Work, layers int) passTimes {
 	context := float64(load.Tokens) / max(float64(layers), 1)
-	steps := float64(max(e.Stride, 1)) * kind.Pace / float64(max(e.Layers, 1))
+	steps := float64(max(e.Stride, 1)) * kind.StepFactor / float64(max(e.Layers, 1))
 	empty := float64(e.StepBase)
 	loaded := empty + float64(e.StepPerRequest)*float64(load.Requests+1) + float64(e.StepPerKilotoken)*context/1000
 	return passTimes{loaded: time.Duration(math.Ceil(steps * loaded)), empty: time.Duration(math.Ceil(steps * empty))}
--- a/internal/relay/permits.go
+++ b/internal/relay/permits.go
@@ -22,8 +22,9 @@
 	// urgencyRanks is the number of ranks of waiting requests: streams in mid-answer, and the
 	// classes of the others.
 	urgencyRanks = 12
-	// maxReturnDelay bounds the time after which a caller that found no permit comes back, of
-	// which minReturnSpread is the least: what is known of limits is out of date by then.
+	// maxReturnDelay is the longest time after which a caller that found no permit is asked to
+	// come back, and minReturnSpread the shortest: after maxReturnDelay, what is known of limits
+	// is out of date.
 	maxReturnDelay = 10 * time.Second
 )
 
@@ -228,6 +229,6 @@
 		return false
 	}
 	return slices.ContainsFunc(r.members[service], func(t *target) bool {
-		return r.limits.get(t.key).limited(now) && t.canStartRequests() && !t.backoff.holds(now) && a.mayStartOn(t.ID) && !a.avoids(t.ID)
+		return r.limits.get(t.key).limited(now) && t.canStartRequests() && !t.backoff.active(now) && a.mayStartOn(t.ID) && !a.avoids(t.ID)
 	})
 }
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -54,8 +54,8 @@
 type unit struct {
 	target Target
 	kind   Accelerator
-	// fresh is set if the engine was assigned its layers in this plan.
-	fresh bool
+	// newlyAssigned is set if the engine was assigned its layers in this plan.
+	newlyAssigned bool
 }
 
 // Plan returns the layers that engines without any should hold. The targets are those of
@@ -89,17 +89,17 @@
 	if !p.Has(RepairMoves) {
 		return more
 	}
-	return append(more, e.repair(assumed(holding, empty, more))...)
+	return append(more, e.repair(withAssignments(holding, empty, more))...)
 }
 
-// assumed returns the engines that hold layers after the assignments are carried out.
-func assumed(holding, empty []unit, more []Assignment) []unit {
+// withAssignments returns the engines that hold layers after the assignments are carried out.
+func withAssignments(holding, empty []unit, more []Assignment) []unit {
 	all := slices.Clone(holding)
 	for _, u := range empty {
 		for _, a := range more {
 			if a.Target == u.target.ID {
 				u.target.Layers = a.Layers
-				u.fresh = true
+				u.newlyAssigned = true
 				all = append(all, u)
 			}
 		}
@@ -128,10 +128,10 @@
 		here = all
 	}
 	if len(here) == 0 {
-		return int(e.usual())
+		return int(e.usualTokens())
 	}
 	slices.Sort(here)
-	return max(int(memoryTolerance*float64(here[int(lowMemoryShare*float64(len(here)))])), int(e.usual()))
+	return max(int(memoryTolerance*float64(here[int(lowMemoryShare*float64(len(here)))])), int(e.usualTokens()))
 }
 
 const (
@@ -235,7 +235,7 @@
 // possible, then by name.
 func compareUnits(a, b unit) int {
 	return cmp.Or(
-		cmp.Compare(a.kind.Pace, b.kind.Pace),
+		cmp.Compare(a.kind.StepFactor, b.kind.StepFactor),
 		cmp.Compare(a.kind.Name, b.kind.Name),
 		cmp.Compare(a.target.Hall, b.target.Hall),
 		cmp.Compare(a.target.ID, b.target.ID),
@@ -304,7 +304,7 @@
 func addRate(rates []float64, u unit, weight float64) {
 	layers := u.target.Layers
 	for i := layers.First; i < min(layers.Last, len(rates)); i++ {
-		rates[i] += weight / (u.kind.Pace * float64(layers.Len()))
+		rates[i] += weight / (u.kind.StepFactor * float64(layers.Len()))
 	}
 }
 
--- a/internal/relay/plan_test.go
+++ b/internal/relay/plan_test.go
@@ -22,10 +22,10 @@
 		StepBase: 850 * time.Microsecond, StepPerRequest: 3820, StepPerKilotoken: 5120,
 		ReadPerSecond: 196000, Chunk: 512, Stride: 2, ActivationBytes: 29500, PipeBits: 9e9, Load: 14 * time.Second, LoadsAtOnce: 6, UsualPrompt: 772, UsualAnswer: 172,
 		Accelerators: []relay.Accelerator{
-			{Name: "large", Bytes: 72000e6, Pace: 1.4, Read: 1},
-			{Name: "middle", Bytes: 36000e6, Pace: 3.1, Read: 3.2},
-			{Name: "small", Bytes: 21600e6, Pace: 16, Read: 8.2},
-			{Name: "tiny", Bytes: 14400e6, Pace: 15, Read: 15},
+			{Name: "large", Bytes: 72000e6, StepFactor: 1.4, ReadFactor: 1},
+			{Name: "middle", Bytes: 36000e6, StepFactor: 3.1, ReadFactor: 3.2},
+			{Name: "small", Bytes: 21600e6, StepFactor: 16, ReadFactor: 8.2},
+			{Name: "tiny", Bytes: 14400e6, StepFactor: 15, ReadFactor: 15},
 		},
 	}
 }
--- a/internal/relay/policy_test.go
+++ b/internal/relay/policy_test.go
@@ -167,7 +167,7 @@
 	},
 	relay.SlowEngines: func(p relay.Policy) any {
 		r, _ := routerWithPolicy(p, replicatedEngines())
-		r.SetPace("a-large-0", 12, start)
+		r.RecordSlowdown("a-large-0", 12, start)
 		return len(r.Findings(start).Slow)
 	},
 	relay.RepairMoves: func(p relay.Policy) any {
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -149,6 +149,8 @@
 	return r.applyReport(t, now, false)
 }
 
+// applyReport merges a report with what is known of its target, and returns whether followers are
+// to be sent it. direct indicates that the target sent it to this VM.
 func (r *Registry) applyReport(t Target, now time.Time, direct bool) bool {
 	present, known := r.targets[t.ID]
 	next := t
--- a/internal/relay/repair.go
+++ b/internal/relay/repair.go
@@ -64,7 +64,7 @@
 		}
 		gap.Last = min(gap.Last, gap.First+e.layersFor(best.kind, tokens))
 		best.target.Layers = gap
-		best.fresh = true
+		best.newlyAssigned = true
 		moves = append(moves, Assignment{Target: best.target.ID, Layers: gap})
 	}
 	return nil, false
@@ -73,12 +73,12 @@
 // engineToMove returns the engine to move into a gap: an idle one before a busy one, then
 // the one that closes more of it, then the less busy one.
 func (e *Engine) engineToMove(units []unit, gap, tokens int) *unit {
-	counts := e.copiesOf(units, func(u *unit) bool { return !u.fresh && !u.target.Loading })
+	counts := e.copiesOf(units, func(u *unit) bool { return !u.newlyAssigned && !u.target.Loading })
 	closes := func(u *unit) int { return min(e.layersFor(u.kind, tokens), gap) }
 	var best *unit
 	for i := range units {
 		u := &units[i]
-		if u.fresh || u.target.Loading || !heldByOthers(counts, u.target.Layers) || closes(u) == 0 {
+		if u.newlyAssigned || u.target.Loading || !heldByOthers(counts, u.target.Layers) || closes(u) == 0 {
 			continue
 		}
 		if best == nil || preferMove(u, best, closes) {
--- a/internal/relay/repeat.go
+++ b/internal/relay/repeat.go
@@ -49,12 +49,12 @@
 // Temporary reports whether the denial is temporary: it ends once other requests repeat less.
 func (d Denial) Temporary() bool { return d == DeniedBudget }
 
-// CouldRepeat reports whether MayRepeat would allow a repeat, without taking one from the
-// budget.
-func (r *Router) CouldRepeat(a Attempts, now time.Time) bool {
+// CanRepeat reports whether TryRepeat would return NotDenied, without taking a repeat from
+// the budget.
+func (r *Router) CanRepeat(a Attempts, now time.Time) bool {
 	b := r.budget(a.Service)
 	kept := *b
-	denial := r.MayRepeat(a, now)
+	denial := r.TryRepeat(a, now)
 	*b = kept
 	return denial == NotDenied
 }
@@ -64,10 +64,10 @@
 // wait for it is over.
 const maxTried = 4
 
-// MayRepeat returns why a request may not go to another target, or takes the repeat from
-// the budget if it may. If nothing was sent, nothing is repeated: a target that cannot be
+// TryRepeat returns why a request may not go to another target. If it may, the result is
+// NotDenied, and a repeat is taken from the budget where one is needed. If nothing was sent, nothing is repeated: a target that cannot be
 // connected to costs neither budget nor one of the targets that the route allows.
-func (r *Router) MayRepeat(a Attempts, now time.Time) Denial {
+func (r *Router) TryRepeat(a Attempts, now time.Time) Denial {
 	most := max(a.Route.MaxTargets, 1)
 	switch {
 	case len(a.Ran) > 0 && a.Route.Repeat == RepeatNever:
--- a/internal/relay/repeat_test.go
+++ b/internal/relay/repeat_test.go
@@ -14,12 +14,12 @@
 func TestUnsentRequestIsNotARepeat(t *testing.T) {
 	r, route := newRouter(engines(presentFleet))
 	r.SetVMCount(100000)
-	denial := r.MayRepeat(relay.Attempts{Route: route, Service: "s", Tried: 1, Sent: 1, Reached: true}, start)
+	denial := r.TryRepeat(relay.Attempts{Route: route, Service: "s", Tried: 1, Sent: 1, Reached: true}, start)
 	require.Equal(t, relay.DeniedBudget, denial)
 	require.Equal(t, "the budget of repeats is used up", denial.String())
-	denial = r.MayRepeat(relay.Attempts{Route: route, Service: "s", Tried: 1}, start)
+	denial = r.TryRepeat(relay.Attempts{Route: route, Service: "s", Tried: 1}, start)
 	require.Equal(t, relay.NotDenied, denial)
-	denial = r.MayRepeat(relay.Attempts{Route: route, Service: "s", Tried: 4}, start)
+	denial = r.TryRepeat(relay.Attempts{Route: route, Service: "s", Tried: 4}, start)
 	require.Equal(t, relay.DeniedAsked, denial, "attempts are bounded")
 }
 
@@ -48,7 +48,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			r, _ := newRouter(engines(presentFleet))
 			test.attempts.Service = "s"
-			denial := r.MayRepeat(test.attempts, start.Add(time.Second))
+			denial := r.TryRepeat(test.attempts, start.Add(time.Second))
 			require.Equal(t, test.may, denial == relay.NotDenied, denial)
 		})
 	}
@@ -61,15 +61,15 @@
 	r, route := newRouter(engines(presentFleet))
 	sent := relay.Attempts{Route: route, Service: "s", Tried: 1, Sent: 1, Ran: []relay.TargetID{"i-1"}, Reached: true, Begun: true}
 	for range 1000 {
-		require.True(t, r.CouldRepeat(sent, start), "the check takes nothing from the budget")
+		require.True(t, r.CanRepeat(sent, start), "the check takes nothing from the budget")
 	}
 	r.SetVMCount(100000)
-	require.False(t, r.CouldRepeat(sent, start))
+	require.False(t, r.CanRepeat(sent, start))
 	ran := sent
 	ran.Begun = false
 	ran.Tried, ran.Sent, ran.Ran = 2, 2, []relay.TargetID{"i-1", "i-2"}
-	require.Equal(t, relay.DeniedRoute, r.MayRepeat(ran, start), "its route allows two targets")
-	require.False(t, r.CouldRepeat(ran, start))
+	require.Equal(t, relay.DeniedRoute, r.TryRepeat(ran, start), "its route allows two targets")
+	require.False(t, r.CanRepeat(ran, start))
 }
 
 // On a day that replaced 16 engines one after the other, requests that had not begun used
--- a/internal/relay/router.go
+++ b/internal/relay/router.go
@@ -152,9 +152,9 @@
 func (r *Router) AllowRepeat(service string, begun bool, now time.Time) bool {
 	whole := begun || !r.settings.Policy.Has(RepeatShares)
 	if now.Before(r.fleetUsage.until) && r.settings.Policy.Has(PooledRepeats) {
-		return r.budget(service).takePooled(now, r.settings.Budget, r.fleetUsage.usage[service], r.fleetUsage.vms, r.vms, whole)
+		return r.budget(service).allowPooled(now, r.settings.Budget, r.fleetUsage.usage[service], r.fleetUsage.vms, r.vms, whole)
 	}
-	return r.budget(service).take(now, r.settings.Budget, r.vms, now.Sub(r.settings.Started), whole)
+	return r.budget(service).allow(now, r.settings.Budget, r.vms, now.Sub(r.settings.Started), whole)
 }
 
 func (r *Router) budget(service string) *budget {
@@ -189,7 +189,7 @@
 		return Path{}, r.noRoomRefusal(name, a, now)
 	}
 	path.permit = r.reservePermit(path.First().Target, now)
-	r.count(path, 1)
+	r.addInFlight(path, 1)
 	for _, s := range path.Stages {
 		r.targets[s.Target].ownWork.Unread += path.prompt
 	}
@@ -214,8 +214,8 @@
 
 const (
 	// retryDelayMin and retryDelaySpread set when a refused caller retries: at a random
-	// moment of the time for which room is short. Most callers retry only once, and a third
-	// of the time that they have left limits how late that may be. An engine that died
+	// time within the period for which capacity is short. Most callers retry only once, and
+	// after no more than a third of the time that they have left. An engine that died
 	// takes two heartbeats until it is found lost and back again, and then about 4 s to
 	// load its layers (14 s for all layers of a model of which it holds a quarter).
 	retryDelayMin    = 2000 * time.Millisecond
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -66,7 +66,7 @@
 	r, route := newRouter(engines(presentFleet))
 	for range 150 {
 		path := choose(t, r, ask(route), start)
-		r.Begun(path)
+		r.RecordBegun(path)
 		requireWhole(t, path)
 		require.Len(t, hallsOf(path), 1)
 	}
@@ -315,7 +315,7 @@
 	}
 	require.Positive(t, unread)
 	for _, p := range paths {
-		r.Begun(p)
+		r.RecordBegun(p)
 	}
 	for id, w := range r.OwnWork() {
 		require.Zero(t, w.Unread, id)
--- a/internal/relay/shortlist.go
+++ b/internal/relay/shortlist.go
@@ -93,7 +93,7 @@
 // answers.
 func (e *Engine) shortlistOf(units []unit, need float64) []TargetID {
 	slices.SortFunc(units, func(a, b unit) int {
-		return cmp.Or(cmp.Compare(a.kind.Pace, b.kind.Pace), cmp.Compare(a.target.ID, b.target.ID))
+		return cmp.Or(cmp.Compare(a.kind.StepFactor, b.kind.StepFactor), cmp.Compare(a.target.ID, b.target.ID))
 	})
 	level := make([]float64, e.Layers)
 	var listed []TargetID
--- a/internal/relay/spare.go
+++ b/internal/relay/spare.go
@@ -52,7 +52,7 @@
 	layers := make(map[string]int)
 	for _, t := range targets {
 		if kind, ok := e.accelerator(t.Accelerator); ok && t.AcceptsWork() {
-			layers[t.Hall] += e.layersFor(kind, int(e.usual()))
+			layers[t.Hall] += e.layersFor(kind, int(e.usualTokens()))
 		}
 	}
 	for _, n := range layers {
--- a/internal/relay/substitute.go
+++ b/internal/relay/substitute.go
@@ -50,15 +50,15 @@
 	if len(next.Stages) > maxStages {
 		return Path{}, false
 	}
-	r.count(p, -1)
-	r.count(next, 1)
+	r.addInFlight(p, -1)
+	r.addInFlight(next, 1)
 	return next, true
 }
 
 // UndoSubstitute undoes Substitute: it counts the request as in flight on the original path again.
 func (r *Router) UndoSubstitute(replaced, p Path) {
-	r.count(replaced, -1)
-	r.count(p, 1)
+	r.addInFlight(replaced, -1)
+	r.addInFlight(p, 1)
 }
 
 // replacementStages returns the stages that replace a lost one: a single engine, or several
--- a/internal/relay/substitute_test.go
+++ b/internal/relay/substitute_test.go
@@ -42,7 +42,7 @@
 	r, route := newRouter(nil)
 	r.UpdateTargets(replicatedEngines())
 	path := choose(t, r, ask(route), start)
-	r.Begun(path)
+	r.RecordBegun(path)
 	lost := path.Stages[1].Target
 	next, ok := r.Substitute(path, []relay.TargetID{lost}, start)
 	require.True(t, ok)
@@ -73,7 +73,7 @@
 	r, route := newRouter(nil)
 	r.UpdateTargets(replicatedEngines())
 	path := choose(t, r, ask(route), start)
-	r.Begun(path)
+	r.RecordBegun(path)
 	before := r.OwnWork()
 	next, ok := r.Substitute(path, []relay.TargetID{path.Stages[1].Target}, start)
 	require.True(t, ok)
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -19,7 +19,7 @@
 	return Work{Requests: w.Requests + o.Requests, Tokens: w.Tokens + o.Tokens, Unread: w.Unread + o.Unread}
 }
 
-// Minus returns the difference, at least zero.
+// Minus returns the difference, with zero for each value that would be negative.
 func (w Work) Minus(o Work) Work {
 	return Work{
 		Requests: max(w.Requests-o.Requests, 0),
@@ -49,8 +49,8 @@
 	// maxHerdVMs bounds how many other VMs are assumed to have acted as this one did since the
 	// last report on them: with more, one request of this VM's own would weigh too much.
 	maxHerdVMs = 10
-	// herdTolerance is how many requests more than before are chance: at ten requests a second a
-	// VM begins and ends about two between two reports.
+	// herdTolerance is the increase of a VM's requests in flight that counts as chance: at ten
+	// requests a second a VM begins and ends about two between two reports.
 	herdTolerance = 2
 )
 
@@ -89,8 +89,8 @@
 	return own
 }
 
-// Begun records that the answer on a path has begun: its prompt has been read.
-func (r *Router) Begun(p Path) {
+// RecordBegun records that the answer on a path has begun: its prompt has been read.
+func (r *Router) RecordBegun(p Path) {
 	for _, s := range p.Stages {
 		if t, ok := r.targets[s.Target]; ok {
 			t.ownWork.Unread -= p.prompt
@@ -98,15 +98,15 @@
 	}
 }
 
-// Release releases a path. Begun indicates that Begun was called for it.
+// Release releases a path. begun indicates that RecordBegun was called for it.
 func (r *Router) Release(p Path, begun bool) {
 	if !begun {
-		r.Begun(p)
+		r.RecordBegun(p)
 	}
-	r.count(p, -1)
+	r.addInFlight(p, -1)
 }
 
-func (r *Router) count(p Path, sign int) {
+func (r *Router) addInFlight(p Path, sign int) {
 	r.crossingsInFlight += sign * p.crossings
 	for _, s := range p.Stages {
 		t, ok := r.targets[s.Target]
