--- a/internal/relay/backoffs_load_test.go
+++ b/internal/relay/backoffs_load_test.go
@@ -275,9 +275,9 @@
 }
 
 // The load of a target that VMs back off from goes to the others, which are then full and ask for
-// a backoff too: without a bound on what they are given, two of five requests that they could
-// have run were refused, and three of four in a larger overload. Where all targets asked for a
-// backoff and callers came back at its end, nearly all of these were refused again.
+// a backoff too: without a bound on what they are given, two of five requests that they could run
+// are refused, and three of four in a larger overload. Where all targets ask for a backoff and
+// callers come back at its end, nearly all of these are refused again.
 func TestBackoffsKeepThroughput(t *testing.T) {
 	for name, c := range map[string]backoffCase{
 		"one target backs off":                        {perSecond: 300, sheds: 1, shedFor: 8 * time.Second},
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// scaled returns a fleet with n times the engines of today in each hall.
+// scaled returns a fleet with n times the engines of presentFleet in each hall.
 func scaled(n int) layout {
 	l := make(layout)
 	for hall, kinds := range presentFleet {
--- a/internal/relay/capacity_test.go
+++ b/internal/relay/capacity_test.go
@@ -46,9 +46,9 @@
 	return e
 }
 
-// All cuts were those of the large engines of one hall, and 70 of 80 layers had one holder
-// in each hall: the loss of nearly any engine took down its hall. Two engines of a hall
-// began all answers, and the memory of a large engine was occupied by answers that waited
+// If all cuts were those of the large engines of one hall, 70 of 80 layers would have one holder in
+// each hall, and the loss of nearly any engine would take down its hall. Two engines of a hall
+// would begin all answers, and the memory of a large engine would be occupied by answers that wait
 // for slow engines.
 func TestPlanForManySmallEnginesSurvivesLosses(t *testing.T) {
 	e := mixedEngine()
--- a/internal/relay/document.go
+++ b/internal/relay/document.go
@@ -122,7 +122,8 @@
 	Name string
 	// Bytes is the memory for weights and requests together.
 	Bytes float64
-	// StepFactor multiplies the time of steps, and Read the time of reading prompts.
+	// StepFactor multiplies the time of steps, and ReadFactor that of reading prompts: a higher one
+	// is slower.
 	StepFactor float64
 	ReadFactor float64
 }
--- a/internal/relay/ending_test.go
+++ b/internal/relay/ending_test.go
@@ -10,8 +10,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// A VM was reloaded and ordered to stop half a second later. A stream that it accepted 0.7 s
-// after that was cut at the end of the grace time, 7 s later.
+// A VM is reloaded and ordered to stop half a second later. A stream that it accepted 0.7 s after
+// that would be cut at the end of the grace time, 7 s later.
 func TestStreamThatOutlastsStopIsRefused(t *testing.T) {
 	const token = 15 * time.Millisecond
 	stop := relay.PlannedStop{}.WithReload(start).WithEnd(start.Add(8 * time.Second))
--- a/internal/relay/holding_test.go
+++ b/internal/relay/holding_test.go
@@ -102,7 +102,7 @@
 	require.Zero(t, h.Held(relay.SideCallers))
 }
 
-// A VM that was too busy to write does not know whether its callers read.
+// A VM that is too busy to write does not know whether its callers read.
 func TestCallerNotWrittenToIsNotEvicted(t *testing.T) {
 	h := relay.NewHoldings(holdingTerms, 160)
 	for range 2 {
--- a/internal/relay/lender.go
+++ b/internal/relay/lender.go
@@ -27,7 +27,8 @@
 // until the permits of the previous leader have expired.
 //
 // Limits: a VM that loses contact with the leader has its permits until they expire, and then
-// none: an equal part for each VM is less than a request in the time until its lease ends.
+// none. An equal part of the limit for each VM would be less than one request in the time until
+// its lease ends.
 // Reports, orders and new paths of answers need no permit and are paid for later.
 
 const (
--- a/internal/relay/limits_load_test.go
+++ b/internal/relay/limits_load_test.go
@@ -238,7 +238,7 @@
 	return len(w.arrivals) - slices.IndexFunc(append(slices.Clone(w.arrivals), from), func(at time.Time) bool { return !at.Before(from) })
 }
 
-// Without any limit at entry VMs, two engines that accepted 4.5 requests a second got 15. With an
+// Without any limit at entry VMs, two engines that accept 4.5 requests a second get 15. With an
 // equal part for each VM, one that all callers use would use a tenth of the limit. The aim is
 // nine tenths of it where there is demand, and no window of 4 s with more than one and a half
 // times the limit and 5.
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -5,8 +5,8 @@
 // This file determines when the next event of an answer is overdue.
 //
 // Problem: an engine that dies falls silent, and so does every answer that passes it. Callers
-// accept a pause of about four usual ones; a fixed time for all paths is either longer than that,
-// or counts slow paths as lost.
+// accept a pause of about four times the usual one; a fixed time for all paths is either longer
+// than that, or counts slow paths as lost.
 //
 // Algorithm: the pauses of one answer are alike, since it passes the same stages each time. Each
 // answer has its own mean pause, and the next event is overdue after a multiple of it that all
@@ -24,7 +24,7 @@
 	// four pauses, since one answer in ten has no more than 13 events.
 	minPaceEvents = 5
 	// pausesPerOverdue is the number of pauses of which one is longer than the multiple: a check
-	// costs a short question to each engine of a path, and with this value there is one in 22
+	// costs a short message to each engine of a path, and with this value there is one in 22
 	// answers of 46 events.
 	pausesPerOverdue = 1000
 	// initialOverdueMultiple is the multiple until pauses have changed it: few answers of healthy
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -21,7 +21,7 @@
 }
 
 // Callers accept a pause of 250 ms. With a fixed timeout of as much, and a check of the engine
-// another 250 ms later, every answer was late whose engine died: 330 of 8,400 on a day with three
+// another 250 ms later, every answer is late whose engine dies: 330 of 8,400 on a day with three
 // losses of three engines. Answers have a mean pause of 46 to 87 ms from the first to the last
 // tenth.
 func TestAnswerIsOverdueByItsOwnPace(t *testing.T) {
@@ -65,9 +65,9 @@
 	require.InDelta(t, 1.6, r.OverdueMultiple(), 0.1)
 }
 
-// When an engine dies all VMs move their answers at once: 130 of them within half a second. When
-// all chose the engine with the least work in flight, their prompts were read there one after the
-// other.
+// When an engine dies all VMs move their answers at once: 130 of them within half a second. If
+// all chose the engine with the least work in flight, their prompts would be read there one after
+// the other.
 func TestSubstitutesAreDrawnByReadRate(t *testing.T) {
 	lost := config.Range{First: 30, Last: 55}
 	targets := enginesHolding("large", config.Range{First: 0, Last: 30}, lost, config.Range{First: 55, Last: 80})
--- a/internal/relay/pause_test.go
+++ b/internal/relay/pause_test.go
@@ -35,8 +35,8 @@
 	return n
 }
 
-// Engines were filled up to their memory while every answer there was late: pauses of 150 to 200
-// ms on average, for ten seconds, where the bound is 200 ms.
+// If engines were filled up to their memory, every answer there would be late: with pauses of 150
+// to 200 ms on average, for ten seconds, where the bound is 200 ms.
 func TestAdmissionKeepsAnswersInTime(t *testing.T) {
 	free := admitted(t, 0, 0)
 	require.Less(t, admitted(t, 12*time.Millisecond, 0), free/2)
--- a/internal/relay/plan_test.go
+++ b/internal/relay/plan_test.go
@@ -33,7 +33,7 @@
 // layout counts engines by hall and kind.
 type layout map[string]map[string]int
 
-// today is the users' present fleet, and grown the fleet that it becomes.
+// presentFleet is the users' fleet, and grown the fleet that it becomes.
 var (
 	presentFleet = layout{
 		"a": {"middle": 2, "small": 4, "tiny": 7},
@@ -116,9 +116,9 @@
 	}
 }
 
-// On the users' grown fleet, a token takes two thirds of the memory that it takes today.
-// The slow kinds then had room for 140 requests, while the fast ones on the same paths
-// refused more than 93. At each layer, the fleet has memory for at least as many requests
+// On the users' grown fleet, a token takes two thirds of the memory that it takes today. Unless
+// memory is balanced, the slow kinds then have room for 140 requests, while the fast ones on the
+// same paths refuse more than 93. At each layer, the fleet has memory for at least as many requests
 // as with equal memory in all engines, and no layer of a hall has much less than the
 // others.
 func TestPlanBalancesRequestMemoryOverLayers(t *testing.T) {
@@ -196,7 +196,7 @@
 }
 
 // bestTime returns the time of the fastest path through all layers within a hall, in layers
-// at pace 1.
+// at a StepFactor of 1.
 func bestTime(targets []relay.Target) float64 {
 	pace := map[string]float64{"large": 1.4, "middle": 3.1, "small": 16, "tiny": 15}
 	best := make([]float64, 81)
@@ -233,8 +233,8 @@
 	require.Empty(t, relay.Plan(engine(), engines(layout{"a": {"tiny": 3}})))
 }
 
-// On one of the users' days, a release removed engines that were the only holders of their
-// ranges in the hall, and the hall lacked these layers to the end.
+// A release may remove engines that are the only holders of their ranges in a hall. Without moves,
+// the hall would lack these layers for the rest of the day.
 func TestPlanRestoresLostLayers(t *testing.T) {
 	targets := engines(presentFleet)
 	held := holding(targets, relay.Plan(engine(), targets))
@@ -251,9 +251,9 @@
 	}
 }
 
-// A hall whose fastest engine died had enough memory without it for fewer requests at once,
-// but lacked layers for ten seconds, until the engine was back and had loaded. All moves
-// are ordered at once, not one engine after the other.
+// A hall whose fastest engine dies has enough memory without it for fewer requests at once, but
+// without moves it lacks layers for ten seconds, until the engine is back and has loaded. All
+// moves are ordered at once, not one engine after the other.
 func TestPlanOrdersAllRepairMovesAtOnce(t *testing.T) {
 	l := layout{"a": {"large": 1, "tiny": 10, "small": 4}}
 	targets := engines(l)
@@ -268,8 +268,8 @@
 	requireFits(t, left, moves)
 }
 
-// The plan of a fleet of 3,000 engines copied all remaining engines for each of 1,500
-// groups: 774 MB and 0.6 s of one core, during which a leader sends no heartbeat.
+// The plan of a fleet of 3,000 engines must not copy all remaining engines for each of 1,500
+// groups: that takes 774 MB and 0.6 s of one core, during which a leader sends no heartbeat.
 func TestPlanOfLargeFleetAllocatesLittle(t *testing.T) {
 	targets := engines(scaled(77))
 	var before, after runtime.MemStats
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -130,8 +130,8 @@
 	return &Registry{targets: make(map[TargetID]entry), incarnations: newIncarnations(), lossTimeout: lossTimeout}
 }
 
-// ReceiveReport processes a report that the target itself sent to this VM, and returns whether
-// followers are to be sent it before they ask.
+// ReceiveReport processes a report that the target itself sent to this VM, and returns whether it
+// is to be sent to followers at once, before they ask for changes.
 func (r *Registry) ReceiveReport(t Target, now time.Time) bool {
 	if !t.Gone {
 		return r.applyReport(t, now, true)
@@ -149,8 +149,8 @@
 	return r.applyReport(t, now, false)
 }
 
-// applyReport merges a report with what is known of its target, and returns whether followers are
-// to be sent it. direct indicates that the target sent it to this VM.
+// applyReport merges a report with what is known of its target, and returns whether it is new or to
+// be sent to followers at once. direct indicates that the target sent it to this VM.
 func (r *Registry) applyReport(t Target, now time.Time, direct bool) bool {
 	present, known := r.targets[t.ID]
 	next := t
@@ -171,8 +171,8 @@
 	}
 	// A target that begins to report to this VM is sent again to other control VMs, even if its
 	// report is not new: the VM that it reported to before may have failed with its last message.
-	// Unless the target is leaving, this waits until they ask: after a loss of all VMs every
-	// target reports to another VM than before. Followers of this VM alone have been sent it.
+	// Unless the target is leaving, it is sent only when they ask, since after a loss of all VMs
+	// every target reports to another VM than before. Followers of this VM have been sent it.
 	reattached := direct && !present.direct && !late
 	if differs || reattached || known && !late && r.isSilent(present, now) {
 		r.change++
--- a/internal/relay/registry_test.go
+++ b/internal/relay/registry_test.go
@@ -49,8 +49,8 @@
 	require.Equal(t, "s", held.Service)
 }
 
-// Late messages of a dead engine kept it in use for seconds after its successor had begun at the
-// same address: 60 requests a second were refused with 421.
+// Late messages of a dead engine must not keep it in use after its successor has begun at the same
+// address: for seconds, 60 requests a second would be refused with 421.
 func TestReplacedTargetIsSilent(t *testing.T) {
 	r := relay.NewRegistry(lossTimeout)
 	r.ReceiveReport(message("old", 30), start)
--- a/internal/relay/repeat_test.go
+++ b/internal/relay/repeat_test.go
@@ -9,8 +9,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// When an unreachable engine accepted no connection, callers were refused for lack of a
-// budget of which nothing had been spent.
+// An engine that accepts no connection costs no budget: callers must not be refused for lack of a
+// budget of which nothing has been spent.
 func TestUnsentRequestIsNotARepeat(t *testing.T) {
 	r, route := newRouter(engines(presentFleet))
 	r.SetVMCount(100000)
@@ -54,9 +54,8 @@
 	}
 }
 
-// At a start, an answer was abandoned after 60 ms without an event from its engines,
-// although its VM had no repeat left: it could not continue elsewhere, and its caller lost
-// it.
+// An answer is abandoned, as after 60 ms without an event from its engines at a start, only if its
+// VM has a repeat left: otherwise it cannot continue elsewhere, and its caller loses it.
 func TestCouldRepeatTakesNothingFromBudget(t *testing.T) {
 	r, route := newRouter(engines(presentFleet))
 	sent := relay.Attempts{Route: route, Service: "s", Tried: 1, Sent: 1, Ran: []relay.TargetID{"i-1"}, Reached: true, Begun: true}
@@ -72,9 +71,9 @@
 	require.False(t, r.CanRepeat(ran, start))
 }
 
-// On a day that replaced 16 engines one after the other, requests that had not begun used
-// up the budget when full engines refused them, 997 times in 34 s. 26 streams that had
-// begun and broke off were then cut for lack of budget.
+// Requests that have not begun must not use up the budget when full engines refuse them. On a day
+// that replaced 16 engines one after the other, they would do so 997 times in 34 s, and 26 streams
+// that had begun and broke off would be cut for lack of budget.
 func TestBudgetReservesRepeatsForBegunStreams(t *testing.T) {
 	r, _ := newRouter(nil)
 	r.SetVMCount(10)
@@ -91,7 +90,7 @@
 }
 
 // An answer that has begun and has run on as many targets as its route allows continues on
-// one of those: 5 of 26 answers that were cut had no other target.
+// one of those: 5 of 26 answers that would otherwise be cut have no other target.
 func TestOnlyOnReturnsTargetsThatRanBegunAnswer(t *testing.T) {
 	r, route := newRouter(nil)
 	r.UpdateTargets(replicatedEngines())
--- a/internal/relay/router_test.go
+++ b/internal/relay/router_test.go
@@ -94,7 +94,7 @@
 	require.Empty(t, r.OwnWork())
 }
 
-// A refused request made its engine count as dead, and the requests running there were cut.
+// If a refusal made its engine count as dead, the requests running there would be cut.
 func TestRefusalDoesNotMakeTargetSuspect(t *testing.T) {
 	r, route := newRouter(engines(presentFleet))
 	full := choose(t, r, ask(route), start).First().Target
@@ -125,8 +125,8 @@
 	require.False(t, r.IsSuspect(dead, start))
 }
 
-// All VMs switched to one hall at once on load reports that were half a second old. A VM
-// assumes that since the last report, the others have done as it did.
+// Load reports are up to half a second old: if all VMs relied on them alone, they would switch to
+// one hall at once. A VM assumes that since the last report, the others have done as it did.
 func TestLoadExtrapolatesOwnWorkToOtherVMs(t *testing.T) {
 	r, route := newRouter(engines(presentFleet))
 	r.SetVMCount(11)
@@ -174,8 +174,8 @@
 	require.True(t, r.AllowRepeat("s", true, later.Add(11*time.Second)))
 }
 
-// At 300 VMs, each had 2.6 repeats of its own in ten seconds and refused callers after a
-// loss of engines, while all of them together used a tenth of the bound.
+// With 300 VMs, an equal part of the bound is 2.6 repeats in ten seconds for each. If a VM had no
+// more, it would refuse callers after a loss of engines while all together use a tenth of the bound.
 func TestVMsShareRemainingBudget(t *testing.T) {
 	const vms = 300
 	bound := 0.2*3400 + 200.0
@@ -215,7 +215,8 @@
 }
 
 // A fleet of more VMs than repeats, all of which meet a lost target within the same second,
-// with sums and without: no VM had a share of a whole repeat, so none repeated anything.
+// with sums and without: no VM has a share of a whole repeat, and rounded down, none would repeat
+// anything.
 func TestBudgetIsUsedByMoreVMsThanRepeats(t *testing.T) {
 	const vms = 2000
 	for name, test := range map[string]struct {
@@ -288,8 +289,8 @@
 	require.Less(t, granted, 200/10/2)
 }
 
-// On the grown fleet, all VMs took the same hall until the next load report: halls filled
-// up in turn, and first events came a second late.
+// If all VMs took the same hall until the next load report, halls would fill up in turn: on the
+// grown fleet, first events would be a second late.
 func TestVMsWithSameViewSpreadOverHalls(t *testing.T) {
 	used := make(map[byte]int)
 	for vm := range 60 {
@@ -326,8 +327,8 @@
 	require.Empty(t, r.OwnWork())
 }
 
-// After a power loss, a VM had its lease before it had received any target, and refused all
-// callers for lack of room.
+// After a power loss, a VM may have its lease before it has received any target. If it were ready
+// then, it would refuse all callers for lack of room.
 func TestInformedRequiresTargetsForEachService(t *testing.T) {
 	targets := engines(presentFleet)
 	held := holding(targets, relay.Plan(engine(), targets))
@@ -342,8 +343,7 @@
 }
 
 // An engine that gives up its layers reports them for many seconds more and refuses
-// requests for them: on a day of the grown fleet, 150 requests a second reached two such
-// engines.
+// requests for them: on the grown fleet, 150 requests a second would reach two such engines.
 func TestMovingAndSilentEnginesGetNoRequests(t *testing.T) {
 	r, route := newRouter(engines(presentFleet))
 	moving := choose(t, r, ask(route), start).First().Target
@@ -378,8 +378,8 @@
 	require.Equal(t, []relay.TargetKey{good.Key()}, found.Failed)
 }
 
-// After a power loss of all VMs, 1,000 callers returned at once. Each of 76 VMs chose by
-// its own work alone, and 850 of the callers were refused by full engines.
+// After a power loss of all VMs, 1,000 callers return at once. If each of 76 VMs chose by its own
+// work alone, full engines would refuse 850 of them.
 func TestVMsStartingTogetherShareEngines(t *testing.T) {
 	const vms, calls = 76, 12
 	e := engine()
@@ -413,8 +413,8 @@
 	require.Greater(t, served, vms*calls*2/3)
 }
 
-// On the users' grown Kyklos fleet, callers were refused for lack of memory while on
-// average a seventh of it was free.
+// Callers must not be refused for lack of memory while much of it is free: a seventh on average,
+// as measured on the users' grown Kyklos fleet, is too much.
 func TestEnginesFillBeforeCallersAreRefused(t *testing.T) {
 	e := engine()
 	targets := engines(layout{"a": {"large": 1, "middle": 4}})
--- a/internal/relay/shortlist_test.go
+++ b/internal/relay/shortlist_test.go
@@ -89,8 +89,8 @@
 	require.Equal(t, []relay.Target{leaving}, r.ListedChangedSince(change), "a VM may have received it from another control VM")
 }
 
-// An engine that restarts at its address holds nothing and is on no shortlist: VMs that had
-// received it before kept sending there.
+// An engine that restarts at its address holds nothing and is on no shortlist: unless VMs that have
+// received it before also receive the next incarnation, they keep sending there.
 func TestNextIncarnationOfListedEngineIsListed(t *testing.T) {
 	r := relay.NewRegistry(lossTimeout)
 	r.WithholdEngines()
--- a/internal/relay/spare.go
+++ b/internal/relay/spare.go
@@ -10,9 +10,9 @@
 	// lowUse is the share of the memory for requests in use below which a hall has enough
 	// engines: it then bears twenty times its load.
 	lowUse = 0.05
-	// firstPlanCopies is how often the engines of each hall could hold the model from which
-	// on a first plan need not wait for others: engines that join later then get what the
-	// fewest hold, as replaced engines do. A smaller fleet is planned as a whole.
+	// firstPlanCopies is the number of copies of the model that the engines of each hall must be
+	// able to hold for a first plan that does not wait for others: engines that join later then
+	// get what the fewest hold, as replaced engines do. A smaller fleet is planned as a whole.
 	firstPlanCopies = 8
 	// minCopies is the number of engines that hold each layer in a hall with enough
 	// engines: two may be lost.
@@ -47,7 +47,7 @@
 }
 
 // ReadyForFirstPlan reports whether a first plan may be made for these engines although more may
-// join: a fleet of thousands can take until its first request to register.
+// join: a fleet of thousands may still be registering when its first request arrives.
 func (e *Engine) ReadyForFirstPlan(targets []Target) bool {
 	layers := make(map[string]int)
 	for _, t := range targets {
--- a/internal/relay/substitute_test.go
+++ b/internal/relay/substitute_test.go
@@ -36,8 +36,8 @@
 	return append(targets, elsewhere)
 }
 
-// When an engine died or moved during answers, all of them started over, and every stage
-// read their prompts again.
+// Without a substitute, all answers of an engine that dies or moves start over, and every stage
+// reads their prompts again.
 func TestSubstituteReplacesLaterStageWithinHall(t *testing.T) {
 	r, route := newRouter(nil)
 	r.UpdateTargets(replicatedEngines())
@@ -94,8 +94,8 @@
 	require.Equal(t, path.Stages[1].Target, id)
 }
 
-// A hall of engines with different ranges had no single engine for a lost stage, and its
-// answers stalled until they were cut.
+// A hall of engines with different ranges may have no single engine for a lost stage: its answers
+// would stall until they are cut.
 func TestSubstituteUsesSeveralEnginesForOneStage(t *testing.T) {
 	r, route := newRouter(nil)
 	first := config.Range{First: 0, Last: 30}
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -27,11 +27,11 @@
 // memory is bounded whatever callers send.
 //
 // Limits: reports are lost with the leader once their VMs no longer repeat them; a request then
-// has to crash as many targets again. Of one whose copies always come five at a time, five reach
-// targets once more. A hall that fails bit by bit under copies that are sent on within it may
-// blame them; they are released by an operator or when their time is over. A target that does not
-// report its start is one target, however often it ends: reports of one run are repeated, and
-// arrive with other delays each time. A request that falls silent with its target, or that
+// has to crash as many targets again. A request whose copies always come five at a time reaches targets with
+// five more of them. If a hall fails bit by bit while copies of a request are sent on within it, the
+// request may be blamed; an operator releases it, or its quarantine ends by time. A target that does not
+// report its start counts as one target, however often it ends: reports of one run are repeated with
+// varying delays, and cannot be told from reports of another end. A request that falls silent with its target, or that
 // crashes it in mid-answer, is never suspected: it cannot be distinguished from a loss of power, or
 // from the others in mid-answer beside it.
 
@@ -40,11 +40,11 @@
 	// to be put into quarantine. Each costs an engine for some 5 s; two in a row happen by chance to
 	// innocent requests when several targets a second are lost.
 	QuarantineCrashes = 3
-	// quarantineTargets is the number of targets that two losses in a row have to make up: two
-	// single ones are chance, and a rack fails under the same copies once.
+	// quarantineTargets is the number of targets that have to be lost in two losses in a row: two
+	// losses of a single target each are chance, and a rack fails under the same copies once.
 	quarantineTargets = 4
 	// reportSkew is how much the delays of the reports of two VMs to the leader may differ: a run
-	// that began within it after the end of another one is taken to overlap it. Without it the
+	// that began less than that after the end of another one counts as overlapping it. Without it the
 	// failure of a rack under short copies of a request would blame them.
 	reportSkew = 100 * time.Millisecond
 	// maxSuspects bounds the requests that are suspected, and maxRunsPerSuspect the runs that are
@@ -95,8 +95,8 @@
 	runs := append(slices.Clip(known.runs), run)
 	slices.SortFunc(runs, func(a, b CrashedRun) int { return a.Ended.Compare(b.Ended) })
 	if len(runs) > maxRunsPerSuspect {
-		// The oldest ones stay beside the newest: a burst of ends is one loss, earlier ones may
-		// be another.
+		// The oldest runs are kept beside the newest: a burst of ends is one loss, and earlier ends
+		// may be another.
 		runs = slices.Delete(runs, maxRunsPerSuspect/2, maxRunsPerSuspect/2+1)
 	}
 	known.runs = runs
--- a/internal/relay/work.go
+++ b/internal/relay/work.go
@@ -54,9 +54,9 @@
 	herdTolerance = 2
 )
 
-// load is the work in flight at a target, as far as is known or likely. The report on the other
-// VMs is up to half a second old; since then they have most likely done what this VM did, above
-// all when all leave a lost engine at once.
+// load estimates the work in flight at a target. The report on the other VMs is up to half a second
+// old; since then they have most likely done what this VM did, above all when all leave a lost
+// engine at once.
 //
 // A VM without any report has most likely started together with all others: it assumes that each
 // of them has as much in flight as it has itself.
