--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -10,12 +10,12 @@
 // This file bounds the repeats of all VMs together, without a message for each repeat.
 //
 // The bound applies to a service, over all VMs: in any window, there are at most as many repeats as
-// a share of the requests plus a fixed number. With each renewal a VM reports to the leader its requests and
-// repeats of the last window, and the leader returns the sums. What they leave is divided by the
-// number of VMs in them: each may use its part of it within the time after which the sums are out
-// of date, so that all together keep the bound, and one that meets a lost target may repeat far
-// more than its own part of the whole. The parts of the fixed number of VMs that are not in the
-// sums are left to them.
+// a share of the requests plus a fixed number. With each renewal a VM reports to the leader its
+// requests and repeats of the last window, and the leader returns the sums. What they leave is
+// divided by the number of VMs in them: each may use its part of it within the time after which the
+// sums are out of date, so that all together keep the bound, and one that meets a lost target may
+// repeat far more than its own part of the whole. The parts of the fixed number of VMs that are not
+// in the sums are left to them.
 //
 // A part may be less than one repeat, in a fleet of more VMs than there are repeats. If each VM
 // rounded it down, none would repeat anything, though all of them together may. Each VM therefore
--- a/internal/relay/capacity.go
+++ b/internal/relay/capacity.go
@@ -67,8 +67,8 @@
 	perLayer layerCapacity
 }
 
-// layerCapacity is the memory at one layer, in answers to usual requests, and the time that a step of one of
-// them takes there, in nanoseconds.
+// layerCapacity is the memory at one layer, in answers to usual requests, and the time that a step
+// of one of them takes there, in nanoseconds.
 type layerCapacity struct{ answers, step float64 }
 
 // groupsOf groups the engines that hold layers, the fastest kinds first.
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -26,8 +26,8 @@
 	maxFullPause     = 800 * time.Millisecond
 )
 
-// RecordRefusal records that a target did not accept a request: it is full, or its layers have changed.
-// Its other requests go on, so that it is not suspect.
+// RecordRefusal records that a target did not accept a request: it is full, or its layers have
+// changed. Its other requests go on, so that it is not suspect.
 func (r *Router) RecordRefusal(id TargetID, now time.Time) {
 	if t, ok := r.targets[id]; ok {
 		t.refusalsInRow++
--- a/internal/relay/lender.go
+++ b/internal/relay/lender.go
@@ -136,8 +136,8 @@
 // sharedLimit is the limit of one target.
 type sharedLimit[Holder comparable] struct {
 	answer LimitAnswer
-	// free is the permits that are granted to no holder, as of refilledAt. It is below 0 where more was
-	// sent without a permit.
+	// free is the permits that are granted to no holder, as of refilledAt. It is below 0 where more
+	// was sent without a permit.
 	free       float64
 	refilledAt time.Time
 	holders    map[Holder]*allocation
--- a/internal/relay/permits.go
+++ b/internal/relay/permits.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// canStartRequests reports whether requests begin on a target: on any of a plain service, and on an engine
-// that holds the first layers.
+// canStartRequests reports whether requests begin on a target: on any of a plain service, and on an
+// engine that holds the first layers.
 func (t *target) canStartRequests() bool { return t.acceptsWork() && t.Layers.First == 0 }
 
 // permitsFor reports whether the limited targets of a service have permits for a request, beyond
@@ -192,8 +192,8 @@
 	return rate
 }
 
-// noPermitRefusal returns the refusal of a request that finds no target where limited ones could serve
-// it, or nil.
+// noPermitRefusal returns the refusal of a request that finds no target where limited ones could
+// serve it, or nil.
 func (r *Router) noPermitRefusal(service string, a PathRequest, now time.Time) *Refusal {
 	if a.permits || !r.servedWithPermits(service, a, now) {
 		return nil
--- a/internal/relay/registry.go
+++ b/internal/relay/registry.go
@@ -196,8 +196,8 @@
 	return !r.targets[t.ID].superseded && (differs || reattached && next.Leaving || reappeared || present.superseded)
 }
 
-// RecordDraining records that a target has sent another VM a draining notice with an answer, and reports
-// whether that is new. It does not count as a heartbeat.
+// RecordDraining records that a target has sent another VM a draining notice with an answer, and
+// reports whether that is new. It does not count as a heartbeat.
 func (r *Registry) RecordDraining(id TargetID) bool {
 	e, known := r.targets[id]
 	if !known || e.superseded || e.target.Leaving {
@@ -324,10 +324,10 @@
 // All returns every target that is not superseded, sorted by identity.
 func (r *Registry) All() []Target { return r.ChangedSince(0) }
 
-// SilentTargets returns the targets that have not signed off and that are superseded or have not reported
-// for lossTimeout. Where another target at the same address has reported since, the shorter time
-// replacedTimeout is enough: an address has one target at a time, and late messages of one that
-// died may still arrive.
+// SilentTargets returns the targets that have not signed off and that are superseded or have not
+// reported for lossTimeout. Where another target at the same address has reported since, the
+// shorter time replacedTimeout is enough: an address has one target at a time, and late messages of
+// one that died may still arrive.
 func (r *Registry) SilentTargets(now time.Time, replacedTimeout time.Duration) []TargetID {
 	var silent []TargetID
 	after, replacedAfter := now.Add(-r.lossTimeout), now.Add(-replacedTimeout)
--- a/internal/relay/repeat.go
+++ b/internal/relay/repeat.go
@@ -64,9 +64,10 @@
 // wait for it is over.
 const maxTried = 4
 
-// TryRepeat returns why a request may not go to another target. If it may, the result is
-// NotDenied, and a repeat is taken from the budget where one is needed. If nothing was sent, nothing is repeated: a target that cannot be
-// connected to costs neither budget nor one of the targets that the route allows.
+// TryRepeat returns why a request may not go to another target. If it may, the result is NotDenied,
+// and a repeat is taken from the budget where one is needed. If nothing was sent, nothing is
+// repeated: a target that cannot be connected to costs neither budget nor one of the targets that
+// the route allows.
 func (r *Router) TryRepeat(a Attempts, now time.Time) Denial {
 	most := max(a.Route.MaxTargets, 1)
 	switch {
--- a/internal/relay/suspects.go
+++ b/internal/relay/suspects.go
@@ -26,14 +26,14 @@
 // Invariants: the result does not depend on the order in which reports arrive, nor on how often;
 // memory is bounded whatever callers send.
 //
-// Limits: reports are lost with the leader once their VMs no longer repeat them; a request then
-// has to crash as many targets again. A request whose copies always come five at a time reaches targets with
-// five more of them. If a hall fails bit by bit while copies of a request are sent on within it, the
-// request may be blamed; an operator releases it, or its quarantine ends by time. A target that does not
-// report its start counts as one target, however often it ends: reports of one run are repeated with
-// varying delays, and cannot be told from reports of another end. A request that falls silent with its target, or that
-// crashes it in mid-answer, is never suspected: it cannot be distinguished from a loss of power, or
-// from the others in mid-answer beside it.
+// Limits: reports are lost with the leader once their VMs no longer repeat them; a request then has
+// to crash as many targets again. A request whose copies always come five at a time reaches targets
+// with five more of them. If a hall fails bit by bit while copies of a request are sent on within
+// it, the request may be blamed; an operator releases it, or its quarantine ends by time. A target
+// that does not report its start counts as one target, however often it ends: reports of one run
+// are repeated with varying delays, and cannot be told from reports of another end. A request that
+// falls silent with its target, or that crashes it in mid-answer, is never suspected: it cannot be
+// distinguished from a loss of power, or from the others in mid-answer beside it.
 
 const (
 	// QuarantineCrashes is the number of targets, one after the other, that a request has to crash
