--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -188,6 +188,8 @@
 // take capacity from work that can still succeed, and then be discarded.
 func (p *pool) latestStart(w *queuedWork) time.Time { return w.deadline.Add(-p.serviceTime(w.cost)) }
 
+// refuseIfTooLate refuses queued work that can't start in time, because of its deadline or the
+// backoffs of all its routes.
 func (n *Node) refuseIfTooLate(p *pool, w *queuedWork) {
 	if refusal, backedOff := n.poolBackoffRefusal(p, w); backedOff && !w.dropped {
 		n.refuseQueued(w, refusal)
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -354,7 +354,7 @@
 	r.electedAt = n.now
 	r.recordLeaderSeen()
 	// The lease begins with the first acknowledged round, not here. Until then
-	// leaseUntil only bounds the wait for a quorum.
+	// leaseUntil only bounds the wait for a quorum (tickLeader).
 	r.leaseUntil = n.now
 	r.roundSent = make(map[uint64]time.Time)
 	r.progress = make(map[ReplicaID]*progress)
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -179,8 +179,8 @@
 // renew elsewhere.
 func (n *Node) aggregateTTL() time.Duration { return n.settings.Timing.listedDuration() }
 
-// fleetTotals is the sum over all entry VMs. It is cached, since hundreds of leases per second carry
-// it.
+// fleetTotals is the sum over all entry VMs. It is cached, since hundreds of leases per second
+// carry it.
 type fleetTotals struct {
 	at   time.Time
 	vms  int
--- a/internal/core/followers.go
+++ b/internal/core/followers.go
@@ -80,9 +80,9 @@
 	return true
 }
 
-// expireInFlight reports whether the updates in flight to a follower count as lost: the follower has
-// just asked for what they carry, so that it can reach this VM, and they have had time to
-// arrive.
+// expireInFlight counts the updates in flight to a follower as lost once they have had time to
+// arrive, and reports whether it did. The caller has just received a request of the follower for
+// what they carry, so that the follower can reach this VM.
 func (f *follower) expireInFlight(now time.Time) bool {
 	if now.Before(f.overdueAt) {
 		return false
@@ -159,8 +159,8 @@
 	}
 	// Updates are in flight until the follower acknowledges them. A follower that is slow or
 	// behind a full link then receives all later changes in one update. If each change were
-	// sent as it happens, and again for each request that crossed it, a leader whose targets
-	// load would send several times what is new.
+	// sent as it happens, and again in reply to each request that crosses it on the way, a
+	// leader whose targets are loading layers would send several times what is new.
 	updates := make(map[batchKey][]relay.Target)
 	n.extendShortlists()
 	for _, vm := range slices.Sorted(maps.Keys(n.registry.followers)) {
--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -63,7 +63,7 @@
 	switch {
 	case n.settings.Control:
 		return heartbeatsEvery
-	case !n.registry.fullState:
+	case !n.registry.hasFullState:
 		return followEveryAtStart
 	}
 	return followEvery
@@ -81,7 +81,7 @@
 	}
 	at, known := n.registry.followed[source]
 	ask := Follow{Incarnation: at.incarnation, After: at.after, Hall: n.settings.Address.Hall, HallUnreachable: !n.entry.lease.ownHallRetryAt.IsZero()}
-	if !known && n.registry.fullState {
+	if !known && n.registry.hasFullState {
 		ask.Digest = n.registry.targets.Digest()
 	}
 	n.send(source, Message{Follow: &ask})
@@ -100,7 +100,7 @@
 	}
 	for i, vm := range others {
 		at := r.followed[vm]
-		ask := Follow{Incarnation: at.incarnation, After: at.after, Heartbeats: true, OwnOnly: r.fullState || i != r.fullStateFrom%len(others), Hall: n.settings.Address.Hall}
+		ask := Follow{Incarnation: at.incarnation, After: at.after, Heartbeats: true, OwnOnly: r.hasFullState || i != r.fullStateFrom%len(others), Hall: n.settings.Address.Hall}
 		if !ask.OwnOnly {
 			ask.Incarnation, ask.After = 0, 0
 		}
@@ -136,10 +136,11 @@
 func (n *Node) applyUpdate(from VMName, update RegistryUpdate) {
 	at := n.registry.followed[from]
 	if update.After == 0 || update.Incarnation == at.incarnation && update.After <= at.after {
-		// Otherwise an earlier update was lost, and is asked for again.
+		// After a gap, the update is applied as well, but the position stays, so that the update
+		// that was lost is asked for again.
 		n.registry.followed[from] = position{incarnation: update.Incarnation, after: max(update.Through, at.afterIn(update.Incarnation))}
 	}
-	n.registry.fullState = n.registry.fullState || update.Complete
+	n.registry.hasFullState = n.registry.hasFullState || update.Complete
 	for _, m := range update.AbsenceNotes {
 		n.registry.targets.ReceiveAbsence(m, n.now)
 	}
@@ -164,9 +165,9 @@
 		n.registry.targets.ReceiveHeartbeat(b.ID, b.Call, n.now)
 	}
 	n.acknowledgeUpdate(from, update)
-	ended, again := n.registry.targets.TakeTransitions()
+	ended, revived := n.registry.targets.TakeTransitions()
 	n.endIncarnations(ended, from)
-	learned = slices.DeleteFunc(append(learned, again...), func(t relay.Target) bool { return !n.registry.targets.IsCurrent(t.ID) })
+	learned = slices.DeleteFunc(append(learned, revived...), func(t relay.Target) bool { return !n.registry.targets.IsCurrent(t.ID) })
 	n.recordLeaving(learned)
 	n.registry.changesPending = n.registry.changesPending || len(learned) > 0
 	if len(learned) > 0 && n.settings.Entry {
--- a/internal/core/keeper.go
+++ b/internal/core/keeper.go
@@ -106,6 +106,7 @@
 	n.keepFullRecord(s)
 }
 
+// keepFullRecord sends the full record of a stream to its keeper.
 func (n *Node) keepFullRecord(s *stream) {
 	record := KeepRecord{
 		ID:       s.id,
@@ -138,6 +139,7 @@
 	}
 }
 
+// dropAtKeeper tells the keeper of a stream that its record is no longer needed.
 func (n *Node) dropAtKeeper(s *stream) {
 	if s.keeper != "" {
 		n.queueKeepUpdate(s, KeepUpdate{ID: s.id, Epoch: s.epoch, Drop: true})
--- a/internal/core/placing.go
+++ b/internal/core/placing.go
@@ -220,7 +220,8 @@
 }
 
 // enginesOf returns the live engines of a service that accept work, with the layers
-// that they hold or were ordered to hold, and whether any of them holds layers.
+// that they hold or were ordered to hold, and whether any of them has such layers. It
+// forgets orders that are applied or have failed.
 func (n *Node) enginesOf(service string) (engines []relay.Target, anyHoldsLayers bool) {
 	p := &n.leader.layerPlacement
 	marks := n.leader.fleetNow(n).marks
--- a/internal/core/plan/plan.go
+++ b/internal/core/plan/plan.go
@@ -342,10 +342,10 @@
 }
 
 // spare returns the fastest engine that holds nothing and has enough memory.
-func (p *planner) spare(layers int, taken []string) (string, bool) {
+func (p *planner) spare(layers int, chosen []string) (string, bool) {
 	var best config.Target
 	for _, t := range p.config.Targets.Sorted() {
-		if !p.free[t.Name] || t.Memory < layers || slices.Contains(taken, t.Name) || p.config.Placements.Has(t.Name) {
+		if !p.free[t.Name] || t.Memory < layers || slices.Contains(chosen, t.Name) || p.config.Placements.Has(t.Name) {
 			continue
 		}
 		if t.Speed > best.Speed {
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -152,9 +152,9 @@
 	followAt time.Time
 	expireAt time.Time
 	// fullStateFrom selects, modulo their number, the control VM that is asked for its full
-	// state; fullState is set once one has sent it.
+	// state; hasFullState is set once one has sent it.
 	fullStateFrom int
-	fullState     bool
+	hasFullState  bool
 	// changesPending is set when followers are to be sent changes at the next push. Thousands
 	// of targets may report within a second, and each push goes to hundreds of followers.
 	changesPending bool
@@ -279,9 +279,9 @@
 // acceptReport records and distributes a report that a target sent to this VM.
 func (n *Node) acceptReport(t relay.Target) {
 	changed := n.registry.targets.ReceiveReport(t, n.now)
-	ended, again := n.registry.targets.TakeTransitions()
+	ended, revived := n.registry.targets.TakeTransitions()
 	n.endIncarnations(ended, n.settings.Self.VM)
-	if !changed && len(again) == 0 {
+	if !changed && len(revived) == 0 {
 		return
 	}
 	n.note("target said something new", string(t.ID))
--- a/internal/core/routing.go
+++ b/internal/core/routing.go
@@ -245,6 +245,8 @@
 	return a
 }
 
+// draw returns a usable open route, at random if a few draws find one. It returns a route that
+// uses the target to avoid only if no other is usable.
 func (n *Node) draw(p *pool, w *queuedWork) *route {
 	for range min(maxDraws, len(p.open)) {
 		if r := p.open[n.rand.IntN(len(p.open))]; n.usable(p, r, w) && !r.uses(w.avoid) {
@@ -321,6 +323,7 @@
 	}
 }
 
+// release reverses reserve and starts queued work in the capacity that becomes free.
 func (n *Node) release(poolName, name string, stages []Stage) {
 	for _, s := range stages {
 		n.target(s.Target).inFlight--
--- a/internal/core/unnamed.go
+++ b/internal/core/unnamed.go
@@ -50,8 +50,8 @@
 // target's service. A report without a service deregisters the target and is not held back.
 func (n *Node) holdBackUndeclared(t relay.Target) bool {
 	u := &n.registry.heldBackReports
-	known, spread := n.registry.targets.Get(t.ID)
-	leaves := spread && known.Service == t.Service && !t.AcceptsWork()
+	known, distributed := n.registry.targets.Get(t.ID)
+	leaves := distributed && known.Service == t.Service && !t.AcceptsWork()
 	if t.Service == "" || u.decoded.document == nil || u.decoded.document.HasService(t.Service) || leaves {
 		// A report that a known target is leaving is distributed in any case: some VMs may
 		// still route by the previous document.
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -54,6 +54,7 @@
 	delete(l.removed, vm)
 }
 
+// remove removes the line of a VM.
 func (l *entryList) remove(vm VMName) {
 	if _, ok := l.lines[vm]; !ok {
 		return
