--- a/internal/core/change_log_test.go
+++ b/internal/core/change_log_test.go
@@ -9,8 +9,9 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// When a third of the engines of a fleet was lost with its data hall, each grant listed all
-// of them again: 5 KB three times a second for each VM, for as long as they were lost.
+// Regression: when a third of the engines of a fleet was lost with its data hall, each grant
+// listed all of them again: 5 KB three times a second for each VM, for as long as they were
+// lost.
 func TestMarksAreSentOnce(t *testing.T) {
 	f := newEngineFleet(t, smallFleet, 900)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
@@ -61,8 +62,8 @@
 	})
 }
 
-// Eleven engines became twelve times slower. Each of 78 VMs detected this by itself, from
-// its own answers, and 300 first events were late.
+// Regression: eleven engines became twelve times slower. Each of 78 VMs detected this by itself,
+// from its own answers, and 300 first events were late.
 func TestSlowEngineFoundByOneVMIsMarkedOnAllVMs(t *testing.T) {
 	f := started(t, grownFleet)
 	slow := relay.TargetID("i-1").Key()
@@ -78,9 +79,9 @@
 	}
 }
 
-// An engine that had loaded its layers and reported this stayed marked as moving until its
-// order was next checked: VMs sent it nothing for up to half a second, and a fleet of one
-// engine refused callers.
+// Regression: an engine that had loaded its layers and reported this stayed marked as moving
+// until its order was next checked: VMs sent it nothing for up to half a second, and a fleet of
+// one engine refused callers.
 func TestEngineWithOrderedLayersIsNotMarkedMoving(t *testing.T) {
 	f := newEngineFleet(t, smallFleet, 30)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
--- a/internal/core/common_start_test.go
+++ b/internal/core/common_start_test.go
@@ -22,8 +22,8 @@
 
 var grownFleet = fleetSize{halls: 3, controls: 2, disks: 2, entries: 24}
 
-// All processes were killed at once and restarted within 0.6 s. The leader was elected 0.53 s
-// after the last start, and callers were refused until then.
+// Regression: all processes were killed at once and restarted within 0.6 s. The leader was
+// elected 0.53 s after the last start, and callers were refused until then.
 func TestLeaderElectedWithoutTimeoutAfterCommonStart(t *testing.T) {
 	f := started(t, grownFleet)
 	took := restartAll(t, f)
--- a/internal/core/entries_test.go
+++ b/internal/core/entries_test.go
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// A partitioned VM kept listing VMs that had been down for 9 s.
+// Regression: a partitioned VM kept listing VMs that had been down for 9 s.
 func TestNoEntryAddressesWithoutLease(t *testing.T) {
 	e := newEntryNode(core.Settings{})
 	view := []core.EntryView{{Address: core.EntryAddress{VM: "e2", Hall: "h", Callers: "10.0.0.2:80", Peers: "10.0.0.2:81"}}}
@@ -93,8 +93,8 @@
 	require.Len(t, named, vms/halls/2, "callers spread over all lightly loaded VMs of the hall")
 }
 
-// While a quarter of the VMs was lost, every second request had to ask for addresses first, and
-// one in four of those waited a second for a lost VM.
+// Regression: while a quarter of the VMs was lost, every second request had to ask for addresses
+// first, and one in four of those waited a second for a lost VM.
 func TestAddressesAreKeptLongerAfterLossOfVMs(t *testing.T) {
 	e := newEntryNode(core.Settings{})
 	view := func(leaving bool, names ...core.VMName) []core.EntryView {
--- a/internal/core/halls_test.go
+++ b/internal/core/halls_test.go
@@ -501,7 +501,8 @@
 	}
 }
 
-// After a loss of all VMs, callers were refused for 6 s because entry VMs had no lease.
+// Regression: after a loss of all VMs, callers were refused for 6 s because entry VMs had no
+// lease.
 func TestLeasesAreGrantedSoonAfterLossOfAllVMs(t *testing.T) {
 	f := started(t, usersFleet)
 	f.put(5)
--- a/internal/core/hints_test.go
+++ b/internal/core/hints_test.go
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// After a power loss of all VMs, 247 callers were refused because the targets hadn't reported
-// again when the first leases were granted.
+// Regression: after a power loss of all VMs, 247 callers were refused because the targets hadn't
+// reported again when the first leases were granted.
 func TestHintsServeUntilTargetsReport(t *testing.T) {
 	now := time.Unix(100, 0)
 	hint := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 7}
@@ -45,8 +45,8 @@
 	require.Equal(t, []relay.Target{hint}, follow(n, now))
 }
 
-// After all VMs were killed, the entry VMs asked before the control VMs were listening and
-// again only after 1.5 s: they had a lease for a second and knew no target.
+// Regression: after all VMs were killed, the entry VMs asked before the control VMs were
+// listening and again only after 1.5 s: they had a lease for a second and knew no target.
 func TestFirstFollowIsRetriedSoon(t *testing.T) {
 	now := time.Unix(100, 0)
 	n := core.New(core.Settings{
@@ -98,8 +98,8 @@
 	require.Len(t, grantTo(t, n, now).Marks, 1)
 }
 
-// After all VMs were killed, 59 calls went to engines that had died 10 s earlier: the hints
-// contained them next to their successors at the same address.
+// Regression: after all VMs were killed, 59 calls went to engines that had died 10 s earlier:
+// the hints contained them next to their successors at the same address.
 func TestHintsContainOnlyLiveTargets(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -124,8 +124,8 @@
 	require.Equal(t, []relay.TargetID{"i-2"}, saved)
 }
 
-// A restarted control VM reported an engine that had died 16 s earlier: the others had sent it
-// with their full state, as if it had just reported.
+// Regression: a restarted control VM reported an engine that had died 16 s earlier: the others
+// had sent it with their full state, as if it had just reported.
 func TestNewFollowerReceivesOnlyLiveTargets(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -196,7 +196,8 @@
 	require.Equal(t, 1, saved(relay.Target{ID: "i-2", Address: "b", Call: 2, Leaving: true}))
 }
 
-// With 300 VMs and 3,000 targets, one push per report filled the memory of control VMs.
+// Regression: with 300 VMs and 3,000 targets, one push per report filled the memory of control
+// VMs.
 func TestReportsOfOneTickArePushedTogether(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -219,8 +220,8 @@
 	require.Equal(t, 3, targets)
 }
 
-// After all VMs were killed, a new leader moved engines that were serving: it had received the
-// reports of only some engines, and counted the layers of all others as lost.
+// Regression: after all VMs were killed, a new leader moved engines that were serving: it had
+// received the reports of only some engines, and counted the layers of all others as lost.
 func TestNoOrdersUntilAllTargetsHaveReported(t *testing.T) {
 	engine := &relay.Engine{
 		Slots: 10, Layers: 10, LayerBytes: 1e9, TokenBytes: 1e6, UsualPrompt: 10, UsualAnswer: 10, Load: time.Second, LoadsAtOnce: 1,
--- a/internal/core/seldom_test.go
+++ b/internal/core/seldom_test.go
@@ -54,8 +54,9 @@
 	return marks
 }
 
-// With thousands of targets whose heartbeats, one every 3 s, were half a second late, each
-// target counted as lost before its next heartbeat, which then was an update to every VM.
+// Regression: with thousands of targets whose heartbeats, one every 3 s, were half a second
+// late, each target counted as lost before its next heartbeat, which then was an update to every
+// VM.
 func TestTargetsWithLongHeartbeatIntervalAreNotLost(t *testing.T) {
 	const targets, late = 300, 500 * time.Millisecond
 	timing := core.DefaultTiming()
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -35,8 +35,8 @@
 	return n.Step(now.Add(100*time.Millisecond), core.Tick{})
 }
 
-// With 300 VMs, each of 18 control VMs forwarded each report to all others: 1.9 GB at the
-// start.
+// Regression: with 300 VMs, each of 18 control VMs forwarded each report to all others: 1.9 GB
+// at the start.
 func TestControlVMsForwardOnlyOwnReports(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -202,7 +202,8 @@
 	}
 }
 
-// A newly elected leader knew only the first renewals, and reported that all engines were free.
+// Regression: a newly elected leader knew only the first renewals, and reported that all engines
+// were free.
 func TestNewLeaderReportsNoWorkBeforeAllHaveReported(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	f := &fleetOf{t: t, node: n, now: time.Unix(100, 0)}
@@ -227,8 +228,8 @@
 	require.GreaterOrEqual(t, reportedAt.Sub(first), time.Second)
 }
 
-// After all VMs were killed, each one chose by its own work alone for 1.2 s after the election,
-// although the leader had received the renewals of all after 0.1 s.
+// Regression: after all VMs were killed, each one chose by its own work alone for 1.2 s after
+// the election, although the leader had received the renewals of all after 0.1 s.
 func TestNewLeaderReportsWorkOnceAllHaveRenewed(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := time.Unix(100, 0)
@@ -268,7 +269,7 @@
 	require.True(t, reported["e1"])
 }
 
-// The first of 76 VMs to get a lease again assumed that it was the only one.
+// Regression: the first of 76 VMs to get a lease again assumed that it was the only one.
 func TestFollowersCountBeforeTheyHaveALease(t *testing.T) {
 	f := newFleet(t)
 	for i := range 40 {
@@ -285,8 +286,8 @@
 	t.Fatal("no lease")
 }
 
-// A change of 1,700 routes was sent again for each request of each of 76 VMs, and nobody could
-// read the configuration for 4 s.
+// Regression: a change of 1,700 routes was sent again for each request of each of 76 VMs, and
+// nobody could read the configuration for 4 s.
 func TestConfigChangeInFlightIsNotResent(t *testing.T) {
 	f := newFleet(t)
 	f.renew("e1", false)
@@ -313,9 +314,9 @@
 	return sent
 }
 
-// With 300 VMs, a leader sent 71 MB in 5 s while 3,000 targets loaded, six times what had
-// changed: updates in flight over full links were sent again for each request that crossed
-// them.
+// Regression: with 300 VMs, a leader sent 71 MB in 5 s while 3,000 targets loaded, six times
+// what had changed: updates in flight over full links were sent again for each request that
+// crossed them.
 func TestUpdatesInFlightAreNotResent(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
--- a/internal/core/unnamed_test.go
+++ b/internal/core/unnamed_test.go
@@ -74,7 +74,7 @@
 	n.step(core.DocumentPut{Conn: 2, Document: config.Document{Version: version, Source: []byte(text)}})
 }
 
-// The target of a service that no document names reached every VM and the disk.
+// Regression: the target of a service that no document names reached every VM and the disk.
 func TestTargetOfUnnamedServiceIsHeldBack(t *testing.T) {
 	n := newNamingNode("s")
 	good := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 1}
