--- a/internal/core/following.go
+++ b/internal/core/following.go
@@ -45,6 +45,7 @@
 	Complete bool `cbor:"whole,omitempty"`
 }
 
+// position is the last change received from a control VM, and the incarnation of that VM.
 type position struct {
 	incarnation uint64
 	after       uint64
@@ -62,7 +63,7 @@
 	switch {
 	case n.settings.Control:
 		return heartbeatsEvery
-	case !n.registry.fullState:
+	case !n.registry.hasFullState:
 		return followEveryAtStart
 	}
 	return followEvery
@@ -80,7 +81,7 @@
 	}
 	at, known := n.registry.followed[source]
 	ask := Follow{Incarnation: at.incarnation, After: at.after, Hall: n.settings.Address.Hall, HallUnreachable: !n.entry.lease.ownHallRetryAt.IsZero()}
-	if !known && n.registry.fullState {
+	if !known && n.registry.hasFullState {
 		ask.Digest = n.registry.targets.Digest()
 	}
 	n.send(source, Message{Follow: &ask})
@@ -99,7 +100,7 @@
 	}
 	for i, vm := range others {
 		at := r.followed[vm]
-		ask := Follow{Incarnation: at.incarnation, After: at.after, Heartbeats: true, OwnOnly: r.fullState || i != r.fullStateFrom%len(others), Hall: n.settings.Address.Hall}
+		ask := Follow{Incarnation: at.incarnation, After: at.after, Heartbeats: true, OwnOnly: r.hasFullState || i != r.fullStateFrom%len(others), Hall: n.settings.Address.Hall}
 		if !ask.OwnOnly {
 			ask.Incarnation, ask.After = 0, 0
 		}
@@ -111,7 +112,7 @@
 func (n *Node) receiveRegistry(e Envelope) {
 	switch b := e.Body; {
 	case b.Follow != nil:
-		n.followAsked(e.From, *b.Follow)
+		n.handleFollow(e.From, *b.Follow)
 	case b.TargetNews != nil:
 		n.applyUpdate(e.From.VM, *b.TargetNews)
 	}
@@ -135,10 +136,11 @@
 func (n *Node) applyUpdate(from VMName, update RegistryUpdate) {
 	at := n.registry.followed[from]
 	if update.After == 0 || update.Incarnation == at.incarnation && update.After <= at.after {
-		// Otherwise an earlier update was lost, and is asked for again.
+		// After a gap, the update is applied as well, but the position stays, so that the update
+		// that was lost is asked for again.
 		n.registry.followed[from] = position{incarnation: update.Incarnation, after: max(update.Through, at.afterIn(update.Incarnation))}
 	}
-	n.registry.fullState = n.registry.fullState || update.Complete
+	n.registry.hasFullState = n.registry.hasFullState || update.Complete
 	for _, m := range update.AbsenceNotes {
 		n.registry.targets.ReceiveAbsence(m, n.now)
 	}
@@ -163,10 +165,10 @@
 		n.registry.targets.ReceiveHeartbeat(b.ID, b.Call, n.now)
 	}
 	n.acknowledgeUpdate(from, update)
-	ended, again := n.registry.targets.PopTransitions()
+	ended, revived := n.registry.targets.PopTransitions()
 	n.endIncarnations(ended, from)
-	learned = slices.DeleteFunc(append(learned, again...), func(t relay.Target) bool { return !n.registry.targets.IsCurrent(t.ID) })
-	n.noteLeaving(learned)
+	learned = slices.DeleteFunc(append(learned, revived...), func(t relay.Target) bool { return !n.registry.targets.IsCurrent(t.ID) })
+	n.recordLeaving(learned)
 	n.registry.changesPending = n.registry.changesPending || len(learned) > 0
 	if len(learned) > 0 && n.settings.Entry {
 		n.emit(TargetsLearned{Targets: learned})
@@ -180,7 +182,7 @@
 	}
 	n.registry.changesPending = true
 	for _, s := range ended {
-		delete(n.leader.placing.orders, s.Old)
+		delete(n.leader.layerPlacement.orders, s.Old)
 	}
 	n.emit(TargetsEnded{Ended: ended, ReportedBy: reportedBy})
 }
--- a/internal/core/leading.go
+++ b/internal/core/leading.go
@@ -9,16 +9,17 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// leaderState is the leader's volatile state, in addition to the replicated state. It is lost
-// with the leadership and rebuilt by the next leader.
+// leaderState is the leader's volatile state, in addition to the replicated state. Except for
+// the snapshot and the deltas, which every replica keeps, it is lost with the leadership and
+// rebuilt by the next leader.
 type leaderState struct {
 	snapshot Snapshot
 	// operators, claims and records hold the waiters for the log entry at an index.
-	operators map[Index]*waiter
+	operators map[Index]*operatorWaiter
 	claims    map[Index]claimWaiter
 	records   map[Index]recordWaiter
 	leases    map[VMName]*lease
-	deltas    deltaRing
+	deltas    deltaHistory
 	view      entryList
 	// viewCompleteAt is when the list of entry VMs is complete after an election: until
 	// then holders keep the list of the former leader.
@@ -32,14 +33,16 @@
 	platformAt      time.Time
 	orders          map[string]*orderState
 	// ordersAt is when placements are next compared with the layers that engines hold.
-	ordersAt     time.Time
-	planned      config.Revision
-	planPending  Index
-	conditionsAt time.Time
-	placing      placing
-	fleet        fleet
-	work         changeLog[relay.Work]
-	marks        changeLog[relay.Mark]
+	ordersAt time.Time
+	// plannedRevision is the revision that placements were last planned for, and pendingPlanIndex
+	// the log index of the newest proposed change of placements or conditions.
+	plannedRevision  config.Revision
+	pendingPlanIndex Index
+	conditionsAt     time.Time
+	layerPlacement   layerPlacement
+	fleet            fleetTotals
+	work             changeLog[relay.Work]
+	marks            changeLog[relay.Mark]
 	// joining are the replicas that have asked to join as learners.
 	joining   map[ReplicaID]Member
 	documents documentQueue
@@ -99,7 +102,7 @@
 	*l = leaderState{
 		snapshot:   snapshot,
 		deltas:     deltas,
-		operators:  make(map[Index]*waiter),
+		operators:  make(map[Index]*operatorWaiter),
 		claims:     make(map[Index]claimWaiter),
 		records:    make(map[Index]recordWaiter),
 		leases:     make(map[VMName]*lease),
@@ -109,7 +112,7 @@
 		reports:         make(map[string]map[VMName]receivedReport),
 		platformLeaving: make(map[string]bool),
 		orders:          make(map[string]*orderState),
-		placing:         placing{orders: make(map[relay.TargetID]layerOrder), inFlight: make(map[relay.TargetID]bool), queued: make(map[string][]relay.Assignment), logged: make(map[string]planLog), capacity: make(map[string]relay.Capacity), capacityAt: make(map[string]time.Time)},
+		layerPlacement:  layerPlacement{orders: make(map[relay.TargetID]layerOrder), inFlight: make(map[relay.TargetID]bool), queued: make(map[string][]relay.Assignment), logged: make(map[string]planLog), capacity: make(map[string]relay.Capacity), capacityAt: make(map[string]time.Time)},
 	}
 }
 
@@ -145,22 +148,22 @@
 	}
 }
 
-// deltaRing keeps the newest changes to the configuration, so that an entry VM is brought
+// deltaHistory keeps the newest changes to the configuration, so that an entry VM is brought
 // up to date without sending the whole configuration.
-type deltaRing struct{ deltas []Delta }
+type deltaHistory struct{ deltas []Delta }
 
-// keptDeltas bounds the number of deltas kept.
-const keptDeltas = 256
+// maxDeltas bounds the number of deltas kept.
+const maxDeltas = 256
 
-func (d *deltaRing) add(delta Delta) {
-	if len(d.deltas) >= keptDeltas {
-		d.deltas = slices.Clone(d.deltas[keptDeltas/2:])
+func (d *deltaHistory) add(delta Delta) {
+	if len(d.deltas) >= maxDeltas {
+		d.deltas = slices.Clone(d.deltas[maxDeltas/2:])
 	}
 	d.deltas = append(d.deltas, delta)
 }
 
 // since returns the deltas after revision, and whether all of them are kept.
-func (d *deltaRing) since(revision, current config.Revision) ([]Delta, bool) {
+func (d *deltaHistory) since(revision, current config.Revision) ([]Delta, bool) {
 	if revision == current {
 		return nil, true
 	}
--- a/internal/core/limits.go
+++ b/internal/core/limits.go
@@ -77,11 +77,11 @@
 
 // renewForPermits renews the lease, at most once per permitsEvery.
 func (n *Node) renewForPermits() {
-	t := &n.entry.lease
-	if !n.settings.Entry || !n.hasLease() || n.now.Before(t.permitsAt) {
+	l := &n.entry.lease
+	if !n.settings.Entry || !n.hasLease() || n.now.Before(l.permitsAt) {
 		return
 	}
-	t.permitsAt = n.now.Add(permitsEvery)
+	l.permitsAt = n.now.Add(permitsEvery)
 	n.renew()
 }
 
@@ -168,7 +168,7 @@
 	}
 	granted := PermitsGranted{Number: g.Number, Permits: g.Permits, Until: sent.Add(n.settings.Timing.Shortened(relay.PermitTTL))}
 	n.entry.limits.Grant(granted.Number, granted.Permits, granted.Until, n.now)
-	if n.followsTargets() {
+	if n.hasRegisteringTargets() {
 		n.emit(granted)
 	}
 }
--- a/internal/core/registry.go
+++ b/internal/core/registry.go
@@ -129,9 +129,9 @@
 	// targetExpiry is the silence after which a target is removed: far longer than a network
 	// partition between VMs lasts.
 	targetExpiry = 60 * time.Second
-	// minFailedFindings is the number of entry VMs that must find a target failed, failedRatio
-	// how many must for each that finds it healthy. VMs partitioned from targets find all of
-	// them failed, and are fewer than the others.
+	// A target counts as silent when at least minFailedFindings entry VMs find it failed, and at
+	// least failedRatio times as many as find it healthy. VMs partitioned from targets find all
+	// of them failed, and are fewer than the others.
 	minFailedFindings = 2
 	failedRatio       = 2
 	// pushIntervalPerFollower is the interval between two pushes, per follower, so that the
@@ -150,11 +150,11 @@
 	// followed is the last change received from each control VM.
 	followed map[VMName]position
 	followAt time.Time
-	forgetAt time.Time
+	expireAt time.Time
 	// fullStateFrom selects, modulo their number, the control VM that is asked for its full
-	// state; fullState is set once one has sent it.
+	// state; hasFullState is set once one has sent it.
 	fullStateFrom int
-	fullState     bool
+	hasFullState  bool
 	// changesPending is set when followers are to be sent changes at the next push. Thousands
 	// of targets may report within a second, and each push goes to hundreds of followers.
 	changesPending bool
@@ -168,8 +168,8 @@
 	savedSilent int
 	saveAt      time.Time
 	// checkSilentAt is when to check again whether other targets are silent.
-	checkSilentAt time.Time
-	unnamed       unnamed
+	checkSilentAt   time.Time
+	heldBackReports heldBackReports
 	// shortlist is kept by a control VM.
 	shortlist shortlist
 	// leavingChange is the change at which this VM last learned that a target is leaving.
@@ -184,17 +184,17 @@
 	// acknowledged is the last change that it has acknowledged.
 	acknowledged uint64
 	// sent is the change up to which updates were sent, and resendAt when those in flight count
-	// as lost; it is zero where none are in flight. lost counts the updates sent since
+	// as lost; resendAt is zero where none are in flight. lost counts the updates sent since
 	// everything was last acknowledged, including those in flight.
-	sent     uint64
-	resendAt time.Time
-	lost     int
+	sent           uint64
+	resendAt       time.Time
+	unacknowledged int
 	// overdueAt is when updates in flight count as lost if the follower asks and reports that
 	// it lacks them.
 	overdueAt time.Time
-	// leaving is the change up to which it was sent leaving targets outside the sequence of
+	// leavingSent is the change up to which it was sent leaving targets outside the sequence of
 	// updates.
-	leaving uint64
+	leavingSent uint64
 	// askedAt is when it last asked, and hall the data hall that it named.
 	askedAt time.Time
 	hall    string
@@ -206,10 +206,10 @@
 func (n *Node) startRegistry(hints []relay.Target) {
 	silence := n.settings.Timing.targetTimeout()
 	n.registry = registry{
-		targets:   relay.NewRegistry(silence),
-		followers: make(map[VMName]*follower),
-		followed:  make(map[VMName]position),
-		unnamed:   unnamed{targets: relay.NewRegistry(silence)},
+		targets:         relay.NewRegistry(silence),
+		followers:       make(map[VMName]*follower),
+		followed:        make(map[VMName]position),
+		heldBackReports: heldBackReports{targets: relay.NewRegistry(silence)},
 	}
 	if n.settings.Control {
 		n.registry.targets.WithholdEngines()
@@ -246,11 +246,11 @@
 	r.saveAt = n.now.Add(saveEvery)
 	r.saved = r.targets.Change()
 	r.savedSilent = len(silent)
-	n.emit(SaveTargets{Targets: n.live(r.targets.All())})
+	n.emit(SaveTargets{Targets: n.withoutSilent(r.targets.All())})
 }
 
-// live removes the silent targets from a list.
-func (n *Node) live(targets []relay.Target) []relay.Target {
+// withoutSilent removes the silent targets from a list.
+func (n *Node) withoutSilent(targets []relay.Target) []relay.Target {
 	silent := n.silentTargets()
 	return slices.DeleteFunc(targets, func(t relay.Target) bool {
 		_, is := slices.BinarySearch(silent, t.ID)
@@ -269,7 +269,7 @@
 		n.emit(TargetReportReply{Conn: s.Conn})
 		return
 	}
-	heldBack := n.heldBack(s.Target)
+	heldBack := n.holdBackUndeclared(s.Target)
 	if !heldBack {
 		n.acceptReport(s.Target)
 	}
@@ -279,13 +279,13 @@
 // acceptReport records and distributes a report that a target sent to this VM.
 func (n *Node) acceptReport(t relay.Target) {
 	changed := n.registry.targets.ReceiveReport(t, n.now)
-	ended, again := n.registry.targets.PopTransitions()
+	ended, revived := n.registry.targets.PopTransitions()
 	n.endIncarnations(ended, n.settings.Self.VM)
-	if !changed && len(again) == 0 {
+	if !changed && len(revived) == 0 {
 		return
 	}
 	n.note("target said something new", string(t.ID))
-	n.noteLeaving([]relay.Target{t})
+	n.recordLeaving([]relay.Target{t})
 	n.registry.changesPending = true
 	n.saveTargets(t.Leaving)
 }
@@ -329,11 +329,11 @@
 	return slices.Sorted(maps.Keys(known))
 }
 
-// followsTargets reports whether this deployment has targets that register.
-func (n *Node) followsTargets() bool { return n.settings.DecodeDocument != nil }
+// hasRegisteringTargets reports whether this deployment has targets that register.
+func (n *Node) hasRegisteringTargets() bool { return n.settings.DecodeDocument != nil }
 
 func (n *Node) tickRegistry() {
-	if !n.followsTargets() {
+	if !n.hasRegisteringTargets() {
 		return
 	}
 	if !n.now.Before(n.registry.followAt) {
@@ -341,8 +341,8 @@
 		n.follow()
 	}
 	if n.settings.Control {
-		n.tickUnnamed()
-		n.listEngines()
+		n.tickHeldBackReports()
+		n.extendShortlists()
 	}
 	n.saveTargets(false)
 	n.registry.changesPending = n.registry.changesPending || n.updateLost()
@@ -351,8 +351,8 @@
 		n.registry.pushAt = n.now.Add(time.Duration(len(n.registry.followers)) * pushIntervalPerFollower)
 		n.push()
 	}
-	if !n.now.Before(n.registry.forgetAt) {
-		n.registry.forgetAt = n.now.Add(targetExpiry / 10)
+	if !n.now.Before(n.registry.expireAt) {
+		n.registry.expireAt = n.now.Add(targetExpiry / 10)
 		n.registry.targets.Expire(n.now.Add(-targetExpiry))
 	}
 }
@@ -360,7 +360,7 @@
 // updateLost reports whether updates to a follower weren't acknowledged in time.
 func (n *Node) updateLost() bool {
 	for _, f := range n.registry.followers {
-		if f.lost > 0 && !n.now.Before(f.resendAt) {
+		if f.unacknowledged > 0 && !n.now.Before(f.resendAt) {
 			return true
 		}
 	}
