--- a/internal/core/world_targets_test.go
+++ b/internal/core/world_targets_test.go
@@ -105,7 +105,7 @@
 	watched := core.Watched{Report: core.TargetReport{Target: e.Target, Reached: w.reachable(e.Target)}}
 	watched.Report.Leaving = w.leaves[e.Target]
 	if engine, ok := w.engines[e.Target]; ok && watched.Report.Reached {
-		watched.Report.AppliedSequence = engine.Load().Holding
+		watched.Report.AppliedSequence = engine.Load().LastOrder
 	}
 	w.after(w.latency(), v.name, watched)
 }
--- a/internal/daemon/caller_conn.go
+++ b/internal/daemon/caller_conn.go
@@ -208,8 +208,8 @@
 	return buffered, nil
 }
 
-// givesUp reports whether a writer without room stops waiting: at the time limit of its target
-// or, where the memory of all is short, as soon as its caller does not read at all.
+// givesUp reports whether a writer without room stops waiting: at until or, where a target waits
+// and the memory shared by all callers is short, once its caller has read nothing for readGrace.
 func (c *callerConn) givesUp(now, until time.Time) bool {
 	return !now.Before(until) || c.targetWaits && !c.outbox.holdings.Full(c.id) && !c.blockedSince.IsZero() && now.Sub(c.blockedSince) >= readGrace
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,11 @@
 // Package daemon runs a core.Node as a process: it turns input from sockets, timers and
 // the disk into events, and executes the effects that the Node returns.
 //
-// The files: loop steps the Node; disk stores the control state; peers serves
+// The main files: loop steps the Node; disk stores the control state; peers serves
 // other VMs and operators; callers and openai serve callers; effects
-// dispatches the Node's effects; metrics exports counters and gauges.
+// dispatches the Node's effects; metrics exports counters and gauges; platform is the
+// interface to a platform's adapter, gateway serves the adapter, and forward forwards
+// its requests to targets.
 package daemon
 
 import (
--- a/internal/daemon/openai.go
+++ b/internal/daemon/openai.go
@@ -29,8 +29,8 @@
 	// MaxCompletionTokens is the newer name of MaxTokens in chat requests.
 	MaxCompletionTokens *int `json:"max_completion_tokens"`
 	Stream              bool `json:"stream"`
-	// N, Stop and StreamOptions are supported with their default effect only; unsupported refuses
-	// others.
+	// N, Stop and StreamOptions are supported with their default effect only; unsupportedReason
+	// rejects other values.
 	N             *int            `json:"n"`
 	Stop          json.RawMessage `json:"stop"`
 	StreamOptions struct {
@@ -38,9 +38,9 @@
 	} `json:"stream_options"`
 }
 
-// unsupported returns why the request can't be served as asked, or an empty string: ignoring
-// an option silently would give a wrong answer.
-func (q completionRequest) unsupported() string {
+// unsupportedReason returns why the request can't be served as asked, or an empty string. An option
+// that is ignored silently would give a wrong answer.
+func (q completionRequest) unsupportedReason() string {
 	stop := string(q.Stop)
 	switch {
 	case q.MaxTokens != nil && *q.MaxTokens <= 0, q.MaxCompletionTokens != nil && *q.MaxCompletionTokens <= 0:
@@ -89,19 +89,19 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// shape is the answer format of an endpoint.
-type shape struct{ chat bool }
+// answerFormat is the answer format of an endpoint.
+type answerFormat struct{ chat bool }
 
 func (c *callers) completions(w http.ResponseWriter, r *http.Request) {
-	c.complete(w, r, shape{})
+	c.complete(w, r, answerFormat{})
 }
 
 func (c *callers) chat(w http.ResponseWriter, r *http.Request) {
-	c.complete(w, r, shape{chat: true})
+	c.complete(w, r, answerFormat{chat: true})
 }
 
 // promptOf returns the prompt for the model.
-func (s shape) promptOf(q completionRequest) string {
+func (s answerFormat) promptOf(q completionRequest) string {
 	if !s.chat {
 		return q.Prompt
 	}
@@ -122,7 +122,7 @@
 	return defaultMaxTokens
 }
 
-func (c *callers) complete(w http.ResponseWriter, r *http.Request, s shape) {
+func (c *callers) complete(w http.ResponseWriter, r *http.Request, s answerFormat) {
 	body, ok := c.readBody(w, r)
 	if !ok {
 		return
@@ -132,7 +132,7 @@
 		badRequest(w, fmt.Sprintf("the body is no JSON of a completion: %v", err))
 		return
 	}
-	if reason := q.unsupported(); reason != "" {
+	if reason := q.unsupportedReason(); reason != "" {
 		badRequest(w, reason)
 		return
 	}
@@ -163,12 +163,12 @@
 	// Engines continue while a caller does not read: its mailbox must not grow for long.
 	caller.setTargetWaits(q.Stream)
 	w.Header().Set(target.HeaderIdempotencyKey, string(id))
-	a := &answerWriter{w: w, id: id, shape: s, model: q.Model, created: time.Now(), count: after}
+	a := &answerWriter{w: w, id: id, format: s, model: q.Model, created: time.Now(), tokenCount: after}
 	if q.Stream {
 		c.stream(r, box, a)
 		return
 	}
-	c.whole(r, box, a)
+	c.writeCollected(r, box, a)
 }
 
 // afterOf returns how many tokens the caller already has.
@@ -188,12 +188,12 @@
 type answerWriter struct {
 	w       http.ResponseWriter
 	id      core.RequestID
-	shape   shape
+	format  answerFormat
 	model   string
 	created time.Time
-	// count is the number of tokens that the caller has.
-	count   int
-	started bool
+	// tokenCount is the number of the answer's tokens so far, with those that the caller already had.
+	tokenCount int
+	started    bool
 }
 
 // stream writes an answer as it arrives.
@@ -240,14 +240,14 @@
 // emit writes the tokens that the caller has not received, each as one event.
 func (a *answerWriter) emit(e core.Emit) {
 	for i, token := range e.Tokens {
-		if e.From+i < a.count {
+		if e.From+i < a.tokenCount {
 			continue
 		}
-		a.count++
-		a.event(a.part(token.Text, nil))
+		a.tokenCount++
+		a.event(a.chunk(token.Text, nil))
 	}
 	if e.Finish != "" {
-		a.event(a.part("", &e.Finish))
+		a.event(a.chunk("", &e.Finish))
 	}
 }
 
@@ -256,7 +256,7 @@
 	if err != nil {
 		return
 	}
-	fmt.Fprintf(a.w, "id: %d\ndata: %s\n\n", a.count, data)
+	fmt.Fprintf(a.w, "id: %d\ndata: %s\n\n", a.tokenCount, data)
 }
 
 func (a *answerWriter) end() {
@@ -273,13 +273,13 @@
 	a.flush()
 }
 
-func (a *answerWriter) part(text string, finish *string) completionReply {
+func (a *answerWriter) chunk(text string, finish *string) completionReply {
 	c := choice{FinishReason: finish}
 	object := "text_completion"
-	if a.shape.chat {
+	if a.format.chat {
 		object = "chat.completion.chunk"
 		c.Delta = &chatDelta{Content: text}
-		if a.count <= 1 {
+		if a.tokenCount <= 1 {
 			c.Delta.Role = "assistant"
 		}
 	} else {
@@ -292,8 +292,8 @@
 	return completionReply{ID: string(a.id), Object: object, Created: a.created.Unix(), Model: a.model, Choices: []choice{c}}
 }
 
-// whole collects an answer and writes it at once.
-func (c *callers) whole(r *http.Request, box *mailbox, a *answerWriter) {
+// writeCollected collects an answer and writes it at once.
+func (c *callers) writeCollected(r *http.Request, box *mailbox, a *answerWriter) {
 	var text strings.Builder
 	for {
 		effects := c.take(r, box)
@@ -318,8 +318,8 @@
 
 func (a *answerWriter) gather(text *strings.Builder, e core.Emit) {
 	for i, token := range e.Tokens {
-		if e.From+i >= a.count {
-			a.count++
+		if e.From+i >= a.tokenCount {
+			a.tokenCount++
 			text.WriteString(token.Text)
 		}
 	}
@@ -328,14 +328,14 @@
 func (a *answerWriter) writeWhole(text, finish string) {
 	c := choice{FinishReason: &finish}
 	object := "text_completion"
-	if a.shape.chat {
+	if a.format.chat {
 		object = "chat.completion"
 		c.Message = &chatMessage{Role: "assistant", Content: text}
 	} else {
 		c.Text = &text
 	}
 	reply := a.reply(object, c)
-	reply.Usage = &usage{CompletionTokens: a.count, TotalTokens: a.count}
+	reply.Usage = &usage{CompletionTokens: a.tokenCount, TotalTokens: a.tokenCount}
 	writeJSON(a.w, http.StatusOK, reply)
 }
 
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -25,8 +25,8 @@
 	Router relay.Settings
 	// DelegatesBootstrap is set if this VM has to start the cluster and has no disk.
 	DelegatesBootstrap bool
-	// AcceptTime is how long after the start of a planned stop callers are still accepted, and Grace
-	// how long after it requests in progress are cut off.
+	// AcceptTime is how long after the start of a planned stop callers are still accepted, and
+	// Grace how long after it the requests still in progress are cut off.
 	AcceptTime time.Duration
 	Grace      time.Duration
 }
@@ -112,8 +112,8 @@
 	Host     string
 	Header   http.Header
 	Body     []byte
-	// PromptTokens and Answer are the token counts of a stream, LengthHint the caller's estimate of
-	// the answer's; 0 if not given.
+	// PromptTokens and AnswerTokens are the token counts of a stream, LengthHint the caller's
+	// estimate of AnswerTokens; 0 if not given.
 	PromptTokens, AnswerTokens, LengthHint int
 	// After is the id of the last event that the caller has, or empty.
 	After string
--- a/internal/daemon/receipts.go
+++ b/internal/daemon/receipts.go
@@ -22,7 +22,7 @@
 // link, so that one verdict covers all its users.
 
 // errLinkSilent ends a connection to a VM that returns no receipts. The queued messages are
-// kept: they are newer than the silence.
+// kept: they are newer than those sent over the silent connection.
 var errLinkSilent = errors.New("connection is silent; opening a new one")
 
 const (
@@ -56,8 +56,8 @@
 	redial bool
 }
 
-// nextReceipt returns the receipt to send with a message. A non-nil requested is whether the
-// message is a probe.
+// nextReceipt returns the receipt to send with a message. requested is the receipt that a probe
+// already carries, which asks for a reply at once; it is nil for other messages.
 func (r *receipts) nextReceipt(requested *core.Receipt, now time.Time) *core.Receipt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/daemon/silent.go
+++ b/internal/daemon/silent.go
@@ -79,7 +79,7 @@
 	bound := f.g.answers.overdueAfter(f.service, f.g.silenceBound())
 	if !f.route.Stream && bound > 0 && len(f.call.Body) <= target.InlineBody {
 		// The target may take any time to read a longer body.
-		request.FirstByte = target.FirstByteWait{Timeout: bound, Abandon: f.takeResend}
+		request.FirstByte = target.FirstByteWait{Timeout: bound, ShouldAbandon: f.takeResend}
 	}
 	request.Redial = f.leftSilentConn
 	// After a try that broke off, use no idle connection, which may be silent too: a second copy
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -17,7 +17,7 @@
 	maxStartupHold = 1600 * time.Millisecond
 )
 
-// awaitStart holds a call of a process that has just started until it has a lease and knows
+// awaitStart holds a call until this process, if it has just started, has a lease and knows
 // targets. After a power loss all callers come back at once, most for their last attempt,
 // before the control VMs have a leader and have received the targets' heartbeats.
 func (g *Gateway) awaitStart(ctx context.Context) {
--- a/internal/fake/engine.go
+++ b/internal/fake/engine.go
@@ -334,7 +334,7 @@
 		return e.simulateRebuild(ctx, o, in)
 	}
 	reply, err := e.options.Transport.Boundary(ctx, *o.Source,
-		target.BoundaryOrder{Stream: o.Stream, Epoch: o.Epoch, Layers: o.Source.Layers, To: o.Position})
+		target.BoundaryOrder{Stream: o.Stream, Epoch: o.Epoch, Layers: o.Source.Layers, BeforePosition: o.Position})
 	if err != nil {
 		return nil, core.ResultBroken, o.Source.Target
 	}
@@ -368,10 +368,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.next < o.To {
+	if s.next < o.BeforePosition {
 		return target.BoundaryReply{Result: core.ResultGap}
 	}
-	return target.BoundaryReply{Result: core.ResultDone, Activations: s.outputs[:o.To]}
+	return target.BoundaryReply{Result: core.ResultDone, Activations: s.outputs[:o.BeforePosition]}
 }
 
 // Release drops the state of a stream. Its epoch is retained, so that a late run
@@ -431,7 +431,7 @@
 	}
 	report := e.lastReport
 	report.Leaving = e.leaving
-	report.Holding = e.fence.Sequence
+	report.LastOrder = e.fence.Sequence
 	return report
 }
 
--- a/internal/target/body.go
+++ b/internal/target/body.go
@@ -47,7 +47,7 @@
 			return err
 		case n > 0:
 			continue
-		case !l.acknowledged():
+		case !l.allAcknowledged():
 			return err
 		}
 		l.notReading.Store(true)
@@ -74,9 +74,9 @@
 	siocOutqnsd = 0x894b
 )
 
-// acknowledged reports whether all bytes that were sent have been acknowledged. It returns
+// allAcknowledged reports whether all bytes that were sent have been acknowledged. It returns
 // false where the kernel can't report it.
-func (l *link) acknowledged() bool {
+func (l *link) allAcknowledged() bool {
 	tcp, ok := l.Conn.(*net.TCPConn)
 	if !ok {
 		return false
--- a/internal/target/client.go
+++ b/internal/target/client.go
@@ -26,8 +26,8 @@
 type Client struct {
 	http *http.Client
 	runs *runLinks
-	// fresh dials a new connection for each request.
-	fresh *http.Client
+	// unpooled dials a new connection for each request.
+	unpooled *http.Client
 	// silence configures the detection of silent connections; see WithSilence.
 	silence silenceDetection
 }
@@ -42,7 +42,7 @@
 	fresh := kept.Clone()
 	fresh.DisableKeepAlives = true
 	client := &http.Client{Transport: kept}
-	return &Client{http: client, runs: newRunLinks(client, silenceDetection{}), fresh: &http.Client{Transport: fresh}}
+	return &Client{http: client, runs: newRunLinks(client, silenceDetection{}), unpooled: &http.Client{Transport: fresh}}
 }
 
 // RunOrder sends an order over the engine's link and waits for its reply.
@@ -169,7 +169,7 @@
 	watched.Busy = report.Busy
 	watched.Report.Reached = true
 	watched.Report.Leaving = report.Leaving
-	watched.Report.AppliedSequence = report.Holding
+	watched.Report.AppliedSequence = report.LastOrder
 	return watched
 }
 
--- a/internal/target/exchange.go
+++ b/internal/target/exchange.go
@@ -68,8 +68,8 @@
 	dialer net.Dialer
 	mu     sync.Mutex
 	idle   map[string][]*link
-	// Dialled is called after each new connection.
-	Dialled     func()
+	// OnDial is called after each new connection.
+	OnDial      func()
 	redialSlots chan struct{}
 }
 
@@ -78,7 +78,7 @@
 	return &Exchanger{
 		dialer:      net.Dialer{Timeout: dialTimeout, Control: wire.TCPUserTimeout(unackedTimeout), KeepAlive: -1},
 		idle:        make(map[string][]*link),
-		Dialled:     dialled,
+		OnDial:      dialled,
 		redialSlots: make(chan struct{}, maxConcurrentRedials),
 	}
 }
@@ -130,13 +130,13 @@
 	net.Conn
 	reader    *bufio.Reader
 	address   string
-	pool      *Exchanger
+	exchanger *Exchanger
 	expiresAt time.Time
 	request   *Request
 	reused    bool
 	// answered is set if bytes were received since the request was sent.
-	answered bool
-	written  chan error
+	answered    bool
+	bodyWritten chan error
 	// sentAt is when the request was sent, lastUsedAt when the previous exchange was closed.
 	sentAt, lastUsedAt time.Time
 	// notReading is set if the target does not read the request.
@@ -253,9 +253,9 @@
 	if _, err := l.Conn.Write(head.Bytes()); err != nil {
 		return err
 	}
-	l.written = make(chan error, 1)
+	l.bodyWritten = make(chan error, 1)
 	go func() {
-		l.written <- l.writeBody(r.Body)
+		l.bodyWritten <- l.writeBody(r.Body)
 	}()
 	return nil
 }
@@ -307,16 +307,16 @@
 	}
 	l.lastUsedAt = clock.Now()
 	l.expiresAt = l.lastUsedAt.Add(idleTime(a.Header))
-	l.pool.push(l)
+	l.exchanger.push(l)
 }
 
 func (l *link) allWritten() bool {
-	if l.written == nil {
+	if l.bodyWritten == nil {
 		return true
 	}
 	select {
-	case err := <-l.written:
-		l.written = nil
+	case err := <-l.bodyWritten:
+		l.bodyWritten = nil
 		return err == nil
 	default:
 		return false
--- a/internal/target/kept.go
+++ b/internal/target/kept.go
@@ -27,10 +27,10 @@
 
 // FirstByteWait bounds the wait for the first byte on a reused connection.
 type FirstByteWait struct {
-	// Timeout is the wait before Abandon is called, once; zero waits without limit.
+	// Timeout is the wait before ShouldAbandon is called, once; zero waits without limit.
 	Timeout time.Duration
-	// Abandon reports whether to abandon the connection because the request may be sent again.
-	Abandon func() bool
+	// ShouldAbandon reports whether to abandon the connection because the request may be sent again.
+	ShouldAbandon func() bool
 }
 
 // boundsFirstByte reports whether the wait for the first byte is bounded by FirstByteWait.
@@ -48,7 +48,7 @@
 	l.answered = n > 0
 	var netErr net.Error
 	timedOut := errors.As(err, &netErr) && netErr.Timeout()
-	if timedOut && wait.Abandon() {
+	if timedOut && wait.ShouldAbandon() {
 		return 0, ErrReusedSilent
 	}
 	l.request.FirstByte = FirstByteWait{}
--- a/internal/target/kept_test.go
+++ b/internal/target/kept_test.go
@@ -58,7 +58,7 @@
 // A request on a reused connection that had fallen silent waited until its caller's deadline.
 func TestSilentReusedConnectionIsAbandoned(t *testing.T) {
 	proxy, x, dialled := newProxiedTarget(t)
-	wait := target.FirstByteWait{Timeout: firstByteWait, Abandon: always}
+	wait := target.FirstByteWait{Timeout: firstByteWait, ShouldAbandon: always}
 	require.NoError(t, requestReused(x, proxy.Address(), wait))
 	require.NoError(t, requestReused(x, proxy.Address(), wait))
 	require.Equal(t, int64(1), dialled.Load())
@@ -76,7 +76,7 @@
 	require.NoError(t, requestReused(x, proxy.Address(), target.FirstByteWait{}))
 	proxy.SetDelay(2 * firstByteWait)
 	calls := 0
-	require.NoError(t, requestReused(x, proxy.Address(), target.FirstByteWait{Timeout: firstByteWait, Abandon: func() bool { calls++; return false }}))
+	require.NoError(t, requestReused(x, proxy.Address(), target.FirstByteWait{Timeout: firstByteWait, ShouldAbandon: func() bool { calls++; return false }}))
 	require.Equal(t, 1, calls)
 }
 
--- a/internal/target/pool.go
+++ b/internal/target/pool.go
@@ -33,8 +33,8 @@
 	if err != nil {
 		return nil, err
 	}
-	x.Dialled()
-	l := &link{Conn: conn, address: address, pool: x, expiresAt: clock.Now().Add(defaultIdleTime)}
+	x.OnDial()
+	l := &link{Conn: conn, address: address, exchanger: x, expiresAt: clock.Now().Add(defaultIdleTime)}
 	l.reader = bufio.NewReaderSize(l, readBufferBytes)
 	return l, nil
 }
--- a/internal/target/protocol.go
+++ b/internal/target/protocol.go
@@ -71,12 +71,13 @@
 	Target string         `json:"target"`
 }
 
-// BoundaryOrder requests the activations that an engine has kept.
+// BoundaryOrder requests the activations after Layers that an engine has kept, for the positions
+// before BeforePosition.
 type BoundaryOrder struct {
-	Stream core.RequestID `json:"stream"`
-	Epoch  core.Epoch     `json:"epoch"`
-	Layers config.Range   `json:"layers"`
-	To     int            `json:"to"`
+	Stream         core.RequestID `json:"stream"`
+	Epoch          core.Epoch     `json:"epoch"`
+	Layers         config.Range   `json:"layers"`
+	BeforePosition int            `json:"to"`
 }
 
 // BoundaryReply answers a BoundaryOrder.
@@ -124,8 +125,8 @@
 	Busy    int  `json:"busy"`
 	Slots   int  `json:"slots"`
 	Leaving bool `json:"leaving"`
-	// Holding is the sequence number of the order that was executed last.
-	Holding uint64 `json:"holding"`
+	// LastOrder is the sequence number of the order that was executed last.
+	LastOrder uint64 `json:"holding"`
 }
 
 // VMState is the state of one VM in the platform's list.
--- a/internal/target/runlink.go
+++ b/internal/target/runlink.go
@@ -134,7 +134,7 @@
 
 // serve sends the request and reads replies until the link breaks.
 func (l *runLink) serve(ctx context.Context, client *http.Client, address string, body io.ReadCloser) {
-	defer l.breakAll()
+	defer l.breakLink()
 	defer body.Close()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+PathRuns, body)
 	if err != nil {
@@ -169,8 +169,8 @@
 	}
 }
 
-// breakAll fails the open runs and closes the link.
-func (l *runLink) breakAll() {
+// breakLink fails the open runs and closes the link.
+func (l *runLink) breakLink() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.broken = true
--- a/internal/target/silence.go
+++ b/internal/target/silence.go
@@ -59,7 +59,7 @@
 	if err == nil || !late {
 		return reply, err
 	}
-	reply, err = getOnce[Reply](ctx, &Client{http: c.fresh}, url)
+	reply, err = getOnce[Reply](ctx, &Client{http: c.unpooled}, url)
 	if err == nil {
 		// Other connections that have been idle as long are suspect, too.
 		c.http.CloseIdleConnections()
@@ -82,8 +82,8 @@
 	address   string
 	detection silenceDetection
 	state     silence.Link
-	// armed is set if a check is scheduled, silent if the link was closed as silent.
-	armed, silent bool
+	// checkScheduled is set if the next check is scheduled, silent if the link was closed as silent.
+	checkScheduled, silent bool
 }
 
 func newLinkMonitor(address string, detection silenceDetection) linkMonitor {
@@ -93,16 +93,16 @@
 // recordSent records that a line was sent.
 func (l *runLink) recordSent(now time.Time) {
 	l.state, _ = l.state.Sent(now)
-	l.arm(now)
+	l.scheduleCheck(now)
 }
 
-// arm schedules the next check of the link, if one is due.
-func (l *runLink) arm(now time.Time) {
+// scheduleCheck schedules the next check of the link, if one is due.
+func (l *runLink) scheduleCheck(now time.Time) {
 	due, any := l.state.NextCheck()
-	if !any || l.armed || l.broken {
+	if !any || l.checkScheduled || l.broken {
 		return
 	}
-	l.armed = true
+	l.checkScheduled = true
 	time.AfterFunc(due.Sub(now), l.check)
 }
 
@@ -111,7 +111,7 @@
 func (l *runLink) check() {
 	now := time.Now()
 	l.mu.Lock()
-	l.armed = false
+	l.checkScheduled = false
 	age, timeout := l.state.UnackedFor(now), l.state.ProbeTimeout()
 	state, action := l.state.Check(now)
 	l.state = state
@@ -122,10 +122,10 @@
 	// The next check may become due before the link is broken.
 	expired := action == silence.ConnSilent && !l.broken && !l.silent
 	l.silent = l.silent || expired
-	l.arm(now)
+	l.scheduleCheck(now)
 	l.mu.Unlock()
 	if expired {
-		l.breakAll()
+		l.breakLink()
 		l.detection.onSilent(kindRuns, l.address, age, timeout)
 	}
 }
