--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -71,7 +71,7 @@
 	perSecond float64
 }
 
-// recordPermitRefusal records a refusal for want of permits, so that the next caller gets a
+// recordPermitRefusal records a refusal for lack of permits, so that the next caller gets a
 // later retry time.
 func (g *Gateway) recordPermitRefusal(r *relay.Refusal) {
 	g.mu.Lock()
--- a/internal/daemon/memory.go
+++ b/internal/daemon/memory.go
@@ -90,8 +90,8 @@
 	})
 }
 
-// answerWithoutMemory ends a request that has run and whose answer found no memory.
-// Its target is not at fault, and another run would find no more memory.
+// answerWithoutMemory ends a request that has run and for whose answer there is no memory. Its
+// target is not at fault, and there would be no more memory for another run.
 func (f *forwarding) answerWithoutMemory(path relay.Path) result {
 	f.g.recordSuccess(path.First().Target)
 	f.lastCause = errNoMemory.Error()
--- a/internal/daemon/outcome.go
+++ b/internal/daemon/outcome.go
@@ -12,7 +12,7 @@
 	"github.com/spoolbank/spoolbank/internal/target"
 )
 
-// This file determines the outcome of a try that brought no whole answer, and which target is
+// This file determines the outcome of a try without a whole answer, and which target is
 // at fault.
 
 // handleUnconfirmed handles an answer whose status would mean to the caller that its request has
@@ -26,7 +26,7 @@
 	return resultBroken
 }
 
-// handleBroken handles an exchange that brought no whole answer.
+// handleBroken handles an exchange that ended without a whole answer.
 func (f *forwarding) handleBroken(ctx context.Context, path relay.Path, watch *watcher, err error) result {
 	f.lastCause = err.Error()
 	if ctx.Err() != nil {
--- a/internal/daemon/traffic.go
+++ b/internal/daemon/traffic.go
@@ -16,9 +16,9 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// This file measures what control costs a process: the bytes of messages to and from other
-// VMs by kind, and the time that the Node takes by event. Both are counted, and logged in
-// short at an interval, so that a log alone shows which kind has grown.
+// This file measures the cost of control for a process: the bytes of messages to and from other
+// VMs by kind, and the time that the Node takes by event. Both are counted, and a summary is
+// logged at an interval, so that a log alone shows which kind has grown.
 
 const (
 	// trafficLogInterval is the interval of the log line: a line costs some 0.1 ms, and the
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -32,9 +32,9 @@
 	connSilent bool
 }
 
-// minPauseShare is the part of a route's pause bound before which no engine is checked: on
-// the fastest paths, a moment in which this VM is too busy to read lasts longer than twice the
-// mean pause and looks like a loss.
+// minPauseShare is the fraction of a route's pause bound before which no engine is checked: on
+// the fastest paths, this VM can be too busy to read for longer than twice the mean pause, which
+// looks like a loss.
 const minPauseShare = 0.4
 
 // maxWakeDelay is how late this process may wake up and still treat engines without an answer
@@ -81,7 +81,7 @@
 	}
 	w.culprit = r.silent[0]
 	if !w.f.repath(w.ctx, r.silent, "its engines are lost") {
-		// A moment without an answer is no proof of a loss: an answer that could not continue
+		// No answer within livenessTimeout doesn't prove a loss, so an answer that could not continue
 		// elsewhere waits.
 		return !w.f.couldRepeat()
 	}
