--- a/internal/daemon/disk.go
+++ b/internal/daemon/disk.go
@@ -23,11 +23,12 @@
 
 // This file stores the control state on disk.
 //
-// The data folder has five files. identity: the cluster, written when the replica joins
-// it, and the incarnation, written once, so that a VM whose folder was lost returns as
-// another replica. log: the records that core.Persist orders, each with its length and
+// The data folder has five files. identity: the cluster, written when the replica joins or
+// bootstraps it, and the incarnation, written once, so that a VM whose folder was lost returns
+// as another replica. log: the records that core.Persist orders, each with its length and
 // checksum. snapshot: one record that replaces the beginning of the log. targets: hints of
-// targets, which can be lost without harm. lock: locked while a process uses the folder.
+// targets; those that are lost are learned again from heartbeats. lock: locked while a process
+// uses the folder.
 //
 // Invariants: nothing is reported as persisted before it is synced; a failed
 // write or sync ends the process, since the content of the disk is then unknown.
