--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,9 +1,11 @@
 // Package daemon runs a core.Node as a process: it turns input from sockets, timers and
 // the disk into events, and executes the effects that the Node returns.
 //
-// The files: loop steps the Node; disk stores the control state; peers serves
+// The main files: loop steps the Node; disk stores the control state; peers serves
 // other VMs and operators; callers and openai serve callers; effects
-// dispatches the Node's effects; metrics exports counters and gauges.
+// dispatches the Node's effects; metrics exports counters and gauges; platform is the
+// interface to a platform's adapter, gateway serves the adapter, and forward forwards
+// its requests to targets.
 package daemon
 
 import (
@@ -359,7 +361,7 @@
 		if err := server.Shutdown(ctx); err != nil {
 			return server.Close()
 		}
-		d.outbox.drained(ctx)
+		d.outbox.awaitDrained(ctx)
 		return nil
 	})
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
