--- a/internal/relay/document.go
+++ b/internal/relay/document.go
@@ -77,7 +77,8 @@
 }
 
 // Engine describes the model engines of a service. It is the cost model for plans and
-// paths.
+// paths. `spoolbank bound` reads it from files: a field that is renamed keeps its name there
+// by a tag.
 type Engine struct {
 	// Slots bounds the number of requests that an engine takes as the first of a path.
 	Slots  int
@@ -107,7 +108,7 @@
 	// ActivationBytes is the size of the activations of one token between two engines, and
 	// PipeBits the rate of a pipe between two halls, in bits a second, shared by all
 	// requests.
-	ActivationBytes float64
+	ActivationBytes float64 `json:"HandOnBytes"`
 	PipeBits        float64
 	// UsualPrompt and UsualAnswer are the lengths of the prompt and the answer of a usual
 	// request, in tokens.
@@ -124,8 +125,8 @@
 	Bytes float64
 	// StepFactor multiplies the time of steps, and ReadFactor that of reading prompts: a higher one
 	// is slower.
-	StepFactor float64
-	ReadFactor float64
+	StepFactor float64 `json:"Pace"`
+	ReadFactor float64 `json:"Read"`
 }
 
 // Slowed returns the accelerator of an engine whose work takes the given factor longer.
