--- a/internal/core/backoffs_test.go
+++ b/internal/core/backoffs_test.go
@@ -13,8 +13,8 @@
 	"github.com/spoolbank/spoolbank/query"
 )
 
-// An operator ends the backoffs of a target on every entry VM once, also on one that a change
-// reached late; VMs that start again later have none to end.
+// An operator's command ends the backoffs of a target once on every entry VM, also on one that
+// receives the change late. VMs that restart later have none to end.
 func TestAnOperatorEndsTheBackoffsOfATargetEverywhere(t *testing.T) {
 	f := started(t, smallFleet)
 	late := core.VMName("e1-1")
@@ -31,7 +31,7 @@
 	f.put(7)
 	f.run(2 * time.Second)
 	for _, vm := range f.entries() {
-		require.LessOrEqual(t, len(f.backoffsEnded[vm]), 2, "a VM that started again is told once more: %s", vm)
+		require.LessOrEqual(t, len(f.backoffsEnded[vm]), 2, "a restarted VM receives it once more: %s", vm)
 	}
 }
 
@@ -50,9 +50,9 @@
 	}
 }
 
-// A runner of a plain service that asks to back off gets no call of that VM meanwhile: others take
-// them, and where all ask to back off for longer than a caller waits it is refused at once, and told to come
-// back after the first backoff.
+// A runner of a plain service that asks a VM to back off gets no calls of that VM until then,
+// and others serve them. Where all runners ask to back off for longer than a caller waits, the
+// call is refused at once with a retry time after the first backoff ends.
 func TestARunnerThatAsksToBackOffGetsNoCalls(t *testing.T) {
 	w := newWorld(t, 41, 3, 1)
 	w.setUp()
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -11,16 +11,16 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// drainingTarget is the target that says with its answers that it leaves, while its heartbeats say
+// drainingTarget is a target whose answers carry a draining notice while its heartbeats report
 // that it is ready.
 const drainingTarget = relay.TargetID("i-1")
 
-// drainingFleet is a fleet in which entry VMs report what that target has answered.
+// drainingFleet is a fleet whose entry VMs report the draining notices of that target.
 type drainingFleet struct {
 	*hallFleet
 	// told are the entry VMs that it has answered.
 	told []core.VMName
-	// speaks is the control VM that its heartbeats come to, silent says that none come.
+	// speaks is the control VM that receives its heartbeats; silent stops them.
 	speaks core.VMName
 	silent bool
 	target relay.Target
@@ -40,8 +40,8 @@
 	return f
 }
 
-// run lets time pass, in which the target sends heartbeats, and VMs report as a router does:
-// until what they have learned says the same.
+// run advances time while the target sends heartbeats. Entry VMs report its notice as a router
+// does: until a target report that they receive says the same.
 func (f *drainingFleet) run(d time.Duration) {
 	for until := f.now.Add(d); f.now.Before(until); {
 		f.hallFleet.run(tickEvery)
@@ -61,7 +61,7 @@
 	}
 }
 
-// known reports whether all entry VMs that may take work know that the target leaves.
+// known reports whether all entry VMs with a lease know that the target is draining.
 func (f *drainingFleet) known() bool {
 	for _, vm := range f.entries() {
 		if !f.learned[vm][drainingTarget].Leaving && f.nodes[vm].Status().HasLease {
@@ -71,13 +71,14 @@
 	return true
 }
 
-// What an entry VM was answered counts for all as a heartbeat that says so does: whatever the
-// target's heartbeats say, which VM they come to, and what is lost between.
+// A draining notice with an answer to an entry VM has the same effect for all VMs as a
+// heartbeat that says so, whatever the target's heartbeats say, whichever VM receives them and
+// whatever is lost.
 func TestADrainingTargetIsKnownToAll(t *testing.T) {
 	for name, disturb := range map[string]func(f *drainingFleet){
-		"nothing happens":                 func(*drainingFleet) {},
-		"its heartbeats come to no VM":    func(f *drainingFleet) { f.silent = true },
-		"they turn to another control VM": func(f *drainingFleet) { f.speaks = "c0-1" },
+		"no fault":                            func(*drainingFleet) {},
+		"heartbeats are lost":                 func(f *drainingFleet) { f.silent = true },
+		"heartbeats go to another control VM": func(f *drainingFleet) { f.speaks = "c0-1" },
 		"a fifth of all messages are lost": func(f *drainingFleet) {
 			chance := rand.New(rand.NewPCG(1, 1))
 			f.loses = func(core.Envelope) bool { return chance.IntN(100) < 20 }
@@ -101,23 +102,24 @@
 			f.loses = nil
 			for range 10 {
 				f.run(time.Second)
-				require.True(t, f.known(), "it is not taken back")
+				require.True(t, f.known(), "the notice must not be reverted")
 			}
 		})
 	}
 }
 
-// A control VM that an engine answers to an order counts it as an entry VM's report.
+// A notice with an engine's answer to a control VM's order counts like the report of an entry
+// VM.
 func TestADrainingTargetThatAControlVMIsToldIsKnownToAll(t *testing.T) {
 	f := newDrainingFleet(t)
 	f.step("c1-1", core.TargetDrains{Target: drainingTarget})
 	require.Less(t, f.until("all know", knownWithin, f.known), 2*time.Second)
-	f.step("e0-0", core.TargetDrains{Target: "i-9"}) // an entry VM reports with its renewals
+	f.step("e0-0", core.TargetDrains{Target: "i-9"}) // an entry VM reports it with its renewals
 	f.run(time.Second)
 	require.True(t, f.known())
 }
 
-// Without any disturbance it takes a renewal and two ways: as long as a heartbeat may take.
+// Without faults the notice takes one renewal and two hops: as long as a heartbeat may take.
 func TestADrainingTargetIsKnownSoon(t *testing.T) {
 	f := newDrainingFleet(t)
 	f.told = []core.VMName{"e0-0"}
@@ -125,8 +127,8 @@
 	require.Less(t, took, 2*time.Second, "the shortest drain bound of the deployments")
 }
 
-// The VM that was answered may end once a control VM has heard it, and one that starts again
-// learns of it with its first lease.
+// The VM that received the answer may end once a control VM has its report, and a restarted one
+// learns of the notice with its first lease.
 func TestADrainingTargetOutlivesWhoReportedIt(t *testing.T) {
 	f := newDrainingFleet(t)
 	f.told = []core.VMName{"e0-0"}
@@ -143,8 +145,7 @@
 	require.True(t, f.known())
 }
 
-// A new incarnation is not bound by what the one before it said, though the report of that comes
-// late.
+// The notice of a previous incarnation doesn't apply to a new one, even if it is reported late.
 func TestADrainingTargetIsOfOneIncarnation(t *testing.T) {
 	f := newDrainingFleet(t)
 	f.silent = true
@@ -162,7 +163,7 @@
 	}
 }
 
-// A control VM that does not know of the draining notice may tell of something else that has changed.
+// A control VM that doesn't know the draining notice may send another change of the target.
 func TestNewsOfWhoDoesNotKnowTakeNoDrainingBack(t *testing.T) {
 	f := newDrainingFleet(t)
 	f.told = []core.VMName{"e0-0"}
--- a/internal/core/entries_test.go
+++ b/internal/core/entries_test.go
@@ -10,7 +10,7 @@
 	"github.com/spoolbank/spoolbank/internal/core"
 )
 
-// entryNode is an entry VM that gets its lease from a control VM called c1.
+// entryNode is an entry VM that gets its lease from the control VM c1.
 type entryNode struct {
 	node *core.Node
 	now  time.Time
@@ -26,7 +26,7 @@
 	return &entryNode{node: core.New(settings, core.Recovered{}, now), now: now}
 }
 
-// lease lets the Node ask for a lease and gives it one.
+// lease makes the Node renew its lease and grants it.
 func (e *entryNode) lease(t *testing.T, grant core.Grant) []core.Effect {
 	t.Helper()
 	e.now = e.now.Add(time.Second)
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// A VM that was cut off went on naming VMs that had been off for 9 s.
+// A partitioned VM kept listing VMs that had been down for 9 s.
 func TestEntriesAreNotNamedWithoutALease(t *testing.T) {
 	e := newEntryNode(core.Settings{})
 	view := []core.EntryView{{Address: core.EntryAddress{VM: "e2", Hall: "h", Callers: "10.0.0.2:80", Peers: "10.0.0.2:81"}}}
@@ -65,7 +65,8 @@
 	require.Empty(t, e.addresses(t))
 }
 
-// Pattern: a thousand VMs in five halls, of which each was named to each caller that asked.
+// Covers a deployment of a thousand VMs in five halls, which used to return all of them to
+// every caller.
 func TestACallerIsGivenAFewVMsOfItsHall(t *testing.T) {
 	const vms, halls = 1000, 5
 	e := newEntryNode(core.Settings{})
@@ -89,11 +90,11 @@
 			}
 		}
 	}
-	require.Len(t, named, vms/halls/2, "callers spread over all VMs of the hall that are little loaded")
+	require.Len(t, named, vms/halls/2, "callers spread over all lightly loaded VMs of the hall")
 }
 
-// While a quarter of the VMs was lost, every second request had to ask for addresses first,
-// and one in four of those that did waited a second for a lost VM.
+// While a quarter of the VMs was lost, every second request had to ask for addresses first, and
+// one in four of those waited a second for a lost VM.
 func TestAddressesAreKeptLongerWhileVMsAreLost(t *testing.T) {
 	e := newEntryNode(core.Settings{})
 	view := func(leaving bool, names ...core.VMName) []core.EntryView {
@@ -115,9 +116,9 @@
 	require.Equal(t, 5*time.Second, kept())
 	e.lease(t, core.Grant{To: 1, ViewVersion: 2, View: view(true, "e4")})
 	e.lease(t, core.Grant{To: 1, ViewVersion: 3, Gone: []core.VMName{"e4"}})
-	require.Equal(t, 5*time.Second, kept(), "it had said that it leaves")
+	require.Equal(t, 5*time.Second, kept(), "a draining VM isn't lost")
 	e.lease(t, core.Grant{To: 1, ViewVersion: 4, Gone: []core.VMName{"e3"}})
 	require.Equal(t, 9*time.Second, kept())
 	e.lease(t, core.Grant{To: 1, ViewVersion: 5, View: view(false, "e3")})
-	require.Equal(t, 5*time.Second, kept(), "it is back")
+	require.Equal(t, 5*time.Second, kept(), "the lost VM is back")
 }
--- a/internal/core/fleet_bench_test.go
+++ b/internal/core/fleet_bench_test.go
@@ -14,11 +14,11 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// benchStages is the number of engines that an entry VM has work at: some 5 requests
-// over 8 stages each.
+// benchStages is the number of engines at which an entry VM has work: about 5 requests with 8
+// stages each.
 const benchStages = 40
 
-// fleetBench is a leader whose targets and entry VMs speak as the users' do.
+// fleetBench is a leader with the target and entry VM traffic of the users' deployments.
 type fleetBench struct {
 	b       *testing.B
 	node    *core.Node
@@ -31,7 +31,7 @@
 	bytes   int
 }
 
-// engineDocument is a document of one service with engines.
+// engineDocument returns a document of one service with engines.
 func engineDocument([]byte) (*relay.Document, error) {
 	return &relay.Document{Version: 1, Services: []relay.Service{{
 		Name: "s", MaxConns: 900, Engine: &relay.Engine{
@@ -62,8 +62,8 @@
 	return f
 }
 
-// second is a second of the leader's life: a beat of each target it hears, two renewals
-// of each entry VM, and its ticks.
+// second simulates one second of a leader: one report of each target, two renewals of each
+// entry VM, and its ticks.
 func (f *fleetBench) second() {
 	const ticks = 50
 	for tick := range ticks {
@@ -100,7 +100,7 @@
 	}
 }
 
-// send encodes what goes out, and returns the leases among it.
+// send encodes all messages and returns the grants among them.
 func (f *fleetBench) send(effects []core.Effect) (grants []*core.Grant) {
 	for _, effect := range effects {
 		if e, ok := effect.(core.Send); ok {
@@ -115,8 +115,8 @@
 	return grants
 }
 
-// BenchmarkFleetSecond gives what a second costs the leader where all targets register
-// with it, by the number of entry VMs.
+// BenchmarkFleetSecond measures the cost of one second to a leader that all targets register
+// with, by the number of entry VMs.
 func BenchmarkFleetSecond(b *testing.B) {
 	for _, vms := range []int{10, 30, 100, 300} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -12,8 +12,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// sizedFleet is a hallFleet of five halls with two control VMs each, before three engines to a
-// VM, each of which speaks to a control VM of its hall.
+// sizedFleet is a hallFleet of five halls with two control VMs each, and three engines per VM
+// that each report to a control VM of their hall.
 type sizedFleet struct {
 	*hallFleet
 	engines []relay.Target
@@ -25,11 +25,11 @@
 const (
 	sizedHalls    = 5
 	sizedControls = 2
-	// sizedHeartbeat is the interval at which engines speak.
+	// sizedHeartbeat is the interval at which engines report.
 	sizedHeartbeat = 3 * time.Second
-	// answersPerSecond is what all VMs begin, however many there are, answerTime how long one
-	// takes, and stagesOfAnswer the engines that it takes: what a fleet is asked for does not
-	// follow from its size.
+	// answersPerSecond is the number of answers that all VMs together begin per second,
+	// answerTime the duration of one, and stagesOfAnswer the engines that it needs. The load of
+	// a fleet doesn't depend on its size.
 	answersPerSecond = 200
 	answerTime       = 4 * time.Second
 	stagesOfAnswer   = 10
@@ -52,7 +52,7 @@
 	return f
 }
 
-// live lets time pass in which engines say that they live, in turn.
+// live advances time while engines report in turn.
 func (f *sizedFleet) live(d time.Duration) {
 	each := int(int64(len(f.engines)) * int64(tickEvery) / int64(sizedHeartbeat))
 	for until := f.now.Add(d); f.now.Before(until); {
@@ -74,7 +74,7 @@
 	f.step(to, core.TargetSpoke{Conn: 1, Target: *e})
 }
 
-// load has every engine hold layers.
+// load gives layers to every engine.
 func (f *sizedFleet) load() {
 	for i := range f.engines {
 		first := i / sizedHalls % 10 * 8
@@ -82,7 +82,7 @@
 	}
 }
 
-// serve lets time pass in which entry VMs have answers in progress at engines that they know.
+// serve advances time while entry VMs have answers in progress at engines that they know.
 func (f *sizedFleet) serve(d time.Duration) {
 	const round = 200 * time.Millisecond
 	entries := f.entries()
@@ -99,7 +99,7 @@
 	}
 }
 
-// answers is what one entry VM has in progress.
+// answers returns the work of one entry VM in progress.
 func (f *sizedFleet) answers(vm core.VMName, i, vms int) map[relay.TargetKey]relay.Work {
 	work := make(map[relay.TargetKey]relay.Work)
 	var known []relay.TargetID
@@ -117,14 +117,14 @@
 	return work
 }
 
-// scene is the bytes of some time.
+// scene is the traffic during a phase, in bytes.
 type scene struct {
-	// entry is those that an entry VM received and sent in the mean, leader those that the
-	// leader sent, control the most that another control VM did.
+	// entry is the mean that an entry VM received and sent, leader what the leader sent, and
+	// control the most that any other control VM sent.
 	entry, leader, control int
 }
 
-// play measures what a part of a fleet's life costs.
+// play measures the traffic during a phase.
 func (f *sizedFleet) play(part func()) scene {
 	f.measured = true
 	clear(f.bytes)
@@ -147,7 +147,7 @@
 	return s
 }
 
-// third kills or starts every third entry VM.
+// third kills or restarts every third entry VM.
 func (f *sizedFleet) third(alive bool) {
 	for i, vm := range f.names {
 		switch {
@@ -160,7 +160,7 @@
 	}
 }
 
-// playAll plays the scenes of a fleet's day.
+// playAll measures all phases.
 func (f *sizedFleet) playAll() map[string]scene {
 	const settled = 4 * time.Second
 	scenes := make(map[string]scene)
@@ -186,13 +186,13 @@
 	return scenes
 }
 
-// Pattern: a fleet that is asked for no more while it grows. What an entry VM is told, and what
-// the leader sends beside what it does for the entry VMs of its hall, follows the requests and
-// what changes: an entry VM was told of all engines and of all that changed at them.
+// Covers a fleet that grows while its load stays the same. What an entry VM receives, and what
+// the leader sends beside its work for the entry VMs of its hall, must follow the requests and
+// the changes: entry VMs used to receive all engines and every change of them.
 func TestAnEntryVMIsSentNoMoreWhereTheFleetIsTwiceAsLarge(t *testing.T) {
 	const smaller = 200
-	// A list of entry VMs is the one thing that is told of the whole fleet. It comes anew at a
-	// start, and where many VMs come and go.
+	// Only the list of entry VMs covers the whole fleet. It is sent in full at a start, and
+	// changes much where many VMs join and leave.
 	const flat, withList = 1.25, 1.6
 	most := map[string]float64{
 		"start": withList, "steady": flat, "storm": flat, "third lost": flat, "third back": withList, "new leader": flat,
@@ -204,7 +204,7 @@
 		t.Logf("%s: entry VM %d and %d B, leader %d and %d B, other control VMs %d and %d B at most", name,
 			before[name].entry, after[name].entry, before[name].leader, after[name].leader, before[name].control, after[name].control)
 		require.LessOrEqual(t, float64(after[name].entry), factor*float64(before[name].entry), "%s: bytes of an entry VM", name)
-		// Twice the entry VMs renew in each hall, and each is told what it was told before.
+		// Twice as many entry VMs renew in each hall, and each receives as much as before.
 		require.LessOrEqual(t, float64(after[name].control), 2*factor*float64(before[name].control), "%s: bytes of a control VM", name)
 	}
 	for _, f := range []*sizedFleet{small, large} {
--- a/internal/core/halls_test.go
+++ b/internal/core/halls_test.go
@@ -15,10 +15,10 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// hallFleet is a fleet of control and entry VMs in data halls, whose messages take a tick
-// and whose disks take no time.
+// hallFleet is a fleet of control and entry VMs in data halls. Messages take one tick, and disk
+// writes no time.
 type hallFleet struct {
-	// notes is what VMs have noted for their logs.
+	// notes are the log lines of all VMs.
 	notes []core.Note
 	t     require.TestingT
 	now   time.Time
@@ -33,53 +33,54 @@
 	// disks holds what control VMs with a disk have synced.
 	disks    map[core.VMName]*core.Recovered
 	settings map[core.VMName]core.Settings
-	// work is what each entry VM has under way, learned the newest target each has heard of.
+	// work is the work in flight of each entry VM, and learned the newest report of each target
+	// that it has received.
 	work    map[core.VMName]map[relay.TargetKey]relay.Work
 	learned map[core.VMName]map[relay.TargetID]relay.Target
-	// found is what each entry VM has found of targets.
+	// found are the findings of each entry VM.
 	found  map[core.VMName]relay.Findings
 	fleets map[core.VMName]core.FleetLearned
 	others map[core.VMName]map[relay.TargetKey]relay.Work
 	marks  map[core.VMName]map[relay.TargetKey]relay.Mark
-	// limits are the limits of targets that each entry VM knows, nil where none are played.
+	// limits are the rate limits that each entry VM knows, or nil where none are simulated.
 	limits map[core.VMName]*relay.RateLimits
-	// quarantine is what each entry VM was told of requests that end their targets.
+	// quarantine is the quarantine that each entry VM has received.
 	quarantine map[core.VMName]map[relay.Fingerprint]time.Time
-	// backoffsEnded is what each entry VM was told of backoffs that operators ended, shown the rows
-	// of the table that an operator was answered last.
+	// backoffsEnded are the ended backoffs that each entry VM has received. shown are the rows
+	// of the last table in an answer to an operator.
 	backoffsEnded map[core.VMName][]string
 	shown         [][]string
-	// loses says which messages are lost, nil where none are.
+	// loses reports whether a message is lost; nil loses none.
 	loses func(core.Envelope) bool
-	// renewed counts, by VM, the renewals that came to it; bytes what it sent.
+	// renewed counts the renewals received by each VM; sent and bytes what each VM sent.
 	renewed map[core.VMName]int
 	sent    map[core.VMName]int
 	bytes   map[core.VMName]int
-	// received counts the bytes that came to a VM.
+	// received counts the bytes that each VM received.
 	received map[core.VMName]int
 	measured bool
 	// kinds counts the bytes of all VMs by kind of message.
 	kinds map[string]int
-	// pass lets time pass for until: run, or that of a fleet with more than VMs.
+	// pass advances time for until: run, or the run of a fleet that simulates more than VMs.
 	pass   func(time.Duration)
 	decode func([]byte) (*relay.Document, error)
-	// orders are the orders to engines that were given.
+	// orders are the placement orders given to engines.
 	orders []givenOrder
 }
 
-// givenOrder is an order to an engine, and the VM that gave it.
+// givenOrder is a placement order and the VM that gave it.
 type givenOrder struct {
 	core.OrderLayers
 	by core.VMName
 }
 
-// decodeEmpty reads any text as a document of no services.
+// decodeEmpty decodes any text as a document without services.
 func decodeEmpty([]byte) (*relay.Document, error) { return &relay.Document{Version: 1}, nil }
 
 type fleetSize struct{ halls, controls, disks, entries int }
 
-// newHallFleet makes so many control and entry VMs in each hall. The first control VMs of
-// the halls have disks, and the first of all begins the cluster.
+// newHallFleet starts the given number of control and entry VMs in each hall. The first control
+// VMs of each hall have disks, and the very first one bootstraps the cluster.
 func newHallFleet(t require.TestingT, size fleetSize) *hallFleet {
 	f := &hallFleet{
 		t: t, now: time.Unix(100, 0), nodes: make(map[core.VMName]*core.Node), halls: make(map[core.VMName]string),
@@ -133,7 +134,7 @@
 	f.boot(vm, settings)
 }
 
-// restart begins a process on its VM's disk, if it has one.
+// restart starts a new process on a VM, from its disk if it has one.
 func (f *hallFleet) restart(vm core.VMName) {
 	if _, disk := f.disks[vm]; !disk {
 		f.start(vm, false)
@@ -236,7 +237,7 @@
 	}
 }
 
-// kindOf returns the name of the one part of a message that is set.
+// kindOf returns the name of the one field of a message that is set.
 func kindOf(m core.Message) string {
 	v := reflect.ValueOf(m)
 	for i := range v.NumField() {
@@ -262,7 +263,7 @@
 	}
 }
 
-// run lets time pass in ticks.
+// run advances time in ticks.
 func (f *hallFleet) run(d time.Duration) {
 	for until := f.now.Add(d); f.now.Before(until); {
 		f.now = f.now.Add(tickEvery)
@@ -292,7 +293,7 @@
 	return nil
 }
 
-// until runs until done holds.
+// until advances time until done returns true, and fails after limit.
 func (f *hallFleet) until(what string, limit time.Duration, done func() bool) time.Duration {
 	began := f.now
 	for !done() {
@@ -308,7 +309,7 @@
 
 func (f *hallFleet) leader() core.VMName { return f.leaderBut("") }
 
-// leaderBut returns the VM other than one that leads.
+// leaderBut returns a leader other than the given VM.
 func (f *hallFleet) leaderBut(one core.VMName) core.VMName {
 	for _, vm := range f.names {
 		if vm[0] == 'c' && vm != one && !f.dead[vm] && f.nodes[vm].Status().HoldsLease {
@@ -318,7 +319,7 @@
 	return ""
 }
 
-// leased reports whether all entry VMs may take work at a revision.
+// leased reports whether all entry VMs have a lease at the given revision.
 func (f *hallFleet) leased(revision config.Revision) bool {
 	for _, vm := range f.entries() {
 		if s := f.nodes[vm].Status(); !s.HasLease || s.EntryRevision < revision {
@@ -344,7 +345,8 @@
 	return f
 }
 
-// At 300 VMs a thousand renewals a second came to the leader, which lost its lead to them.
+// Guards against a leader overloaded by renewals: with 300 VMs that all renewed with it, a
+// thousand renewals a second cost it the leadership.
 func TestEntryVMsRenewInTheirHall(t *testing.T) {
 	f := started(t, usersFleet)
 	f.measured = true
@@ -366,11 +368,11 @@
 	f := started(t, usersFleet)
 	revision := f.nodes[f.leader()].Status().Revision
 	f.put(7)
-	took := f.until("the change is everywhere", 3*time.Second, func() bool { return f.leased(revision + 1) })
+	took := f.until("every VM has the change", 3*time.Second, func() bool { return f.leased(revision + 1) })
 	require.Less(t, took, 500*time.Millisecond)
 }
 
-// The work of all others is told across halls, less the VM's own.
+// Each entry VM receives the work of all others in all halls, without its own.
 func TestWorkIsToldAcrossHalls(t *testing.T) {
 	f := started(t, smallFleet)
 	key := relay.TargetID("i-1").Key()
@@ -394,7 +396,7 @@
 	f.step(to, core.TargetSpoke{Conn: 1, Target: t})
 }
 
-// What a target tells any control VM reaches all entry VMs in well under the drain bound.
+// A report received by any control VM reaches all entry VMs well within the drain bound.
 func TestAMessageReachesAllHallsSoon(t *testing.T) {
 	f := started(t, usersFleet)
 	f.speak("c3-2", relay.Target{ID: "i-1", Address: "a", Call: 1})
@@ -414,7 +416,7 @@
 		require.True(t, f.leased(0), "%s is lost", vm)
 		revision := f.nodes[f.leader()].Status().Revision
 		f.put(uint64(revision) + 100)
-		f.until("the change is everywhere", 2*time.Second, func() bool { return f.leased(revision + 1) })
+		f.until("every VM has the change", 2*time.Second, func() bool { return f.leased(revision + 1) })
 	}
 	f.speak(f.leader(), relay.Target{ID: "i-9", Address: "a", Call: 1, Leaving: true})
 	f.run(2 * time.Second)
@@ -423,7 +425,7 @@
 	}
 }
 
-// A control VM that the leader does not reach grants nothing, and its hall renews elsewhere.
+// A control VM that can't reach the leader grants nothing, and its hall renews elsewhere.
 func TestAHallWhoseControlVMsAreCutOffRenewsElsewhere(t *testing.T) {
 	f := started(t, smallFleet)
 	for _, vm := range []core.VMName{"c2-0", "c2-1"} {
@@ -440,10 +442,10 @@
 	f.run(6 * time.Second)
 	f.measured = true
 	f.run(time.Second)
-	require.Positive(t, f.renewed["c2-0"]+f.renewed["c2-1"], "the hall renews at home again")
+	require.Positive(t, f.renewed["c2-0"]+f.renewed["c2-1"], "the hall renews with its own control VMs again")
 }
 
-// A push carries a number that was granted before: it must not lengthen a lease.
+// A pushed change carries a number that was granted before and must not extend a lease.
 func TestAPushedChangeLengthensNoLease(t *testing.T) {
 	f := started(t, smallFleet)
 	leader := f.leader()
@@ -468,7 +470,7 @@
 	}
 }
 
-// After a loss of all VMs all of them come to the seeds, which send them to their halls.
+// After a loss of all VMs, every VM asks the seeds, which redirect it to its own hall.
 func TestSeedsSendVMsToTheirHalls(t *testing.T) {
 	f := newHallFleet(t, usersFleet)
 	f.measured = true
@@ -481,7 +483,7 @@
 	}
 }
 
-// killAll ends all processes at once. Disks keep what they have; nothing else does.
+// killAll ends all processes at once. Only the contents of disks remain.
 func (f *hallFleet) killAll() {
 	f.queue = nil
 	for _, vm := range f.names {
@@ -489,7 +491,7 @@
 	}
 }
 
-// startAll starts all processes within 0.3 s, each with its disk, if it has one.
+// startAll starts all processes within 0.3 s, each from its disk if it has one.
 func (f *hallFleet) startAll() {
 	for i, vm := range f.names {
 		if i%20 == 0 {
@@ -499,7 +501,7 @@
 	}
 }
 
-// After a loss of all VMs, callers were told for 6 s that VMs are out of touch.
+// After a loss of all VMs, callers were refused for 6 s because entry VMs had no lease.
 func TestAllVMsHaveALeaseSoonAfterALossOfAll(t *testing.T) {
 	f := started(t, usersFleet)
 	f.put(5)
--- a/internal/core/hints_test.go
+++ b/internal/core/hints_test.go
@@ -24,7 +24,7 @@
 	}, core.Recovered{Snapshot: core.Snapshot{Index: 1, Term: 1, Members: core.NewMembership(self)}, Targets: hints}, now)
 }
 
-// follow returns what a follower is told at once.
+// follow returns the targets that a new follower receives at once.
 func follow(n *core.Node, now time.Time) []relay.Target {
 	for _, effect := range n.Step(now, core.Received{Envelope: core.Envelope{
 		Cluster: "c", From: core.ReplicaID{VM: "e1", Incarnation: core.Incarnation(now.UnixNano())}, To: "c1", Body: core.Message{Follow: &core.Follow{}},
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// After a loss of power of all VMs 247 callers were refused, for the targets had not
-// spoken again when the first leases came.
+// After a power loss of all VMs, 247 callers were refused because the targets hadn't reported
+// again when the first leases were granted.
 func TestHintsServeUntilTargetsSpeak(t *testing.T) {
 	now := time.Unix(100, 0)
 	hint := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 7}
@@ -45,8 +45,8 @@
 	require.Equal(t, []relay.Target{hint}, follow(n, now))
 }
 
-// After a kill of all VMs the entry VMs asked before the control VMs listened, and again
-// after 1.5 s: they had a lease for a second and knew no target.
+// After all VMs were killed, the entry VMs asked before the control VMs were listening and
+// again only after 1.5 s: they had a lease for a second and knew no target.
 func TestALostFirstAskIsRepeatedSoon(t *testing.T) {
 	now := time.Unix(100, 0)
 	n := core.New(core.Settings{
@@ -67,7 +67,7 @@
 					asked, renewal = send.Envelope.To, r.Number
 				}
 				if f := send.Envelope.Body.Follow; f != nil && f.After == 0 {
-					require.Equal(t, asked, send.Envelope.To, "it follows the one that it renews with")
+					require.Equal(t, asked, send.Envelope.To, "an entry VM follows the control VM that it renews with")
 					asks++
 				}
 			}
@@ -82,8 +82,8 @@
 	}
 }
 
-// A live target may take as long as its usual silence to find a control VM after all of
-// them were killed. Half of that made engines with requests count as dead.
+// After all control VMs were killed, a live target may take as long as its usual silence to
+// find one. With half of that, engines with requests in flight counted as dead.
 func TestHintsCountForTheUsualSilence(t *testing.T) {
 	now := time.Unix(100, 0)
 	n := controlNode([]relay.Target{{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 7}}, now)
@@ -98,8 +98,8 @@
 	require.Len(t, grantTo(t, n, now).Marks, 1)
 }
 
-// After a kill of all VMs 59 calls went to engines that had died 10 s before it: the hints
-// had them beside their successors at the same address.
+// After all VMs were killed, 59 calls went to engines that had died 10 s earlier: the hints
+// contained them next to their successors at the same address.
 func TestHintsAreOfTargetsThatLive(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -124,8 +124,8 @@
 	require.Equal(t, []relay.TargetID{"i-2"}, saved)
 }
 
-// A control VM that came back told of an engine that had died 16 s before: the others had
-// named it among all that they knew, as if it had just spoken.
+// A restarted control VM reported an engine that had died 16 s earlier: the others had sent it
+// with their full state, as if it had just reported.
 func TestWhoStartsIsToldOfTargetsThatLive(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -137,7 +137,7 @@
 	require.Empty(t, follow(n, now))
 }
 
-// grantTo has an entry VM renew its lease with a leader.
+// grantTo renews the lease of an entry VM with a leader and returns the grant.
 func grantTo(t *testing.T, n *core.Node, now time.Time) core.Grant {
 	t.Helper()
 	for _, effect := range n.Step(now, from("e1", core.Message{Renew: &core.Renew{Number: 1}})) {
@@ -145,11 +145,11 @@
 			return *send.Envelope.Body.Grant
 		}
 	}
-	require.Fail(t, "no lease was granted")
+	require.Fail(t, "no lease granted")
 	return core.Grant{}
 }
 
-// lead makes a sole control VM the leader, on a disk that takes no time.
+// lead makes a sole control VM the leader. Its disk writes take no time.
 func lead(n *core.Node, now time.Time) time.Time {
 	for range 200 {
 		now = now.Add(20 * time.Millisecond)
@@ -158,10 +158,10 @@
 	return now
 }
 
-// tick lets time pass for a control VM, on a disk that takes no time.
+// tick advances time for a control VM whose disk writes take no time.
 func tick(n *core.Node, now time.Time) { settle(n, now, n.Step(now, core.Tick{})) }
 
-// settle syncs what effects persist, and what comes of that.
+// settle completes the disk writes of effects, and those that follow from them.
 func settle(n *core.Node, now time.Time, effects []core.Effect) {
 	synced := lastPersist(effects)
 	for synced > 0 {
@@ -196,7 +196,7 @@
 	require.Equal(t, 1, saved(relay.Target{ID: "i-2", Address: "b", Call: 2, Leaving: true}))
 }
 
-// At 300 VMs and 3,000 targets a push for each message filled the memory of control VMs.
+// With 300 VMs and 3,000 targets, one push per report filled the memory of control VMs.
 func TestMessagesOfOneTickArePushedTogether(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -219,8 +219,8 @@
 	require.Equal(t, 3, targets)
 }
 
-// After a kill of all VMs a new leader moved engines that served: it had heard of a part of
-// them, and took the layers of all others for lost.
+// After all VMs were killed, a new leader moved engines that were serving: it had received the
+// reports of only some engines, and counted the layers of all others as lost.
 func TestNothingMovesUntilEveryTargetHasSpoken(t *testing.T) {
 	engine := &relay.Engine{
 		Slots: 10, Layers: 10, LayerBytes: 1e9, TokenBytes: 1e6, UsualPrompt: 10, UsualAnswer: 10, Load: time.Second, LoadsAtOnce: 1,
@@ -251,6 +251,6 @@
 			}
 		}
 	}
-	require.False(t, ordered.IsZero(), "the gap is closed in the end")
+	require.False(t, ordered.IsZero(), "the missing layers are ordered eventually")
 	require.GreaterOrEqual(t, ordered.Sub(born), 3*time.Second)
 }
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -14,8 +14,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// restart has all engines start again under their names, and returns the last messages of their
-// lives before, which have not come yet.
+// restart restarts all engines under their names, and returns the last reports of their
+// previous incarnations, which haven't arrived yet.
 func (f *engineFleet) restart(born uint64) []relay.Target {
 	var late []relay.Target
 	for i, id := range f.ids {
@@ -43,7 +43,8 @@
 	return len(held) == 80
 }
 
-// requireLives checks that each entry VM has just the lives that run, with what they hold.
+// requireLives requires that each entry VM knows exactly the running incarnations, with their
+// layers.
 func (f *engineFleet) requireLives(t *testing.T) {
 	t.Helper()
 	for _, vm := range f.entries() {
@@ -54,8 +55,8 @@
 	}
 }
 
-// Engines that start again under their names get orders again, though the leader changes and
-// the last messages of their lives before come late, by other control VMs.
+// Restarted engines receive placement orders again, even if the leader changes and the last
+// reports of their previous incarnations arrive late, at other control VMs.
 func TestEnginesThatStartAgainAreOrderedAgain(t *testing.T) {
 	f := newEngineFleet(t, smallFleet, 30)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
@@ -98,8 +99,8 @@
 	return relay.Target{ID: relay.NewTargetID("i-1", born), Service: "s", Address: "10.0.0.1:80", Call: call}
 }
 
-// Hints are of the life that counted when they were saved: it may have ended since, or be the
-// one that late messages are void against.
+// A hint has the incarnation that was current when it was saved. That one may have ended since,
+// or may outdate the reports that arrive late.
 func TestHintsOfALifeYieldToALaterOne(t *testing.T) {
 	for name, messages := range map[string]struct {
 		hint, message relay.Target
@@ -125,7 +126,7 @@
 	}
 }
 
-// Whoever learns that a life has ended says so once, and who told.
+// The end of an incarnation is reported once, with the VM that reported it.
 func TestTheEndOfALifeIsToldOnce(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -143,8 +144,8 @@
 	require.Empty(t, ended(lifeOf(200, 2)))
 }
 
-// The orders to lives that have ended take no place of those to the ones that run: as many are
-// open at a time as can be loaded.
+// Orders to ended incarnations must not take up the limit of loads at once, which only the
+// orders to running incarnations count against.
 func TestOrdersToEndedLivesAreGivenUp(t *testing.T) {
 	const engines = 12
 	f := newEngineFleet(t, smallFleet, 0)
@@ -156,7 +157,8 @@
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
 	f.run(4 * time.Second)
 	f.put(1)
-	// ordered has all engines speak for a while, and returns the starts of those ordered.
+	// ordered has all engines report for the given time, and returns the start times of the
+	// engines that received orders.
 	call := uint64(0)
 	ordered := func(born uint64, d time.Duration) (borns []uint64) {
 		for until := f.now.Add(d); f.now.Before(until); {
@@ -179,17 +181,18 @@
 	require.Equal(t, slices.Repeat([]uint64{200}, 8), ordered(200, 4*time.Second))
 }
 
-// livesRun is what runs of some targets that start again under their names.
+// livesRun simulates targets that restart under their names.
 type livesRun struct {
 	*spread
 	born map[string]uint64
-	// late are messages that may still come.
+	// late are reports that may still arrive.
 	late []relay.Target
 }
 
 func (l *livesRun) id(name string) relay.TargetID { return relay.NewTargetID(name, l.born[name]) }
 
-// say has the life of a target that runs say what it holds, to a control VM or to none yet.
+// say makes the running incarnation of a target report its layers. The report is received by a
+// control VM, or stays in flight.
 func (l *livesRun) say(name string, heard bool, to core.VMName) {
 	id := l.id(name)
 	t := l.truth[id]
@@ -205,20 +208,20 @@
 	l.born[name] = born
 	id := l.id(name)
 	if _, known := l.truth[id]; known {
-		return // no two lives begin at once
+		return // no two incarnations start at the same time
 	}
 	l.truth[id] = relay.Target{ID: id, Service: "s", Address: "10.0.0.1:" + name, Layers: config.Range{First: 0, Last: layers}}
 }
 
-// Whatever is lost, comes late and restarts, every entry VM is told of the life of each target
-// that runs, and of no other that would count beside it.
+// Whatever is lost, delayed or restarted, every entry VM receives the running incarnation of
+// each target, and keeps no earlier one next to it.
 func TestTheLifeThatRunsReachesEveryEntryVM(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := &livesRun{spread: newSpread(t), born: make(map[string]uint64)}
 		control := rapid.SampledFrom(spreadControls)
 		names := []string{"i-1", "i-2"}
-		// Where clocks are set back, control VMs that lose what they know are left out: nobody
-		// may be left who knows that the life with the later start is silent.
+		// Where clocks are set back, control VMs don't restart and lose their state: no VM
+		// might be left that knows that the incarnation with the later start is silent.
 		setBack := rapid.Bool().Draw(t, "clocks are set back")
 		for i, name := range names {
 			l.begin(name, uint64(100+i), 10)
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -13,15 +13,15 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// limiting is the target that names a limit with each of its answers.
+// limiting is the target that reports a rate limit with each answer.
 const limiting = relay.TargetID("i-1")
 
-// limitedFleet is a fleet whose entry VMs are asked for that target all the time.
+// limitedFleet is a fleet whose entry VMs constantly receive requests for that target.
 type limitedFleet struct {
 	*hallFleet
 	rand      *rand.Rand
 	perSecond float64
-	// asked is what callers ask of each VM in a second.
+	// asked is the rate of requests per second that each VM receives.
 	asked    map[core.VMName]float64
 	arrivals []time.Time
 	// answers are those that reach their VM with the next tick.
@@ -44,7 +44,7 @@
 	return f
 }
 
-// run lets time pass, in which callers ask and the target answers.
+// run advances time while callers send requests and the target answers.
 func (f *limitedFleet) run(d time.Duration) {
 	for until := f.now.Add(d); f.now.Before(until); {
 		f.hallFleet.run(tickEvery)
@@ -73,7 +73,7 @@
 	f.answers = append(f.answers, limitedAnswer{to: vm, said: relay.LimitAnswer{Limited: f.perSecond > 0, PerSecond: f.perSecond, SentAt: f.now}})
 }
 
-// between counts the arrivals of a span of time.
+// between counts the arrivals in an interval.
 func (f *limitedFleet) between(from, to time.Time) int {
 	n := 0
 	for _, at := range f.arrivals {
@@ -84,7 +84,8 @@
 	return n
 }
 
-// keeps requires that no 4 s since a time brought more than one and a half times the limit and 5.
+// keeps requires that no interval of 4 s after since has more arrivals than one and a half
+// times the limit plus 5.
 func (f *limitedFleet) keeps(since time.Time, perSecond float64) {
 	const span = 4 * time.Second
 	for _, at := range f.arrivals {
@@ -94,20 +95,20 @@
 	}
 }
 
-// uses requires that nine tenths of the limit were used since a time.
+// uses requires that at least nine tenths of the limit have been used after since.
 func (f *limitedFleet) uses(since time.Time) {
 	require.GreaterOrEqual(f.t, float64(f.between(since, f.now)), 0.9*f.perSecond*f.now.Sub(since).Seconds())
 }
 
 const limitSettles = 3 * time.Second
 
-// The limit that one VM hears holds for all, whatever is lost meanwhile, and nine tenths of it are
-// used where nothing is any more.
+// A limit reported to one VM applies to all VMs, whatever is lost, and nine tenths of it are
+// used once nothing is lost any more.
 func TestALimitHoldsForAllVMs(t *testing.T) {
 	for name, disturb := range map[string]func(f *limitedFleet){
-		"nothing happens":            nil,
+		"no fault":                   nil,
 		"all callers come to one VM": func(f *limitedFleet) { clear(f.asked); f.asked["e1-1"] = 60 },
-		"the load moves": func(f *limitedFleet) {
+		"load moves": func(f *limitedFleet) {
 			clear(f.asked)
 			f.asked["e1-1"] = 60
 			f.run(5 * time.Second)
@@ -179,15 +180,15 @@
 	f.run(4 * time.Second)
 }
 
-// A limit that is raised, lowered or over is in force soon, and what VMs hold of the one before is
-// within the new one.
+// A limit that is raised, lowered or removed takes effect soon, and permits of the previous
+// limit are within the new one.
 func TestALimitThatChangesIsKept(t *testing.T) {
 	for name, c := range map[string]struct{ before, after float64 }{
-		"raised":       {before: 2, after: 12},
-		"lowered":      {before: 12, after: 2},
-		"almost to 0":  {before: 12, after: 0.1},
-		"it is over":   {before: 4.5, after: 0},
-		"a large fall": {before: 40, after: 0.5},
+		"raised":        {before: 2, after: 12},
+		"lowered":       {before: 12, after: 2},
+		"almost to 0":   {before: 12, after: 0.1},
+		"removed":       {before: 4.5, after: 0},
+		"lowered a lot": {before: 40, after: 0.5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newLimitedFleet(t, c.before, 1)
@@ -197,7 +198,7 @@
 			since := f.now
 			f.run(12 * time.Second)
 			if c.after == 0 {
-				require.Greater(t, f.between(since, f.now), 400, "of some 540 that are asked")
+				require.Greater(t, f.between(since, f.now), 400, "of about 540 requests")
 				return
 			}
 			f.keeps(since, c.after)
@@ -208,9 +209,9 @@
 	}
 }
 
-// A runner behind the product's own interface that names a limit gets no more than that from all
-// entry VMs; another one serves what it does not take, and where both are limited, who can't be
-// served before its deadline is refused at once and told when to come back.
+// A runner behind the product's own interface that reports a limit receives no more calls than
+// that from all entry VMs, and another runner serves the rest. Where both are limited, calls
+// that can't be served before their deadline are refused at once with a retry time.
 func TestARunnerThatNamesALimitGetsNoMoreCalls(t *testing.T) {
 	w := newWorld(t, 43, 3, 3)
 	w.setUp()
@@ -234,7 +235,7 @@
 	}
 	lookUps(20)
 	before := len(w.arrivals["s1"])
-	require.Equal(t, 120, lookUps(40), "the other runner serves the rest")
+	require.Equal(t, 120, lookUps(40), "the other runner must serve the rest")
 	require.LessOrEqual(t, len(w.arrivals["s1"])-before, 4+2+5*2)
 	require.Greater(t, len(w.arrivals["s1"]), before)
 
@@ -252,13 +253,13 @@
 		if a.refusal != nil {
 			refused++
 			require.Equal(t, core.RanNo, a.refusal.Ran)
-			require.True(t, a.refusal.RetryAt.After(began), "when there may be a permit")
+			require.True(t, a.refusal.RetryAt.After(began), "retry time must be in the future")
 		}
 	}
-	require.Greater(t, refused, 150, "four a second leave 32 of them before their deadline")
+	require.Greater(t, refused, 150, "at four a second, 32 of them are served before their deadline")
 }
 
-// What a renewal and a lease carry of 16 limits, the most that one speaks of.
+// Bounds the bytes of 16 limits in a renewal and a lease; a message has at most that many.
 func TestLimitsCostFewBytes(t *testing.T) {
 	asks := make([]core.LimitAsk, 16)
 	permits := make([]relay.Permits, 16)
--- a/internal/core/quarantine_test.go
+++ b/internal/core/quarantine_test.go
@@ -14,15 +14,16 @@
 	"github.com/spoolbank/spoolbank/query"
 )
 
-// knownWithin is the time in which all VMs are to know a request that has ended its third
+// knownWithin is the time within which all VMs must know a request that has ended its third
 // target.
 const knownWithin = 3 * time.Second
 
-// knownUnderLoss is that time where messages are lost: a lost report is told again with the next
-// renewal, and a VM that the decision does not reach takes work until its lease of 3 s runs out.
+// knownUnderLoss is that time where messages are lost: a lost report is repeated with the next
+// renewal, and a VM that the decision doesn't reach accepts work until its lease of 3 s
+// expires.
 const knownUnderLoss = 5 * time.Second
 
-// crashFleet is a fleet to which requests come that end their targets.
+// crashFleet is a fleet with requests that end their targets.
 type crashFleet struct {
 	*hallFleet
 	// ended counts the targets that have ended.
@@ -37,14 +38,14 @@
 	return relay.NewFingerprint("o", "POST", "h", "/"+request, nil)
 }
 
-// crash has a VM see a request end a target that it was sent to a while ago.
+// crash makes a VM report that a request sent to a target ago earlier has ended it.
 func (f *crashFleet) crash(vm core.VMName, request string, ago time.Duration) {
 	f.ended++
 	f.step(vm, core.RunsCrashed{Runs: []relay.CrashedRun{{Request: named(request), Target: f.ended, Began: f.now.Add(-ago), Ended: f.now}}})
 }
 
-// crashInTurn has a request end so many targets, one after the other, at one VM after the
-// other.
+// crashInTurn makes a request end the given number of targets one after the other, each seen by
+// the next VM.
 func (f *crashFleet) crashInTurn(request string, times int) {
 	for i := range times {
 		f.run(300 * time.Millisecond)
@@ -52,7 +53,7 @@
 	}
 }
 
-// known reports whether all entry VMs that may take work send a request to nobody.
+// known reports whether all entry VMs with a lease have a request in quarantine.
 func (f *crashFleet) known(request string) bool {
 	for _, vm := range f.entries() {
 		if _, held := f.quarantine[vm][named(request)]; !held && f.nodes[vm].Status().HasLease {
@@ -62,7 +63,7 @@
 	return true
 }
 
-// requireKnown checks that all VMs know a request in time.
+// requireKnown requires that all VMs know a request within knownWithin.
 func (f *crashFleet) requireKnown(request string) {
 	took := f.until("all know "+request, knownWithin, func() bool { return f.known(request) })
 	require.Less(f.t, took, knownWithin)
@@ -72,7 +73,7 @@
 	f := newCrashFleet(t)
 	f.crashInTurn("a", 2)
 	f.run(knownWithin)
-	require.Empty(t, f.quarantine["e0-0"], "two may be chance")
+	require.Empty(t, f.quarantine["e0-0"], "two ends may be a coincidence")
 	f.crashInTurn("a", 1)
 	f.requireKnown("a")
 }
@@ -87,22 +88,23 @@
 	}
 }
 
-// The leader ends with the third report on its way; the VM that made it tells the next one.
+// The leader ends while the third report is in flight; the VM that sent it repeats it to the
+// next leader.
 func TestALostLeaderDoesNotLoseTheThirdReport(t *testing.T) {
 	f := newCrashFleet(t)
 	f.crashInTurn("a", 3)
 	f.dead[f.leader()] = true
-	f.until("another one leads", 10*time.Second, func() bool { return f.leader() != "" })
+	f.until("a new leader is elected", 10*time.Second, func() bool { return f.leader() != "" })
 	f.requireKnown("a")
 }
 
-// A VM that starts again takes work with its first lease, and knows the request by then.
+// A restarted VM accepts work with its first lease, and must know the request by then.
 func TestAVMThatStartsAgainKnowsItWithItsFirstLease(t *testing.T) {
 	f := newCrashFleet(t)
 	f.crashInTurn("a", 3)
 	f.requireKnown("a")
 	f.restart("e1-1")
-	f.until("it has a lease", 10*time.Second, func() bool { return f.nodes["e1-1"].Status().HasLease })
+	f.until("the restarted VM has a lease", 10*time.Second, func() bool { return f.nodes["e1-1"].Status().HasLease })
 	require.Contains(t, f.quarantine["e1-1"], named("a"))
 }
 
@@ -117,8 +119,8 @@
 	require.Contains(t, f.quarantine["e0-0"], named("a"))
 }
 
-// A rack falls under copies of one request that all VMs have sent there: their ends say no
-// more than one of them.
+// A rack fails while it runs copies of one request from all VMs: the ends of its targets
+// together count as one.
 func TestARackThatFallsUnderLookAlikesBlamesNone(t *testing.T) {
 	f := newCrashFleet(t)
 	for _, vm := range f.entries() {
@@ -134,18 +136,18 @@
 	f.step("e2-2", core.RequestSurvived{Request: named("a"), At: f.now})
 	f.crashInTurn("a", 2)
 	f.run(knownWithin)
-	require.False(t, f.known("a"), "it has run well between")
+	require.False(t, f.known("a"), "it has run well in between")
 
 	f.crashInTurn("b", 3)
 	f.requireKnown("b")
 	f.step("e2-2", core.RequestSurvived{Request: named("b"), At: f.now})
-	f.until("it is let go", knownWithin, func() bool { return !f.known("b") })
+	f.until("it is released", knownWithin, func() bool { return !f.known("b") })
 	for _, vm := range f.entries() {
-		f.until("all let it go", knownWithin, func() bool { return len(f.quarantine[vm]) == 0 })
+		f.until("all VMs release it", knownWithin, func() bool { return len(f.quarantine[vm]) == 0 })
 	}
 }
 
-// A good run is told for some seconds, also after the request has ended targets again.
+// A successful run is reported for some seconds, even if the request ends targets afterwards.
 func TestAnOldAnswerLetsNothingGo(t *testing.T) {
 	f := newCrashFleet(t)
 	f.step("e2-2", core.RequestSurvived{Request: named("a"), At: f.now})
@@ -155,14 +157,14 @@
 	require.True(t, f.known("a"))
 }
 
-// What only is suspected is lost with its leader. A request then ends two targets more than
-// three, and no more than that.
+// Mere suspicion is lost with the leader. The request then ends at most two targets more than
+// three.
 func TestALostLeaderCostsTwoTargetsAtMost(t *testing.T) {
 	f := newCrashFleet(t)
 	f.crashInTurn("a", 2)
 	f.run(15 * time.Second)
 	f.dead[f.leader()] = true
-	f.until("another one leads", 10*time.Second, func() bool { return f.leader() != "" })
+	f.until("a new leader is elected", 10*time.Second, func() bool { return f.leader() != "" })
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
 	f.crashInTurn("a", 3)
 	f.requireKnown("a")
@@ -180,9 +182,9 @@
 	require.True(t, f.leased(0))
 }
 
-// Whatever ends, is cut or starts again: a request that goes on to end targets, more often than
-// the leaders that were lost account for, is known to all once the fleet is whole, and one that
-// has run well is not.
+// Whatever ends, restarts or is lost: a request that keeps ending targets, more often than the
+// lost leaders account for, is known to all VMs once the fleet is whole again, and a request
+// that has run well isn't in quarantine.
 func TestRequestsThatEndTheirTargetsAreFoundWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newCrashFleet(t)
@@ -193,7 +195,7 @@
 			f.crash(vm, "crashing", 100*time.Millisecond)
 			f.crash(rapid.SampledFrom(f.entries()).Draw(t, "other"), "innocent", 100*time.Millisecond)
 			if i%2 == 1 {
-				// Two VMs serve it: one that ends at once takes what it has not told with it.
+				// Two VMs report it, since one that ends at once loses what it hasn't sent.
 				servers := rapid.Permutation(f.entries()).Draw(t, "servers")
 				f.step(servers[0], core.RequestSurvived{Request: named("innocent"), At: f.now})
 				f.step(servers[1], core.RequestSurvived{Request: named("innocent"), At: f.now})
@@ -215,12 +217,12 @@
 		}
 		f.until("all have a lease", 30*time.Second, func() bool { return f.leased(0) })
 		f.crashInTurn("crashing", relay.CrashesMost)
-		f.until("all know it", knownUnderLoss, func() bool { return f.known("crashing") })
+		f.until("all VMs know it", knownUnderLoss, func() bool { return f.known("crashing") })
 		require.False(t, f.known("innocent"))
 	})
 }
 
-// Whoever mends the targets of a request lets it go at once.
+// An operator who repaired the targets of a request can release it at once.
 func TestAnOperatorLetsARequestGo(t *testing.T) {
 	f := newCrashFleet(t)
 	f.crashInTurn("a", 3)
@@ -229,11 +231,11 @@
 	require.NoError(t, err)
 	f.step(f.leader(), core.Operated{Conn: 1, Statement: statement, Operator: "alice", Number: 1, Digest: "d"})
 	for _, vm := range f.entries() {
-		f.until("all let it go", knownWithin, func() bool { return len(f.quarantine[vm]) == 0 })
+		f.until("all VMs release it", knownWithin, func() bool { return len(f.quarantine[vm]) == 0 })
 	}
 	f.crashInTurn("a", 2)
 	f.run(knownWithin)
-	require.False(t, f.known("a"), "it has to end three targets anew")
+	require.False(t, f.known("a"), "it has to end three targets again")
 	f.crashInTurn("a", 1)
 	f.requireKnown("a")
 }
--- a/internal/core/spread_property_test.go
+++ b/internal/core/spread_property_test.go
@@ -13,8 +13,8 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// spread is some control VMs that targets speak to, and entry VMs that follow them.
-// Each control VM leads a cluster of its own, so that it always takes messages.
+// spread simulates control VMs that targets report to, and entry VMs that follow them. Each
+// control VM leads a cluster of its own, so that it always accepts reports.
 type spread struct {
 	t        *rapid.T
 	now      time.Time
@@ -46,7 +46,7 @@
 	return s
 }
 
-// start gives a VM a new life that knows nothing.
+// start starts a new incarnation of a VM without any state.
 func (s *spread) start(vm core.VMName) {
 	s.lives++
 	self := core.ReplicaID{VM: vm, Incarnation: core.Incarnation(s.lives)}
@@ -63,7 +63,7 @@
 	s.learned[vm] = make(map[relay.TargetID]relay.Target)
 }
 
-// step gives a VM an event, and keeps what it learns and sends.
+// step passes an event to a VM, and records what it learns and sends.
 func (s *spread) step(vm core.VMName, event core.Event) {
 	sequence := uint64(0)
 	for _, effect := range s.nodes[vm].Step(s.now, event) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// run lets time pass, and delivers what is sent.
+// run advances time and delivers messages.
 func (s *spread) run(d time.Duration) {
 	for until := s.now.Add(d); s.now.Before(until); {
 		s.now = s.now.Add(50 * time.Millisecond)
@@ -105,7 +105,7 @@
 	}
 }
 
-// speak has a target say what it holds to a control VM.
+// speak sends a target's report to a control VM.
 func (s *spread) speak(id relay.TargetID, to core.VMName) {
 	target := s.truth[id]
 	target.Call++
@@ -113,8 +113,8 @@
 	s.step(to, core.TargetSpoke{Conn: 1, Target: target})
 }
 
-// Whatever is lost and whoever restarts, what targets say reaches every entry VM once
-// they have said it again.
+// Whatever is lost and whichever VMs restart, the reports of targets reach every entry VM once
+// the targets have repeated them.
 func TestMessagesReachEveryEntryVM(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSpread(t)
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -14,12 +14,12 @@
 	"github.com/spoolbank/spoolbank/internal/wire"
 )
 
-// from is a message of another VM to c1.
+// from returns a message of another VM to c1.
 func from(vm core.VMName, body core.Message) core.Received {
 	return core.Received{Envelope: core.Envelope{Cluster: "c", From: core.ReplicaID{VM: vm, Incarnation: 1}, To: "c1", Body: body}}
 }
 
-// news returns the targets that effects tell a VM of.
+// news returns the targets in the effects' updates to a VM.
 func news(effects []core.Effect, vm core.VMName) []relay.Target {
 	var targets []relay.Target
 	for _, effect := range effects {
@@ -30,12 +30,13 @@
 	return targets
 }
 
-// nextPush lets the time of one push go by.
+// nextPush advances time past one push.
 func nextPush(n *core.Node, now time.Time) []core.Effect {
 	return n.Step(now.Add(100*time.Millisecond), core.Tick{})
 }
 
-// At 300 VMs each of 18 control VMs told each message to all others: 1.9 GB at the start.
+// With 300 VMs, each of 18 control VMs forwarded each report to all others: 1.9 GB at the
+// start.
 func TestMessagesAreToldByTheOneWhoHeardThem(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -46,11 +47,11 @@
 	own := relay.Target{ID: "i-1", Address: "a", Call: 1}
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: own})
 	pushed := nextPush(n, now)
-	require.Equal(t, []relay.Target{own}, news(pushed, "c3"), "c2 tells it of the other")
-	require.Equal(t, []relay.Target{own, second}, news(pushed, "e1"), "it follows this one alone")
+	require.Equal(t, []relay.Target{own}, news(pushed, "c3"), "c2 sends it the other target")
+	require.Equal(t, []relay.Target{own, second}, news(pushed, "e1"), "it follows only this control VM")
 
 	whole := news(n.Step(now, from("e2", core.Message{Follow: &core.Follow{}})), "e2")
-	require.Equal(t, []relay.Target{own, second}, whole, "one who has nothing gets all")
+	require.Equal(t, []relay.Target{own, second}, whole, "a follower without state receives everything")
 }
 
 func TestATargetThatTurnsToAnotherControlVMIsToldOfAgain(t *testing.T) {
@@ -62,11 +63,12 @@
 	again := leaving
 	again.Call = 4
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: again})
-	require.Equal(t, []relay.Target{again}, news(nextPush(n, now), "e1"), "c2 may have died with its message")
+	require.Equal(t, []relay.Target{again}, news(nextPush(n, now), "e1"), "c2 may have died before it forwarded its report")
 }
 
-// After a loss of all VMs every target turns to one that it has not spoken to: 105 pushes
-// to 76 followers kept the leader from giving leases for a second.
+// After a loss of all VMs, every target turns to a control VM that it hasn't reported to
+// before. The resulting 105 pushes to 76 followers kept the leader from granting leases for a
+// second.
 func TestATargetThatTurnsAndSaysNothingNewWaitsForTheNextAsk(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -98,7 +100,8 @@
 	t    *testing.T
 	node *core.Node
 	now  time.Time
-	// asked counts the renewals of each VM, seen is what it was told of the work.
+	// asked counts the renewals of each VM, and seen is the last change of work that it
+	// received.
 	asked  map[core.VMName]uint64
 	seen   map[core.VMName]uint64
 	others map[core.VMName]map[relay.TargetKey]relay.Work
@@ -116,8 +119,8 @@
 	return f
 }
 
-// renew has a VM ask for a lease, and returns the size of what it is given in bytes. A
-// lost lease leaves it where it was.
+// renew renews the lease of a VM and returns the size of the grant in bytes. The VM ignores a
+// lost grant.
 func (f *fleetOf) renew(vm core.VMName, lost bool) int {
 	f.now = f.now.Add(150 * time.Millisecond)
 	f.node.Step(f.now, core.Tick{})
@@ -150,7 +153,7 @@
 	f.seen[vm] = g.WorkUpto
 }
 
-// busy gives a VM so many requests at each of n targets.
+// busy gives a VM the given number of requests at each of n targets.
 func (f *fleetOf) busy(vm core.VMName, n, requests int) {
 	f.work[vm] = make(map[relay.TargetKey]relay.Work)
 	for i := range n {
@@ -168,7 +171,7 @@
 	}
 	require.Equal(t, f.work["e1"], f.others["e2"])
 	require.Less(t, largest, 8<<10, "bytes of one lease")
-	require.Less(t, f.renew("e2", false), 1<<10, "nothing has changed since")
+	require.Less(t, f.renew("e2", false), 1<<10, "nothing has changed since the last grant")
 }
 
 func TestOwnWorkIsNotToldAsThatOfOthers(t *testing.T) {
@@ -199,8 +202,7 @@
 	}
 }
 
-// A leader that has just been elected knew of the first renewals only, and told that all
-// engines were free.
+// A newly elected leader knew only the first renewals, and reported that all engines were free.
 func TestANewLeaderTellsNoWorkUntilItHasHeardOfAll(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	f := &fleetOf{t: t, node: n, now: time.Unix(100, 0)}
@@ -225,8 +227,8 @@
 	require.GreaterOrEqual(t, told.Sub(first), time.Second)
 }
 
-// After a kill of all VMs each chose by its own work alone for 1.2 s after the election,
-// though the leader had heard of all of them after 0.1 s.
+// After all VMs were killed, each one chose by its own work alone for 1.2 s after the election,
+// although the leader had received the renewals of all after 0.1 s.
 func TestANewLeaderTellsTheWorkOnceAllHaveRenewed(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := time.Unix(100, 0)
@@ -266,7 +268,7 @@
 	require.True(t, told["e1"])
 }
 
-// The first of 76 VMs that had a lease again took itself to be alone.
+// The first of 76 VMs to get a lease again assumed that it was the only one.
 func TestFollowersAreCountedBeforeTheyHaveALease(t *testing.T) {
 	f := newFleet(t)
 	for i := range 40 {
@@ -283,23 +285,24 @@
 	t.Fatal("no lease")
 }
 
-// A change of 1,700 routes was sent again for each ask of each of 76 VMs, and nobody could
+// A change of 1,700 routes was sent again for each request of each of 76 VMs, and nobody could
 // read the configuration for 4 s.
 func TestAChangeOnItsWayIsNotSentAgain(t *testing.T) {
 	f := newFleet(t)
 	f.renew("e1", false)
-	// Text that can't be compressed: what counts is whether it is sent.
+	// The text doesn't compress, so that the size of a grant shows whether it contains the
+	// text.
 	text := make([]byte, 60<<10)
-	_, _ = rand.NewChaCha8([32]byte{}).Read(text) // it never fails
+	_, _ = rand.NewChaCha8([32]byte{}).Read(text) // never returns an error
 	put := core.DocumentPut{Conn: 7, Document: config.Document{Version: 3, Source: text}}
 	settle(f.node, f.now, f.node.Step(f.now, put))
 	const whole = 60 << 10
-	require.Less(t, f.renew("e1", true), whole, "it was pushed when it was accepted, and is on its way")
+	require.Less(t, f.renew("e1", true), whole, "it was pushed when it was accepted and is in flight")
 	f.now = f.now.Add(time.Second)
 	require.Greater(t, f.renew("e1", true), whole, "it may have been lost")
 }
 
-// newsTo returns the news that a step sends to a VM.
+// newsTo returns the updates that a step sends to a VM.
 func newsTo(effects []core.Effect, vm core.VMName) []core.TargetNews {
 	var sent []core.TargetNews
 	for _, effect := range effects {
@@ -310,8 +313,9 @@
 	return sent
 }
 
-// At 300 VMs a leader sent 71 MB of messages in 5 s while 3,000 targets loaded, six times what
-// was new: what was on its way over full links was sent again for each ask that crossed it.
+// With 300 VMs, a leader sent 71 MB in 5 s while 3,000 targets loaded, six times what had
+// changed: updates in flight over full links were sent again for each request that crossed
+// them.
 func TestMessagesOnTheirWayAreNotSentAgain(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -324,21 +328,21 @@
 	require.Len(t, first, 1)
 	speak("i-2")
 	speak("i-3")
-	require.Empty(t, newsTo(nextPush(n, now), "e1"), "the first are on their way")
+	require.Empty(t, newsTo(nextPush(n, now), "e1"), "the first update is in flight")
 	now = now.Add(100 * time.Millisecond)
-	require.Empty(t, newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), "so are they where it asks again")
+	require.Empty(t, newsTo(n.Step(now, from("e1", core.Message{Follow: &core.Follow{}})), "e1"), "the first update is still in flight when the follower asks again")
 
 	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Upto, Came: true}
 	n.Step(now, from("e1", core.Message{Follow: &came}))
 	next := newsTo(nextPush(n, now), "e1")
 	require.Len(t, next, 1)
-	require.Len(t, next[0].Targets, 2, "what changed meanwhile comes at once")
+	require.Len(t, next[0].Targets, 2, "all later changes are in one update")
 	came.After = next[0].Upto
 	n.Step(now, from("e1", core.Message{Follow: &came}))
-	require.Empty(t, newsTo(nextPush(n, now.Add(time.Second)), "e1"), "nothing is new")
+	require.Empty(t, newsTo(nextPush(n, now.Add(time.Second)), "e1"), "nothing has changed")
 }
 
-// News that a broken link has lost are sent again within the 2 s that a message may take.
+// Updates lost on a broken link are sent again within the 2 s that a report may take.
 func TestMessagesThatWereLostAreSentAgain(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -349,7 +353,7 @@
 	require.Len(t, again[0].Targets, 1)
 }
 
-// A target that leaves gets no new work after 2 s, however long other messages take to a VM.
+// A leaving target gets no new work after 2 s, however long other updates to a VM take.
 func TestThatATargetLeavesIsToldBesideMessagesOnTheirWay(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -363,16 +367,16 @@
 	beside := newsTo(nextPush(n, now), "e1")
 	require.Len(t, beside, 1)
 	require.Equal(t, []relay.Target{leaves}, beside[0].Targets)
-	require.Empty(t, newsTo(nextPush(n, now.Add(time.Second/10)), "e1"), "once")
+	require.Empty(t, newsTo(nextPush(n, now.Add(time.Second/10)), "e1"), "sent only once")
 
 	came := core.Follow{Incarnation: first[0].Incarnation, After: first[0].Upto, Came: true}
 	n.Step(now.Add(300*time.Millisecond), from("e1", core.Message{Follow: &came}))
 	again := newsTo(nextPush(n, now.Add(300*time.Millisecond)), "e1")
-	require.Len(t, again, 1, "its place has not moved")
+	require.Len(t, again, 1, "its position has not changed")
 }
 
-// After a cut of seconds a follower that asks again is told at once what it lacks: how often
-// news to it were lost meanwhile doesn't count.
+// After a partition of some seconds, a follower that asks again is sent at once what it lacks,
+// regardless of how often updates to it were lost.
 func TestWhoAsksAgainAfterACutIsTold(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -383,7 +387,7 @@
 		now = now.Add(100 * time.Millisecond)
 		lost += len(newsTo(n.Step(now, core.Tick{}), "e1"))
 	}
-	require.Equal(t, 2, lost, "the next would come after 2.8 s more")
+	require.Equal(t, 2, lost, "the third would be sent another 2.8 s later")
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-1", Address: "a", Call: 2}})
 	asked := now.Add(600 * time.Millisecond)
 	again := newsTo(n.Step(asked, from("e1", core.Message{Follow: &core.Follow{}})), "e1")
@@ -392,7 +396,7 @@
 	require.True(t, again[0].Whole)
 }
 
-// Signs of life go on while other news are on their way to a control VM.
+// Heartbeats are sent while other updates to a control VM are in flight.
 func TestSignsOfLifeDoNotWaitForMessages(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
@@ -415,5 +419,5 @@
 	beats := newsTo(n.Step(now, from("c3", ask)), "c3")
 	require.Len(t, beats, 1)
 	require.Empty(t, beats[0].Targets)
-	require.Equal(t, []relay.Heartbeat{{ID: "i-1", Call: 2}}, beats[0].Heartbeats, "that of the other would come before what it says")
+	require.Equal(t, []relay.Heartbeat{{ID: "i-1", Call: 2}}, beats[0].Heartbeats, "the other heartbeat would arrive before its report")
 }
--- a/internal/core/unnamed_test.go
+++ b/internal/core/unnamed_test.go
@@ -13,8 +13,7 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// namingNode is a control VM alone, whose documents name the services that their texts
-// list.
+// namingNode is a sole control VM whose documents name the services listed in their text.
 type namingNode struct {
 	*core.Node
 	now   time.Time
@@ -61,7 +60,7 @@
 	}
 }
 
-// speak hands the node a target's message, and returns what the target is answered.
+// speak passes a target's report to the node and returns the answer.
 func (n *namingNode) speak(t relay.Target) core.TargetHeard {
 	for _, effect := range n.step(core.TargetSpoke{Conn: 1, Target: t}) {
 		if heard, ok := effect.(core.TargetHeard); ok {
@@ -81,7 +80,7 @@
 	good := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 1}
 	require.Equal(t, core.TargetHeard{Conn: 1, Taken: true}, n.speak(good))
 	heard := n.speak(relay.Target{ID: "i-2", Service: "nowhere", Address: "10.0.0.2:80", Call: 1})
-	require.Equal(t, core.TargetHeard{Conn: 1, Taken: true, HeldBack: true}, heard, "it is acknowledged, or it would try every control VM")
+	require.Equal(t, core.TargetHeard{Conn: 1, Taken: true, HeldBack: true}, heard, "it is acknowledged, since it would otherwise try every control VM")
 	n.run(time.Second)
 	require.Equal(t, []relay.Target{good}, follow(n.Node, n.now))
 	require.Equal(t, []relay.Target{good}, n.saved)
@@ -105,7 +104,7 @@
 	require.Empty(t, follow(n.Node, n.now))
 	n.put(2, "s next")
 	n.run(time.Second)
-	require.Equal(t, []relay.Target{early, leaving}, follow(n.Node, n.now), "it hasn't spoken again")
+	require.Equal(t, []relay.Target{early, leaving}, follow(n.Node, n.now), "without another report of the targets")
 }
 
 func TestTargetsSpeakBeforeTheFirstDocument(t *testing.T) {
@@ -116,7 +115,7 @@
 	require.Len(t, follow(n.Node, n.now), 1)
 }
 
-// Anybody may send any number of such messages.
+// Anybody may send any number of such reports.
 func TestWhatIsHeldBackIsBounded(t *testing.T) {
 	n := newNamingNode("s")
 	const many = 3100
@@ -131,6 +130,6 @@
 	n.put(3, "s next nowhere")
 	n.run(time.Second)
 	for _, target := range follow(n.Node, n.now) {
-		require.Equal(t, "next", target.Service, "a target that fell silent meanwhile isn't taken")
+		require.Equal(t, "next", target.Service, "a target that has become silent isn't accepted")
 	}
 }
