--- a/internal/core/backoffs_test.go
+++ b/internal/core/backoffs_test.go
@@ -15,7 +15,7 @@
 
 // An operator's command ends the backoffs of a target once on every entry VM, also on one that
 // receives the change late. VMs that restart later have none to end.
-func TestAnOperatorEndsTheBackoffsOfATargetEverywhere(t *testing.T) {
+func TestOperatorEndsBackoffsOnAllVMs(t *testing.T) {
 	f := started(t, smallFleet)
 	late := core.VMName("e1-1")
 	f.loses = func(e core.Envelope) bool { return e.To == late }
@@ -36,7 +36,7 @@
 }
 
 // Each entry VM shows the targets that it backs off from.
-func TestBackoffsAreShown(t *testing.T) {
+func TestShowBackoffs(t *testing.T) {
 	f := started(t, smallFleet)
 	f.found["e0-0"] = relay.Findings{BackedOff: []relay.TargetBackedOff{{Target: "i-1", Until: f.now.Add(time.Hour)}}}
 	f.run(time.Second)
@@ -53,7 +53,7 @@
 // A runner of a plain service that asks a VM to back off gets no calls of that VM until then,
 // and others serve them. Where all runners ask to back off for longer than a caller waits, the
 // call is refused at once with a retry time after the first backoff ends.
-func TestARunnerThatAsksToBackOffGetsNoCalls(t *testing.T) {
+func TestRunnerInBackoffReceivesNoCalls(t *testing.T) {
 	w := newWorld(t, 41, 3, 1)
 	w.setUp()
 	w.settled()
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -18,18 +18,18 @@
 // drainingFleet is a fleet whose entry VMs report the draining notices of that target.
 type drainingFleet struct {
 	*hallFleet
-	// told are the entry VMs that it has answered.
-	told []core.VMName
-	// speaks is the control VM that receives its heartbeats; silent stops them.
-	speaks core.VMName
-	silent bool
-	target relay.Target
-	beatAt time.Time
+	// notified are the entry VMs that it has answered.
+	notified []core.VMName
+	// heartbeatsTo is the control VM that receives its heartbeats; silent stops them.
+	heartbeatsTo core.VMName
+	silent       bool
+	target       relay.Target
+	beatAt       time.Time
 }
 
 func newDrainingFleet(t require.TestingT) *drainingFleet {
 	f := &drainingFleet{
-		hallFleet: started(t, smallFleet), speaks: "c2-0",
+		hallFleet: started(t, smallFleet), heartbeatsTo: "c2-0",
 		target: relay.Target{ID: drainingTarget, Service: "s", Address: "10.1.0.1:80", Hall: "hall2", Slots: 6},
 	}
 	f.pass = f.run
@@ -45,7 +45,7 @@
 func (f *drainingFleet) run(d time.Duration) {
 	for until := f.now.Add(d); f.now.Before(until); {
 		f.hallFleet.run(tickEvery)
-		for _, vm := range f.told {
+		for _, vm := range f.notified {
 			found := relay.Findings{Leaving: []relay.TargetID{drainingTarget}}
 			if f.learned[vm][drainingTarget].Leaving {
 				found = relay.Findings{}
@@ -57,7 +57,7 @@
 		}
 		f.beatAt = f.now.Add(engineBeat)
 		f.target.Call++
-		f.speak(f.speaks, f.target)
+		f.speak(f.heartbeatsTo, f.target)
 	}
 }
 
@@ -74,28 +74,28 @@
 // A draining notice with an answer to an entry VM has the same effect for all VMs as a
 // heartbeat that says so, whatever the target's heartbeats say, whichever VM receives them and
 // whatever is lost.
-func TestADrainingTargetIsKnownToAll(t *testing.T) {
+func TestDrainingNoticeReachesAllVMs(t *testing.T) {
 	for name, disturb := range map[string]func(f *drainingFleet){
 		"no fault":                            func(*drainingFleet) {},
 		"heartbeats are lost":                 func(f *drainingFleet) { f.silent = true },
-		"heartbeats go to another control VM": func(f *drainingFleet) { f.speaks = "c0-1" },
+		"heartbeats go to another control VM": func(f *drainingFleet) { f.heartbeatsTo = "c0-1" },
 		"a fifth of all messages are lost": func(f *drainingFleet) {
 			chance := rand.New(rand.NewPCG(1, 1))
 			f.loses = func(core.Envelope) bool { return chance.IntN(100) < 20 }
 		},
-		"the control VM that it was reported to ends": func(f *drainingFleet) {
+		"control VM with the report ends": func(f *drainingFleet) {
 			f.run(300 * time.Millisecond)
 			f.dead["c0-0"] = true
 		},
-		"the leader ends": func(f *drainingFleet) { f.dead[f.leader()] = true },
-		"the control VM of its heartbeats starts again": func(f *drainingFleet) {
+		"leader ends": func(f *drainingFleet) { f.dead[f.leader()] = true },
+		"control VM with the heartbeats restarts": func(f *drainingFleet) {
 			f.run(time.Second)
-			f.restart(f.speaks)
+			f.restart(f.heartbeatsTo)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newDrainingFleet(t)
-			f.told = []core.VMName{"e0-0"}
+			f.notified = []core.VMName{"e0-0"}
 			disturb(f)
 			f.until("all know", 10*time.Second, f.known)
 			clear(f.dead)
@@ -110,7 +110,7 @@
 
 // A notice with an engine's answer to a control VM's order counts like the report of an entry
 // VM.
-func TestADrainingTargetThatAControlVMIsToldIsKnownToAll(t *testing.T) {
+func TestDrainingNoticeToControlVMReachesAllVMs(t *testing.T) {
 	f := newDrainingFleet(t)
 	f.step("c1-1", core.TargetDrains{Target: drainingTarget})
 	require.Less(t, f.until("all know", knownWithin, f.known), 2*time.Second)
@@ -120,20 +120,20 @@
 }
 
 // Without faults the notice takes one renewal and two hops: as long as a heartbeat may take.
-func TestADrainingTargetIsKnownSoon(t *testing.T) {
+func TestDrainingNoticeReachesAllVMsWithinDrainBound(t *testing.T) {
 	f := newDrainingFleet(t)
-	f.told = []core.VMName{"e0-0"}
+	f.notified = []core.VMName{"e0-0"}
 	took := f.until("all know", knownWithin, f.known)
 	require.Less(t, took, 2*time.Second, "the shortest drain bound of the deployments")
 }
 
 // The VM that received the answer may end once a control VM has its report, and a restarted one
 // learns of the notice with its first lease.
-func TestADrainingTargetOutlivesWhoReportedIt(t *testing.T) {
+func TestDrainingNoticeSurvivesRestartOfReporter(t *testing.T) {
 	f := newDrainingFleet(t)
-	f.told = []core.VMName{"e0-0"}
+	f.notified = []core.VMName{"e0-0"}
 	f.until("all know", 10*time.Second, f.known)
-	f.told = nil
+	f.notified = nil
 	f.found["e0-0"] = relay.Findings{}
 	f.restart("e0-0")
 	f.run(5 * time.Second)
@@ -146,7 +146,7 @@
 }
 
 // The notice of a previous incarnation doesn't apply to a new one, even if it is reported late.
-func TestADrainingTargetIsOfOneIncarnation(t *testing.T) {
+func TestDrainingNoticeAppliesToOneIncarnation(t *testing.T) {
 	f := newDrainingFleet(t)
 	f.silent = true
 	old, next := relay.NewTargetID("i-2", 100), relay.NewTargetID("i-2", 200)
@@ -164,9 +164,9 @@
 }
 
 // A control VM that doesn't know the draining notice may send another change of the target.
-func TestNewsOfWhoDoesNotKnowTakeNoDrainingBack(t *testing.T) {
+func TestUpdateWithoutDrainingDoesNotRevertIt(t *testing.T) {
 	f := newDrainingFleet(t)
-	f.told = []core.VMName{"e0-0"}
+	f.notified = []core.VMName{"e0-0"}
 	f.until("all know", 10*time.Second, f.known)
 	ready := f.target
 	ready.Call += 100
--- a/internal/core/entries_test.go
+++ b/internal/core/entries_test.go
@@ -56,7 +56,7 @@
 }
 
 // A partitioned VM kept listing VMs that had been down for 9 s.
-func TestEntriesAreNotNamedWithoutALease(t *testing.T) {
+func TestNoEntryAddressesWithoutLease(t *testing.T) {
 	e := newEntryNode(core.Settings{})
 	view := []core.EntryView{{Address: core.EntryAddress{VM: "e2", Hall: "h", Callers: "10.0.0.2:80", Peers: "10.0.0.2:81"}}}
 	e.lease(t, core.Grant{To: 1, ViewVersion: 1, View: view, ViewWhole: true})
@@ -67,7 +67,7 @@
 
 // Covers a deployment of a thousand VMs in five halls, which used to return all of them to
 // every caller.
-func TestACallerIsGivenAFewVMsOfItsHall(t *testing.T) {
+func TestCallerReceivesFewVMsOfItsHall(t *testing.T) {
 	const vms, halls = 1000, 5
 	e := newEntryNode(core.Settings{})
 	var view []core.EntryView
@@ -95,7 +95,7 @@
 
 // While a quarter of the VMs was lost, every second request had to ask for addresses first, and
 // one in four of those waited a second for a lost VM.
-func TestAddressesAreKeptLongerWhileVMsAreLost(t *testing.T) {
+func TestAddressesAreKeptLongerAfterLossOfVMs(t *testing.T) {
 	e := newEntryNode(core.Settings{})
 	view := func(leaving bool, names ...core.VMName) []core.EntryView {
 		var lines []core.EntryView
--- a/internal/core/fleet_bench_test.go
+++ b/internal/core/fleet_bench_test.go
@@ -62,9 +62,9 @@
 	return f
 }
 
-// second simulates one second of a leader: one report of each target, two renewals of each
+// runSecond simulates one second of a leader: one report of each target, two renewals of each
 // entry VM, and its ticks.
-func (f *fleetBench) second() {
+func (f *fleetBench) runSecond() {
 	const ticks = 50
 	for tick := range ticks {
 		f.now = f.now.Add(time.Second / ticks)
@@ -122,11 +122,11 @@
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
 			f := newFleetBench(b, vms)
 			for range 4 {
-				f.second()
+				f.runSecond()
 			}
 			f.bytes = 0
 			for b.Loop() {
-				f.second()
+				f.runSecond()
 			}
 			b.ReportMetric(float64(f.bytes)/float64(b.N)/float64(vms), "B/VM")
 		})
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -16,8 +16,8 @@
 // that each report to a control VM of their hall.
 type sizedFleet struct {
 	*hallFleet
-	engines []relay.Target
-	spoken  int
+	engines  []relay.Target
+	reported int
 	// rounds counts the rounds of work.
 	rounds int
 }
@@ -57,8 +57,8 @@
 	each := int(int64(len(f.engines)) * int64(tickEvery) / int64(sizedHeartbeat))
 	for until := f.now.Add(d); f.now.Before(until); {
 		for range each {
-			f.speak(f.spoken % len(f.engines))
-			f.spoken++
+			f.speak(f.reported % len(f.engines))
+			f.reported++
 		}
 		f.run(tickEvery)
 	}
@@ -117,21 +117,21 @@
 	return work
 }
 
-// scene is the traffic during a phase, in bytes.
-type scene struct {
+// traffic is the traffic during a phase, in bytes.
+type traffic struct {
 	// entry is the mean that an entry VM received and sent, leader what the leader sent, and
 	// control the most that any other control VM sent.
 	entry, leader, control int
 }
 
-// play measures the traffic during a phase.
-func (f *sizedFleet) play(part func()) scene {
+// measure measures the traffic during a phase.
+func (f *sizedFleet) measure(part func()) traffic {
 	f.measured = true
 	clear(f.bytes)
 	clear(f.received)
 	part()
 	f.measured = false
-	var s scene
+	var s traffic
 	leader := f.leader()
 	for vm, sent := range f.bytes {
 		switch {
@@ -147,8 +147,8 @@
 	return s
 }
 
-// third kills or restarts every third entry VM.
-func (f *sizedFleet) third(alive bool) {
+// setEveryThird kills or restarts every third entry VM.
+func (f *sizedFleet) setEveryThird(alive bool) {
 	for i, vm := range f.names {
 		switch {
 		case vm[0] != 'e' || i%3 != 0:
@@ -160,36 +160,36 @@
 	}
 }
 
-// playAll measures all phases.
-func (f *sizedFleet) playAll() map[string]scene {
+// measureAll measures all phases.
+func (f *sizedFleet) measureAll() map[string]traffic {
 	const settled = 4 * time.Second
-	scenes := make(map[string]scene)
+	scenes := make(map[string]traffic)
 	f.until("all have a lease", 20*time.Second, func() bool { return f.leased(0) })
 	f.live(time.Second)
 	f.put(1)
-	scenes["start"] = f.play(func() {
+	scenes["start"] = f.measure(func() {
 		f.live(sizedHeartbeat + time.Second)
 		f.load()
 		f.live(sizedHeartbeat + time.Second)
 	})
 	f.serve(settled)
-	scenes["steady"] = f.play(func() { f.serve(settled) })
-	scenes["storm"] = f.play(func() {
+	scenes["steady"] = f.measure(func() { f.serve(settled) })
+	scenes["storm"] = f.measure(func() {
 		for version := uint64(2); version < 12; version++ {
 			f.put(version)
 			f.serve(settled / 20)
 		}
 	})
-	scenes["third lost"] = f.play(func() { f.third(false); f.serve(settled) })
-	scenes["third back"] = f.play(func() { f.third(true); f.serve(settled) })
-	scenes["new leader"] = f.play(func() { f.dead[f.leader()] = true; f.serve(settled) })
+	scenes["third lost"] = f.measure(func() { f.setEveryThird(false); f.serve(settled) })
+	scenes["third back"] = f.measure(func() { f.setEveryThird(true); f.serve(settled) })
+	scenes["new leader"] = f.measure(func() { f.dead[f.leader()] = true; f.serve(settled) })
 	return scenes
 }
 
 // Covers a fleet that grows while its load stays the same. What an entry VM receives, and what
 // the leader sends beside its work for the entry VMs of its hall, must follow the requests and
 // the changes: entry VMs used to receive all engines and every change of them.
-func TestAnEntryVMIsSentNoMoreWhereTheFleetIsTwiceAsLarge(t *testing.T) {
+func TestEntryVMTrafficIsIndependentOfFleetSize(t *testing.T) {
 	const smaller = 200
 	// Only the list of entry VMs covers the whole fleet. It is sent in full at a start, and
 	// changes much where many VMs join and leave.
@@ -199,7 +199,7 @@
 	}
 	small := newSizedFleet(t, smaller)
 	large := newSizedFleet(t, 2*smaller)
-	before, after := small.playAll(), large.playAll()
+	before, after := small.measureAll(), large.measureAll()
 	for name, factor := range most {
 		t.Logf("%s: entry VM %d and %d B, leader %d and %d B, other control VMs %d and %d B at most", name,
 			before[name].entry, after[name].entry, before[name].leader, after[name].leader, before[name].control, after[name].control)
--- a/internal/core/halls_test.go
+++ b/internal/core/halls_test.go
@@ -28,8 +28,8 @@
 	queue []core.Envelope
 	dead  map[core.VMName]bool
 	// apart holds pairs of VMs that can't reach each other.
-	apart map[[2]core.VMName]bool
-	lives uint64
+	apart        map[[2]core.VMName]bool
+	incarnations uint64
 	// disks holds what control VMs with a disk have synced.
 	disks    map[core.VMName]*core.Recovered
 	settings map[core.VMName]core.Settings
@@ -115,12 +115,12 @@
 }
 
 func (f *hallFleet) start(vm core.VMName, disk bool) {
-	f.lives++
-	self := core.ReplicaID{VM: vm, Incarnation: core.Incarnation(f.lives)}
+	f.incarnations++
+	self := core.ReplicaID{VM: vm, Incarnation: core.Incarnation(f.incarnations)}
 	control := vm[0] == 'c'
 	settings := core.Settings{
 		Self: self, Control: control, Entry: !control, ControlVMs: []core.VMName{"c0-0", "c1-0", "c2-0"}, Voters: 3,
-		SnapshotEvery: 100, Timing: core.DefaultTiming(), Seed: f.lives * 7919, Volatile: control && !disk,
+		SnapshotEvery: 100, Timing: core.DefaultTiming(), Seed: f.incarnations * 7919, Volatile: control && !disk,
 		Address:        core.EntryAddress{VM: vm, Hall: f.halls[vm], Callers: string(vm), Peers: string(vm)},
 		DecodeDocument: func(text []byte) (*relay.Document, error) { return f.decode(text) },
 	}
@@ -157,7 +157,7 @@
 	f.marks[vm] = make(map[relay.TargetKey]relay.Mark)
 	delete(f.quarantine, vm)
 	if f.limits != nil {
-		f.limits[vm] = relay.NewRateLimits(f.lives)
+		f.limits[vm] = relay.NewRateLimits(f.incarnations)
 	}
 	f.dead[vm] = false
 }
@@ -347,7 +347,7 @@
 
 // Guards against a leader overloaded by renewals: with 300 VMs that all renewed with it, a
 // thousand renewals a second cost it the leadership.
-func TestEntryVMsRenewInTheirHall(t *testing.T) {
+func TestEntryVMsRenewInOwnHall(t *testing.T) {
 	f := started(t, usersFleet)
 	f.measured = true
 	f.run(2 * time.Second)
@@ -364,7 +364,7 @@
 	}
 }
 
-func TestAChangeReachesEveryVMOnceByWayOfItsHall(t *testing.T) {
+func TestConfigChangeReachesAllVMs(t *testing.T) {
 	f := started(t, usersFleet)
 	revision := f.nodes[f.leader()].Status().Revision
 	f.put(7)
@@ -373,7 +373,7 @@
 }
 
 // Each entry VM receives the work of all others in all halls, without its own.
-func TestWorkIsToldAcrossHalls(t *testing.T) {
+func TestWorkIsSummedAcrossHalls(t *testing.T) {
 	f := started(t, smallFleet)
 	key := relay.TargetID("i-1").Key()
 	vms := f.entries()
@@ -397,7 +397,7 @@
 }
 
 // A report received by any control VM reaches all entry VMs well within the drain bound.
-func TestAMessageReachesAllHallsSoon(t *testing.T) {
+func TestTargetReportReachesAllHalls(t *testing.T) {
 	f := started(t, usersFleet)
 	f.speak("c3-2", relay.Target{ID: "i-1", Address: "a", Call: 1})
 	f.run(time.Second)
@@ -408,7 +408,7 @@
 	}
 }
 
-func TestALostControlVMIsMadeUpForWithinARenewal(t *testing.T) {
+func TestHallSurvivesLossOfControlVMs(t *testing.T) {
 	f := started(t, smallFleet)
 	for _, vm := range []core.VMName{"c2-0", "c2-1"} {
 		f.dead[vm] = true
@@ -426,7 +426,7 @@
 }
 
 // A control VM that can't reach the leader grants nothing, and its hall renews elsewhere.
-func TestAHallWhoseControlVMsAreCutOffRenewsElsewhere(t *testing.T) {
+func TestHallWithPartitionedControlVMsRenewsElsewhere(t *testing.T) {
 	f := started(t, smallFleet)
 	for _, vm := range []core.VMName{"c2-0", "c2-1"} {
 		for _, other := range f.names {
@@ -446,7 +446,7 @@
 }
 
 // A pushed change carries a number that was granted before and must not extend a lease.
-func TestAPushedChangeLengthensNoLease(t *testing.T) {
+func TestPushedChangeExtendsNoLease(t *testing.T) {
 	f := started(t, smallFleet)
 	leader := f.leader()
 	for _, vm := range f.names {
@@ -471,7 +471,7 @@
 }
 
 // After a loss of all VMs, every VM asks the seeds, which redirect it to its own hall.
-func TestSeedsSendVMsToTheirHalls(t *testing.T) {
+func TestSeedsRedirectVMsToTheirHalls(t *testing.T) {
 	f := newHallFleet(t, usersFleet)
 	f.measured = true
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
@@ -502,7 +502,7 @@
 }
 
 // After a loss of all VMs, callers were refused for 6 s because entry VMs had no lease.
-func TestAllVMsHaveALeaseSoonAfterALossOfAll(t *testing.T) {
+func TestLeasesAreGrantedSoonAfterLossOfAllVMs(t *testing.T) {
 	f := started(t, usersFleet)
 	f.put(5)
 	f.run(time.Second)
--- a/internal/core/hints_test.go
+++ b/internal/core/hints_test.go
@@ -38,7 +38,7 @@
 
 // After a power loss of all VMs, 247 callers were refused because the targets hadn't reported
 // again when the first leases were granted.
-func TestHintsServeUntilTargetsSpeak(t *testing.T) {
+func TestHintsServeUntilTargetsReport(t *testing.T) {
 	now := time.Unix(100, 0)
 	hint := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 7}
 	n := controlNode([]relay.Target{hint}, now)
@@ -47,7 +47,7 @@
 
 // After all VMs were killed, the entry VMs asked before the control VMs were listening and
 // again only after 1.5 s: they had a lease for a second and knew no target.
-func TestALostFirstAskIsRepeatedSoon(t *testing.T) {
+func TestFirstFollowIsRetriedSoon(t *testing.T) {
 	now := time.Unix(100, 0)
 	n := core.New(core.Settings{
 		Self: core.ReplicaID{VM: "e1", Incarnation: 1}, Cluster: "c", Entry: true, ControlVMs: []core.VMName{"c1", "c2", "c3"},
@@ -84,7 +84,7 @@
 
 // After all control VMs were killed, a live target may take as long as its usual silence to
 // find one. With half of that, engines with requests in flight counted as dead.
-func TestHintsCountForTheUsualSilence(t *testing.T) {
+func TestHintsAreValidForUsualSilence(t *testing.T) {
 	now := time.Unix(100, 0)
 	n := controlNode([]relay.Target{{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 7}}, now)
 	end := now.Add(2900 * time.Millisecond)
@@ -100,7 +100,7 @@
 
 // After all VMs were killed, 59 calls went to engines that had died 10 s earlier: the hints
 // contained them next to their successors at the same address.
-func TestHintsAreOfTargetsThatLive(t *testing.T) {
+func TestHintsContainOnlyLiveTargets(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-1", Address: "a", Call: 1}})
@@ -126,7 +126,7 @@
 
 // A restarted control VM reported an engine that had died 16 s earlier: the others had sent it
 // with their full state, as if it had just reported.
-func TestWhoStartsIsToldOfTargetsThatLive(t *testing.T) {
+func TestNewFollowerReceivesOnlyLiveTargets(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-1", Address: "a", Call: 1}})
@@ -179,7 +179,7 @@
 	return last
 }
 
-func TestTargetsThatLeaveAreSavedAtOnce(t *testing.T) {
+func TestLeavingTargetIsSavedAtOnce(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	saved := func(target relay.Target) int {
@@ -197,7 +197,7 @@
 }
 
 // With 300 VMs and 3,000 targets, one push per report filled the memory of control VMs.
-func TestMessagesOfOneTickArePushedTogether(t *testing.T) {
+func TestReportsOfOneTickArePushedTogether(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	follow(n, now)
@@ -221,7 +221,7 @@
 
 // After all VMs were killed, a new leader moved engines that were serving: it had received the
 // reports of only some engines, and counted the layers of all others as lost.
-func TestNothingMovesUntilEveryTargetHasSpoken(t *testing.T) {
+func TestNoOrdersUntilAllTargetsHaveReported(t *testing.T) {
 	engine := &relay.Engine{
 		Slots: 10, Layers: 10, LayerBytes: 1e9, TokenBytes: 1e6, UsualPrompt: 10, UsualAnswer: 10, Load: time.Second, LoadsAtOnce: 1,
 		Accelerators: []relay.Accelerator{{Name: "k", Bytes: 30e9, Pace: 1, Read: 1}},
--- a/internal/core/incarnation_test.go
+++ b/internal/core/incarnation_test.go
@@ -43,9 +43,9 @@
 	return len(held) == 80
 }
 
-// requireLives requires that each entry VM knows exactly the running incarnations, with their
-// layers.
-func (f *engineFleet) requireLives(t *testing.T) {
+// requireIncarnations requires that each entry VM knows exactly the running incarnations, with
+// their layers.
+func (f *engineFleet) requireIncarnations(t *testing.T) {
 	t.Helper()
 	for _, vm := range f.entries() {
 		require.Len(t, f.learned[vm], len(f.ids), vm)
@@ -57,14 +57,14 @@
 
 // Restarted engines receive placement orders again, even if the leader changes and the last
 // reports of their previous incarnations arrive late, at other control VMs.
-func TestEnginesThatStartAgainAreOrderedAgain(t *testing.T) {
+func TestRestartedEnginesReceiveOrders(t *testing.T) {
 	f := newEngineFleet(t, smallFleet, 30)
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
 	f.run(4 * time.Second)
 	f.put(1)
 	f.until("engines hold all layers", time.Minute, f.covered)
 	f.run(2 * time.Second)
-	f.requireLives(t)
+	f.requireIncarnations(t)
 
 	old := f.leader()
 	late := f.restart(200)
@@ -86,7 +86,7 @@
 		f.speak(f.controlsBut(old)[(i+1)%5], message)
 	}
 	f.run(2 * time.Second)
-	f.requireLives(t)
+	f.requireIncarnations(t)
 }
 
 func (f *hallFleet) controlsBut(one core.VMName) []core.VMName {
@@ -95,20 +95,20 @@
 
 func (f *hallFleet) otherControl(than core.VMName) core.VMName { return f.controlsBut(than)[0] }
 
-func lifeOf(born, call uint64) relay.Target {
+func incarnationOf(born, call uint64) relay.Target {
 	return relay.Target{ID: relay.NewTargetID("i-1", born), Service: "s", Address: "10.0.0.1:80", Call: call}
 }
 
 // A hint has the incarnation that was current when it was saved. That one may have ended since,
 // or may outdate the reports that arrive late.
-func TestHintsOfALifeYieldToALaterOne(t *testing.T) {
+func TestLaterIncarnationReplacesHint(t *testing.T) {
 	for name, messages := range map[string]struct {
 		hint, message relay.Target
 		want          relay.TargetID
 	}{
-		"the hint is of the life before":    {hint: lifeOf(100, 50), message: lifeOf(200, 1), want: lifeOf(200, 0).ID},
-		"the message is of the life before": {hint: lifeOf(200, 1), message: lifeOf(100, 50), want: lifeOf(200, 0).ID},
-		"no start is told":                  {hint: lifeOf(0, 7), message: lifeOf(0, 8), want: "i-1"},
+		"hint of the previous incarnation":   {hint: incarnationOf(100, 50), message: incarnationOf(200, 1), want: incarnationOf(200, 0).ID},
+		"report of the previous incarnation": {hint: incarnationOf(200, 1), message: incarnationOf(100, 50), want: incarnationOf(200, 0).ID},
+		"no start time":                      {hint: incarnationOf(0, 7), message: incarnationOf(0, 8), want: "i-1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := controlNode([]relay.Target{messages.hint}, time.Unix(100, 0))
@@ -127,7 +127,7 @@
 }
 
 // The end of an incarnation is reported once, with the VM that reported it.
-func TestTheEndOfALifeIsToldOnce(t *testing.T) {
+func TestEndOfIncarnationIsReportedOnce(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	ended := func(target relay.Target) (all []core.TargetsEnded) {
@@ -138,15 +138,15 @@
 		}
 		return all
 	}
-	require.Empty(t, ended(lifeOf(100, 5)))
-	require.Equal(t, []core.TargetsEnded{{Ended: []relay.Succession{{Old: lifeOf(100, 0).ID, New: lifeOf(200, 0).ID}}, Teller: "c1"}}, ended(lifeOf(200, 1)))
-	require.Empty(t, ended(lifeOf(100, 6)))
-	require.Empty(t, ended(lifeOf(200, 2)))
+	require.Empty(t, ended(incarnationOf(100, 5)))
+	require.Equal(t, []core.TargetsEnded{{Ended: []relay.Succession{{Old: incarnationOf(100, 0).ID, New: incarnationOf(200, 0).ID}}, Teller: "c1"}}, ended(incarnationOf(200, 1)))
+	require.Empty(t, ended(incarnationOf(100, 6)))
+	require.Empty(t, ended(incarnationOf(200, 2)))
 }
 
 // Orders to ended incarnations must not take up the limit of loads at once, which only the
 // orders to running incarnations count against.
-func TestOrdersToEndedLivesAreGivenUp(t *testing.T) {
+func TestOrdersToEndedIncarnationsAreDropped(t *testing.T) {
 	const engines = 12
 	f := newEngineFleet(t, smallFleet, 0)
 	f.decode = func(text []byte) (*relay.Document, error) {
@@ -181,19 +181,19 @@
 	require.Equal(t, slices.Repeat([]uint64{200}, 8), ordered(200, 4*time.Second))
 }
 
-// livesRun simulates targets that restart under their names.
-type livesRun struct {
-	*spread
+// incarnationRun simulates targets that restart under their names.
+type incarnationRun struct {
+	*registryCluster
 	born map[string]uint64
 	// late are reports that may still arrive.
 	late []relay.Target
 }
 
-func (l *livesRun) id(name string) relay.TargetID { return relay.NewTargetID(name, l.born[name]) }
+func (l *incarnationRun) id(name string) relay.TargetID { return relay.NewTargetID(name, l.born[name]) }
 
-// say makes the running incarnation of a target report its layers. The report is received by a
+// report makes the running incarnation of a target report its layers. The report is received by a
 // control VM, or stays in flight.
-func (l *livesRun) say(name string, heard bool, to core.VMName) {
+func (l *incarnationRun) report(name string, heard bool, to core.VMName) {
 	id := l.id(name)
 	t := l.truth[id]
 	t.Call++
@@ -204,7 +204,7 @@
 	}
 }
 
-func (l *livesRun) begin(name string, born uint64, layers int) {
+func (l *incarnationRun) startIncarnation(name string, born uint64, layers int) {
 	l.born[name] = born
 	id := l.id(name)
 	if _, known := l.truth[id]; known {
@@ -215,29 +215,29 @@
 
 // Whatever is lost, delayed or restarted, every entry VM receives the running incarnation of
 // each target, and keeps no earlier one next to it.
-func TestTheLifeThatRunsReachesEveryEntryVM(t *testing.T) {
+func TestRunningIncarnationReachesEveryEntryVM(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := &livesRun{spread: newSpread(t), born: make(map[string]uint64)}
+		l := &incarnationRun{registryCluster: newRegistryCluster(t), born: make(map[string]uint64)}
 		control := rapid.SampledFrom(spreadControls)
 		names := []string{"i-1", "i-2"}
 		// Where clocks are set back, control VMs don't restart and lose their state: no VM
 		// might be left that knows that the incarnation with the later start is silent.
 		setBack := rapid.Bool().Draw(t, "clocks are set back")
 		for i, name := range names {
-			l.begin(name, uint64(100+i), 10)
+			l.startIncarnation(name, uint64(100+i), 10)
 		}
 		l.lossy = true
 		for range rapid.IntRange(1, 14).Draw(t, "events") {
 			name := rapid.SampledFrom(names).Draw(t, "name")
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0, 1:
-				l.say(name, rapid.IntRange(0, 3).Draw(t, "heard") > 0, control.Draw(t, "to"))
+				l.report(name, rapid.IntRange(0, 3).Draw(t, "heard") > 0, control.Draw(t, "to"))
 			case 2:
 				born := l.born[name] + uint64(rapid.IntRange(1, 9).Draw(t, "later"))
 				if setBack && rapid.Bool().Draw(t, "set back") {
 					born = l.born[name] - uint64(rapid.IntRange(1, 9).Draw(t, "earlier"))
 				}
-				l.begin(name, born, rapid.IntRange(1, 80).Draw(t, "layers"))
+				l.startIncarnation(name, born, rapid.IntRange(1, 80).Draw(t, "layers"))
 			case 3:
 				if len(l.late) > 0 {
 					l.step(control.Draw(t, "to"), core.TargetSpoke{Conn: 1, Target: rapid.SampledFrom(l.late).Draw(t, "late")})
@@ -254,7 +254,7 @@
 		l.lossy = false
 		for range 8 {
 			for _, name := range names {
-				l.say(name, true, control.Draw(t, "at last to"))
+				l.report(name, true, control.Draw(t, "at last to"))
 			}
 			l.run(1200 * time.Millisecond)
 		}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -84,9 +84,9 @@
 	return n
 }
 
-// keeps requires that no interval of 4 s after since has more arrivals than one and a half
-// times the limit plus 5.
-func (f *limitedFleet) keeps(since time.Time, perSecond float64) {
+// requireWithinLimit requires that no interval of 4 s after since has more arrivals than one
+// and a half times the limit plus 5.
+func (f *limitedFleet) requireWithinLimit(since time.Time, perSecond float64) {
 	const span = 4 * time.Second
 	for _, at := range f.arrivals {
 		if !at.Before(since) {
@@ -95,8 +95,8 @@
 	}
 }
 
-// uses requires that at least nine tenths of the limit have been used after since.
-func (f *limitedFleet) uses(since time.Time) {
+// requireLimitUsed requires that at least nine tenths of the limit have been used after since.
+func (f *limitedFleet) requireLimitUsed(since time.Time) {
 	require.GreaterOrEqual(f.t, float64(f.between(since, f.now)), 0.9*f.perSecond*f.now.Sub(since).Seconds())
 }
 
@@ -104,7 +104,7 @@
 
 // A limit reported to one VM applies to all VMs, whatever is lost, and nine tenths of it are
 // used once nothing is lost any more.
-func TestALimitHoldsForAllVMs(t *testing.T) {
+func TestRateLimitAppliesToAllVMs(t *testing.T) {
 	for name, disturb := range map[string]func(f *limitedFleet){
 		"no fault":                   nil,
 		"all callers come to one VM": func(f *limitedFleet) { clear(f.asked); f.asked["e1-1"] = 60 },
@@ -119,12 +119,12 @@
 			f.run(8 * time.Second)
 			f.loses = nil
 		},
-		"the leader dies":                  func(f *limitedFleet) { f.dead[f.leader()] = true },
-		"the leader dies again and again":  func(f *limitedFleet) { f.leadersDie(3) },
-		"entry VMs start again":            func(f *limitedFleet) { f.entriesStartAgain() },
-		"an entry VM is cut off":           func(f *limitedFleet) { f.cutOff("e0-0"); f.run(6 * time.Second); clear(f.apart) },
-		"a hall's control VMs are away":    func(f *limitedFleet) { f.dead["c2-0"], f.dead["c2-1"] = true, true },
-		"all control VMs are away a while": func(f *limitedFleet) { f.controlsAway() },
+		"leader dies":                            func(f *limitedFleet) { f.dead[f.leader()] = true },
+		"leader dies repeatedly":                 func(f *limitedFleet) { f.restartLeaders(3) },
+		"entry VMs restart":                      func(f *limitedFleet) { f.restartEntries() },
+		"entry VM is partitioned":                func(f *limitedFleet) { f.partition("e0-0"); f.run(6 * time.Second); clear(f.apart) },
+		"control VMs of a hall are lost":         func(f *limitedFleet) { f.dead["c2-0"], f.dead["c2-1"] = true, true },
+		"control VMs are partitioned for a time": func(f *limitedFleet) { f.partitionControls() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(3) {
@@ -137,14 +137,14 @@
 				f.run(limitSettles)
 				settled := f.now
 				f.run(12 * time.Second)
-				f.keeps(began.Add(limitSettles), 4.5)
-				f.uses(settled)
+				f.requireWithinLimit(began.Add(limitSettles), 4.5)
+				f.requireLimitUsed(settled)
 			}
 		})
 	}
 }
 
-func (f *limitedFleet) leadersDie(times int) {
+func (f *limitedFleet) restartLeaders(times int) {
 	for range times {
 		leader := f.leader()
 		f.dead[leader] = true
@@ -154,7 +154,7 @@
 	}
 }
 
-func (f *limitedFleet) entriesStartAgain() {
+func (f *limitedFleet) restartEntries() {
 	for _, vm := range []core.VMName{"e0-0", "e1-1", "e2-2", "e0-1"} {
 		f.dead[vm] = true
 		f.run(300 * time.Millisecond)
@@ -163,16 +163,16 @@
 	}
 }
 
-func (f *limitedFleet) cutOff(vm core.VMName) {
+func (f *limitedFleet) partition(vm core.VMName) {
 	for _, other := range f.names {
 		f.apart[[2]core.VMName{vm, other}], f.apart[[2]core.VMName{other, vm}] = true, true
 	}
 }
 
-func (f *limitedFleet) controlsAway() {
+func (f *limitedFleet) partitionControls() {
 	for _, vm := range f.names {
 		if vm[0] == 'c' {
-			f.cutOff(vm)
+			f.partition(vm)
 		}
 	}
 	f.run(5 * time.Second)
@@ -182,7 +182,7 @@
 
 // A limit that is raised, lowered or removed takes effect soon, and permits of the previous
 // limit are within the new one.
-func TestALimitThatChangesIsKept(t *testing.T) {
+func TestChangedRateLimitIsKept(t *testing.T) {
 	for name, c := range map[string]struct{ before, after float64 }{
 		"raised":        {before: 2, after: 12},
 		"lowered":       {before: 12, after: 2},
@@ -201,9 +201,9 @@
 				require.Greater(t, f.between(since, f.now), 400, "of about 540 requests")
 				return
 			}
-			f.keeps(since, c.after)
+			f.requireWithinLimit(since, c.after)
 			if c.after > 1 {
-				f.uses(since)
+				f.requireLimitUsed(since)
 			}
 		})
 	}
@@ -212,7 +212,7 @@
 // A runner behind the product's own interface that reports a limit receives no more calls than
 // that from all entry VMs, and another runner serves the rest. Where both are limited, calls
 // that can't be served before their deadline are refused at once with a retry time.
-func TestARunnerThatNamesALimitGetsNoMoreCalls(t *testing.T) {
+func TestRunnerRateLimitIsKept(t *testing.T) {
 	w := newWorld(t, 43, 3, 3)
 	w.setUp()
 	w.settled()
@@ -260,7 +260,7 @@
 }
 
 // Bounds the bytes of 16 limits in a renewal and a lease; a message has at most that many.
-func TestLimitsCostFewBytes(t *testing.T) {
+func TestRateLimitMessageSize(t *testing.T) {
 	asks := make([]core.LimitAsk, 16)
 	permits := make([]relay.Permits, 16)
 	for i := range asks {
--- a/internal/core/quarantine_test.go
+++ b/internal/core/quarantine_test.go
@@ -34,19 +34,19 @@
 	return &crashFleet{hallFleet: started(t, smallFleet)}
 }
 
-func named(request string) relay.Fingerprint {
+func fingerprintOf(request string) relay.Fingerprint {
 	return relay.NewFingerprint("o", "POST", "h", "/"+request, nil)
 }
 
 // crash makes a VM report that a request sent to a target ago earlier has ended it.
 func (f *crashFleet) crash(vm core.VMName, request string, ago time.Duration) {
 	f.ended++
-	f.step(vm, core.RunsCrashed{Runs: []relay.CrashedRun{{Request: named(request), Target: f.ended, Began: f.now.Add(-ago), Ended: f.now}}})
+	f.step(vm, core.RunsCrashed{Runs: []relay.CrashedRun{{Request: fingerprintOf(request), Target: f.ended, Began: f.now.Add(-ago), Ended: f.now}}})
 }
 
-// crashInTurn makes a request end the given number of targets one after the other, each seen by
-// the next VM.
-func (f *crashFleet) crashInTurn(request string, times int) {
+// crashSequentially makes a request end the given number of targets one after the other, each
+// seen by the next VM.
+func (f *crashFleet) crashSequentially(request string, times int) {
 	for i := range times {
 		f.run(300 * time.Millisecond)
 		f.crash(f.entries()[i%len(f.entries())], request, 100*time.Millisecond)
@@ -56,7 +56,7 @@
 // known reports whether all entry VMs with a lease have a request in quarantine.
 func (f *crashFleet) known(request string) bool {
 	for _, vm := range f.entries() {
-		if _, held := f.quarantine[vm][named(request)]; !held && f.nodes[vm].Status().HasLease {
+		if _, held := f.quarantine[vm][fingerprintOf(request)]; !held && f.nodes[vm].Status().HasLease {
 			return false
 		}
 	}
@@ -69,59 +69,59 @@
 	require.Less(f.t, took, knownWithin)
 }
 
-func TestAllVMsKnowARequestThatHasEndedThreeTargets(t *testing.T) {
+func TestQuarantineAfterThreeEndedTargets(t *testing.T) {
 	f := newCrashFleet(t)
-	f.crashInTurn("a", 2)
+	f.crashSequentially("a", 2)
 	f.run(knownWithin)
 	require.Empty(t, f.quarantine["e0-0"], "two ends may be a coincidence")
-	f.crashInTurn("a", 1)
+	f.crashSequentially("a", 1)
 	f.requireKnown("a")
 }
 
-func TestAllVMsKnowItThoughMessagesAreLost(t *testing.T) {
+func TestQuarantineReachesAllVMsDespiteMessageLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newCrashFleet(t)
 		chance := rand.New(rand.NewPCG(seed, 1))
 		f.loses = func(core.Envelope) bool { return chance.IntN(100) < 20 }
-		f.crashInTurn("a", 3)
+		f.crashSequentially("a", 3)
 		f.requireKnown("a")
 	}
 }
 
 // The leader ends while the third report is in flight; the VM that sent it repeats it to the
 // next leader.
-func TestALostLeaderDoesNotLoseTheThirdReport(t *testing.T) {
+func TestThirdCrashReportSurvivesLossOfLeader(t *testing.T) {
 	f := newCrashFleet(t)
-	f.crashInTurn("a", 3)
+	f.crashSequentially("a", 3)
 	f.dead[f.leader()] = true
 	f.until("a new leader is elected", 10*time.Second, func() bool { return f.leader() != "" })
 	f.requireKnown("a")
 }
 
 // A restarted VM accepts work with its first lease, and must know the request by then.
-func TestAVMThatStartsAgainKnowsItWithItsFirstLease(t *testing.T) {
+func TestRestartedVMReceivesQuarantineWithFirstLease(t *testing.T) {
 	f := newCrashFleet(t)
-	f.crashInTurn("a", 3)
+	f.crashSequentially("a", 3)
 	f.requireKnown("a")
 	f.restart("e1-1")
 	f.until("the restarted VM has a lease", 10*time.Second, func() bool { return f.nodes["e1-1"].Status().HasLease })
-	require.Contains(t, f.quarantine["e1-1"], named("a"))
+	require.Contains(t, f.quarantine["e1-1"], fingerprintOf("a"))
 }
 
-func TestItIsKnownAfterALossOfAllVMs(t *testing.T) {
+func TestQuarantineSurvivesLossOfAllVMs(t *testing.T) {
 	f := newCrashFleet(t)
-	f.crashInTurn("a", 3)
+	f.crashSequentially("a", 3)
 	f.requireKnown("a")
 	f.killAll()
 	f.startAll()
 	f.until("all have a lease", 20*time.Second, func() bool { return f.leased(1) })
 	require.True(t, f.known("a"))
-	require.Contains(t, f.quarantine["e0-0"], named("a"))
+	require.Contains(t, f.quarantine["e0-0"], fingerprintOf("a"))
 }
 
 // A rack fails while it runs copies of one request from all VMs: the ends of its targets
 // together count as one.
-func TestARackThatFallsUnderLookAlikesBlamesNone(t *testing.T) {
+func TestSimultaneousCrashesCauseNoQuarantine(t *testing.T) {
 	f := newCrashFleet(t)
 	for _, vm := range f.entries() {
 		f.crash(vm, "a", 80*time.Millisecond)
@@ -130,17 +130,17 @@
 	require.False(t, f.known("a"))
 }
 
-func TestAWholeAnswerAnywhereLetsARequestGo(t *testing.T) {
+func TestSuccessfulRunReleasesFromQuarantine(t *testing.T) {
 	f := newCrashFleet(t)
-	f.crashInTurn("a", 2)
-	f.step("e2-2", core.RequestSurvived{Request: named("a"), At: f.now})
-	f.crashInTurn("a", 2)
+	f.crashSequentially("a", 2)
+	f.step("e2-2", core.RequestSurvived{Request: fingerprintOf("a"), At: f.now})
+	f.crashSequentially("a", 2)
 	f.run(knownWithin)
 	require.False(t, f.known("a"), "it has run well in between")
 
-	f.crashInTurn("b", 3)
+	f.crashSequentially("b", 3)
 	f.requireKnown("b")
-	f.step("e2-2", core.RequestSurvived{Request: named("b"), At: f.now})
+	f.step("e2-2", core.RequestSurvived{Request: fingerprintOf("b"), At: f.now})
 	f.until("it is released", knownWithin, func() bool { return !f.known("b") })
 	for _, vm := range f.entries() {
 		f.until("all VMs release it", knownWithin, func() bool { return len(f.quarantine[vm]) == 0 })
@@ -148,10 +148,10 @@
 }
 
 // A successful run is reported for some seconds, even if the request ends targets afterwards.
-func TestAnOldAnswerLetsNothingGo(t *testing.T) {
+func TestEarlierSuccessfulRunDoesNotRelease(t *testing.T) {
 	f := newCrashFleet(t)
-	f.step("e2-2", core.RequestSurvived{Request: named("a"), At: f.now})
-	f.crashInTurn("a", 3)
+	f.step("e2-2", core.RequestSurvived{Request: fingerprintOf("a"), At: f.now})
+	f.crashSequentially("a", 3)
 	f.requireKnown("a")
 	f.run(15 * time.Second)
 	require.True(t, f.known("a"))
@@ -159,18 +159,18 @@
 
 // Mere suspicion is lost with the leader. The request then ends at most two targets more than
 // three.
-func TestALostLeaderCostsTwoTargetsAtMost(t *testing.T) {
+func TestLossOfLeaderCostsAtMostTwoTargets(t *testing.T) {
 	f := newCrashFleet(t)
-	f.crashInTurn("a", 2)
+	f.crashSequentially("a", 2)
 	f.run(15 * time.Second)
 	f.dead[f.leader()] = true
 	f.until("a new leader is elected", 10*time.Second, func() bool { return f.leader() != "" })
 	f.until("all have a lease", 10*time.Second, func() bool { return f.leased(0) })
-	f.crashInTurn("a", 3)
+	f.crashSequentially("a", 3)
 	f.requireKnown("a")
 }
 
-func TestAFloodOfCrashesKeepsRenewalsSmall(t *testing.T) {
+func TestCrashReportsPerRenewalAreBounded(t *testing.T) {
 	f := newCrashFleet(t)
 	f.measured = true
 	for i := range 5000 {
@@ -197,8 +197,8 @@
 			if i%2 == 1 {
 				// Two VMs report it, since one that ends at once loses what it hasn't sent.
 				servers := rapid.Permutation(f.entries()).Draw(t, "servers")
-				f.step(servers[0], core.RequestSurvived{Request: named("innocent"), At: f.now})
-				f.step(servers[1], core.RequestSurvived{Request: named("innocent"), At: f.now})
+				f.step(servers[0], core.RequestSurvived{Request: fingerprintOf("innocent"), At: f.now})
+				f.step(servers[1], core.RequestSurvived{Request: fingerprintOf("innocent"), At: f.now})
 			}
 			switch rapid.SampledFrom([]string{"nothing", "leader", "entry", "all"}).Draw(t, "ends") {
 			case "leader":
@@ -216,26 +216,26 @@
 			f.run(time.Duration(rapid.IntRange(150, 4000).Draw(t, "pause")) * time.Millisecond)
 		}
 		f.until("all have a lease", 30*time.Second, func() bool { return f.leased(0) })
-		f.crashInTurn("crashing", relay.CrashesMost)
+		f.crashSequentially("crashing", relay.CrashesMost)
 		f.until("all VMs know it", knownUnderLoss, func() bool { return f.known("crashing") })
 		require.False(t, f.known("innocent"))
 	})
 }
 
 // An operator who repaired the targets of a request can release it at once.
-func TestAnOperatorLetsARequestGo(t *testing.T) {
+func TestOperatorReleasesFromQuarantine(t *testing.T) {
 	f := newCrashFleet(t)
-	f.crashInTurn("a", 3)
+	f.crashSequentially("a", 3)
 	f.requireKnown("a")
-	statement, err := query.Parse("remove quarantine " + named("a").String())
+	statement, err := query.Parse("remove quarantine " + fingerprintOf("a").String())
 	require.NoError(t, err)
 	f.step(f.leader(), core.Operated{Conn: 1, Statement: statement, Operator: "alice", Number: 1, Digest: "d"})
 	for _, vm := range f.entries() {
 		f.until("all VMs release it", knownWithin, func() bool { return len(f.quarantine[vm]) == 0 })
 	}
-	f.crashInTurn("a", 2)
+	f.crashSequentially("a", 2)
 	f.run(knownWithin)
 	require.False(t, f.known("a"), "it has to end three targets again")
-	f.crashInTurn("a", 1)
+	f.crashSequentially("a", 1)
 	f.requireKnown("a")
 }
--- a/internal/core/spread_property_test.go
+++ b/internal/core/spread_property_test.go
@@ -13,17 +13,17 @@
 	"github.com/spoolbank/spoolbank/internal/relay"
 )
 
-// spread simulates control VMs that targets report to, and entry VMs that follow them. Each
-// control VM leads a cluster of its own, so that it always accepts reports.
-type spread struct {
-	t        *rapid.T
-	now      time.Time
-	nodes    map[core.VMName]*core.Node
-	lives    uint64
-	learned  map[core.VMName]map[relay.TargetID]relay.Target
-	truth    map[relay.TargetID]relay.Target
-	lossy    bool
-	messages []core.Envelope
+// registryCluster simulates control VMs that targets report to, and entry VMs that follow them.
+// Each control VM leads a cluster of its own, so that it always accepts reports.
+type registryCluster struct {
+	t            *rapid.T
+	now          time.Time
+	nodes        map[core.VMName]*core.Node
+	incarnations uint64
+	learned      map[core.VMName]map[relay.TargetID]relay.Target
+	truth        map[relay.TargetID]relay.Target
+	lossy        bool
+	messages     []core.Envelope
 }
 
 var (
@@ -31,8 +31,8 @@
 	spreadEntries  = []core.VMName{"e1", "e2"}
 )
 
-func newSpread(t *rapid.T) *spread {
-	s := &spread{
+func newRegistryCluster(t *rapid.T) *registryCluster {
+	s := &registryCluster{
 		t: t, now: time.Unix(100, 0), nodes: make(map[core.VMName]*core.Node),
 		learned: make(map[core.VMName]map[relay.TargetID]relay.Target), truth: make(map[relay.TargetID]relay.Target),
 	}
@@ -47,12 +47,12 @@
 }
 
 // start starts a new incarnation of a VM without any state.
-func (s *spread) start(vm core.VMName) {
-	s.lives++
-	self := core.ReplicaID{VM: vm, Incarnation: core.Incarnation(s.lives)}
+func (s *registryCluster) start(vm core.VMName) {
+	s.incarnations++
+	self := core.ReplicaID{VM: vm, Incarnation: core.Incarnation(s.incarnations)}
 	settings := core.Settings{
 		Self: self, Cluster: "c", Control: vm[0] == 'c', Entry: vm[0] == 'e', ControlVMs: spreadControls,
-		Voters: 1, SnapshotEvery: 100, Timing: core.DefaultTiming(), Seed: s.lives,
+		Voters: 1, SnapshotEvery: 100, Timing: core.DefaultTiming(), Seed: s.incarnations,
 		DecodeDocument: func([]byte) (*relay.Document, error) { return &relay.Document{Version: 1}, nil },
 	}
 	recovered := core.Recovered{}
@@ -64,7 +64,7 @@
 }
 
 // step passes an event to a VM, and records what it learns and sends.
-func (s *spread) step(vm core.VMName, event core.Event) {
+func (s *registryCluster) step(vm core.VMName, event core.Event) {
 	sequence := uint64(0)
 	for _, effect := range s.nodes[vm].Step(s.now, event) {
 		switch e := effect.(type) {
@@ -91,7 +91,7 @@
 }
 
 // run advances time and delivers messages.
-func (s *spread) run(d time.Duration) {
+func (s *registryCluster) run(d time.Duration) {
 	for until := s.now.Add(d); s.now.Before(until); {
 		s.now = s.now.Add(50 * time.Millisecond)
 		for _, vm := range append(append([]core.VMName(nil), spreadControls...), spreadEntries...) {
@@ -106,7 +106,7 @@
 }
 
 // speak sends a target's report to a control VM.
-func (s *spread) speak(id relay.TargetID, to core.VMName) {
+func (s *registryCluster) speak(id relay.TargetID, to core.VMName) {
 	target := s.truth[id]
 	target.Call++
 	s.truth[id] = target
@@ -117,7 +117,7 @@
 // the targets have repeated them.
 func TestMessagesReachEveryEntryVM(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newSpread(t)
+		s := newRegistryCluster(t)
 		control := rapid.SampledFrom(spreadControls)
 		id := rapid.Custom(func(t *rapid.T) relay.TargetID {
 			return relay.TargetID(fmt.Sprintf("i-%d", rapid.IntRange(1, 4).Draw(t, "target")))
--- a/internal/core/spread_test.go
+++ b/internal/core/spread_test.go
@@ -37,7 +37,7 @@
 
 // With 300 VMs, each of 18 control VMs forwarded each report to all others: 1.9 GB at the
 // start.
-func TestMessagesAreToldByTheOneWhoHeardThem(t *testing.T) {
+func TestControlVMsForwardOnlyOwnReports(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, from("c3", core.Message{Follow: &core.Follow{OwnOnly: true, Heartbeats: true}}))
@@ -54,7 +54,7 @@
 	require.Equal(t, []relay.Target{own, second}, whole, "a follower without state receives everything")
 }
 
-func TestATargetThatTurnsToAnotherControlVMIsToldOfAgain(t *testing.T) {
+func TestReportIsForwardedAgainByNewControlVM(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, from("e1", core.Message{Follow: &core.Follow{OwnOnly: true}}))
@@ -69,7 +69,7 @@
 // After a loss of all VMs, every target turns to a control VM that it hasn't reported to
 // before. The resulting 105 pushes to 76 followers kept the leader from granting leases for a
 // second.
-func TestATargetThatTurnsAndSaysNothingNewWaitsForTheNextAsk(t *testing.T) {
+func TestUnchangedReportToNewControlVMIsNotPushed(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	follow := func() []relay.Target {
@@ -83,7 +83,7 @@
 	require.Len(t, follow(), 1)
 }
 
-func TestALateMessageThatATargetLeavesIsToldOf(t *testing.T) {
+func TestOutdatedLeavingReportIsForwarded(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, from("e1", core.Message{Follow: &core.Follow{OwnOnly: true}}))
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestWorkOfOthersIsToldInParts(t *testing.T) {
+func TestWorkOfOthersIsSentInParts(t *testing.T) {
 	f := newFleet(t)
 	f.busy("e1", 1000, 5)
 	f.renew("e1", false)
@@ -174,7 +174,7 @@
 	require.Less(t, f.renew("e2", false), 1<<10, "nothing has changed since the last grant")
 }
 
-func TestOwnWorkIsNotToldAsThatOfOthers(t *testing.T) {
+func TestOwnWorkIsExcludedFromOthers(t *testing.T) {
 	f := newFleet(t)
 	f.busy("e1", 3, 5)
 	f.busy("e2", 3, 2)
@@ -184,7 +184,7 @@
 	require.Equal(t, f.work["e1"], f.others["e2"])
 }
 
-func TestALostLeaseLosesNoWork(t *testing.T) {
+func TestLostGrantLosesNoWork(t *testing.T) {
 	f := newFleet(t)
 	f.busy("e1", 10, 5)
 	f.renew("e1", false)
@@ -203,7 +203,7 @@
 }
 
 // A newly elected leader knew only the first renewals, and reported that all engines were free.
-func TestANewLeaderTellsNoWorkUntilItHasHeardOfAll(t *testing.T) {
+func TestNewLeaderReportsNoWorkBeforeAllHaveReported(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	f := &fleetOf{t: t, node: n, now: time.Unix(100, 0)}
 	var first, told time.Time
@@ -229,7 +229,7 @@
 
 // After all VMs were killed, each one chose by its own work alone for 1.2 s after the election,
 // although the leader had received the renewals of all after 0.1 s.
-func TestANewLeaderTellsTheWorkOnceAllHaveRenewed(t *testing.T) {
+func TestNewLeaderReportsWorkOnceAllHaveRenewed(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := time.Unix(100, 0)
 	vms := []core.VMName{"e1", "e2", "e3"}
@@ -269,7 +269,7 @@
 }
 
 // The first of 76 VMs to get a lease again assumed that it was the only one.
-func TestFollowersAreCountedBeforeTheyHaveALease(t *testing.T) {
+func TestFollowersCountBeforeTheyHaveALease(t *testing.T) {
 	f := newFleet(t)
 	for i := range 40 {
 		f.node.Step(f.now, from(core.VMName(fmt.Sprintf("e%d", i)), core.Message{Follow: &core.Follow{OwnOnly: true}}))
@@ -287,7 +287,7 @@
 
 // A change of 1,700 routes was sent again for each request of each of 76 VMs, and nobody could
 // read the configuration for 4 s.
-func TestAChangeOnItsWayIsNotSentAgain(t *testing.T) {
+func TestConfigChangeInFlightIsNotResent(t *testing.T) {
 	f := newFleet(t)
 	f.renew("e1", false)
 	// The text doesn't compress, so that the size of a grant shows whether it contains the
@@ -316,7 +316,7 @@
 // With 300 VMs, a leader sent 71 MB in 5 s while 3,000 targets loaded, six times what had
 // changed: updates in flight over full links were sent again for each request that crossed
 // them.
-func TestMessagesOnTheirWayAreNotSentAgain(t *testing.T) {
+func TestUpdatesInFlightAreNotResent(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	speak := func(id string) {
@@ -343,7 +343,7 @@
 }
 
 // Updates lost on a broken link are sent again within the 2 s that a report may take.
-func TestMessagesThatWereLostAreSentAgain(t *testing.T) {
+func TestLostUpdatesAreResent(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-1", Address: "a", Call: 1}})
@@ -354,7 +354,7 @@
 }
 
 // A leaving target gets no new work after 2 s, however long other updates to a VM take.
-func TestThatATargetLeavesIsToldBesideMessagesOnTheirWay(t *testing.T) {
+func TestLeavingTargetIsSentWhileUpdatesAreInFlight(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	stays := relay.Target{ID: "i-1", Address: "a", Call: 1}
@@ -377,7 +377,7 @@
 
 // After a partition of some seconds, a follower that asks again is sent at once what it lacks,
 // regardless of how often updates to it were lost.
-func TestWhoAsksAgainAfterACutIsTold(t *testing.T) {
+func TestFollowerIsUpdatedAtOnceAfterPartition(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	n.Step(now, core.TargetSpoke{Conn: 1, Target: relay.Target{ID: "i-1", Address: "a", Call: 1}})
@@ -397,7 +397,7 @@
 }
 
 // Heartbeats are sent while other updates to a control VM are in flight.
-func TestSignsOfLifeDoNotWaitForMessages(t *testing.T) {
+func TestHeartbeatsDoNotWaitForUpdates(t *testing.T) {
 	n := controlNode(nil, time.Unix(100, 0))
 	now := lead(n, time.Unix(100, 0))
 	spoke := relay.Target{ID: "i-1", Address: "a", Call: 1}
--- a/internal/core/unnamed_test.go
+++ b/internal/core/unnamed_test.go
@@ -75,7 +75,7 @@
 }
 
 // The target of a service that no document names reached every VM and the disk.
-func TestATargetOfNoNamedServiceStaysApart(t *testing.T) {
+func TestTargetOfUnnamedServiceIsHeldBack(t *testing.T) {
 	n := newNamingNode("s")
 	good := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 1}
 	require.Equal(t, core.TargetHeard{Conn: 1, Taken: true}, n.speak(good))
@@ -86,7 +86,7 @@
 	require.Equal(t, []relay.Target{good}, n.saved)
 }
 
-func TestAMessageOfNoNamedServiceReplacesNothing(t *testing.T) {
+func TestReportOfUnnamedServiceReplacesNothing(t *testing.T) {
 	n := newNamingNode("s")
 	good := relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 1}
 	n.speak(good)
@@ -95,7 +95,7 @@
 	require.Equal(t, []relay.Target{good}, follow(n.Node, n.now))
 }
 
-func TestATargetIsTakenOnceItsServiceIsNamed(t *testing.T) {
+func TestHeldBackTargetIsAcceptedOnceServiceIsNamed(t *testing.T) {
 	n := newNamingNode("s")
 	early := relay.Target{ID: "i-2", Service: "next", Address: "10.0.0.2:80", Call: 1}
 	leaving := relay.Target{ID: "i-3", Service: "next", Address: "10.0.0.3:80", Call: 2, Leaving: true}
@@ -107,7 +107,7 @@
 	require.Equal(t, []relay.Target{early, leaving}, follow(n.Node, n.now), "without another report of the targets")
 }
 
-func TestTargetsSpeakBeforeTheFirstDocument(t *testing.T) {
+func TestTargetsReportBeforeFirstDocument(t *testing.T) {
 	n := newNamingNode("")
 	n.speak(relay.Target{ID: "i-1", Service: "s", Address: "10.0.0.1:80", Call: 1})
 	n.put(1, "s")
@@ -116,7 +116,7 @@
 }
 
 // Anybody may send any number of such reports.
-func TestWhatIsHeldBackIsBounded(t *testing.T) {
+func TestHeldBackTargetsAreBounded(t *testing.T) {
 	n := newNamingNode("s")
 	const many = 3100
 	for i := range many {
